--- a/daemon/src/config.rs
+++ b/daemon/src/config.rs
@@ -8,7 +8,7 @@
 use frosttrail::Settings;
 use frosttrail_membership::gossip::Role;
 use frosttrail_membership::service::Config as Membership;
-use frosttrail_membership::Terms;
+use frosttrail_membership::LeaseConfig;
 use frosttrail_transfer::service::{Config as Node, Inbox};
 use serde::de::DeserializeOwned;
 use serde::Deserialize;
@@ -413,7 +413,7 @@
         voters: file.voters,
         key: file.key,
         role: Role::Daemon,
-        terms: Terms { most: file.most, ..Terms::default() },
+        lease_config: LeaseConfig { max_instances: file.most, ..LeaseConfig::default() },
     };
     config.check().map_err(|e| ConfigError::Deploy(path.to_path_buf(), e.to_string()))?;
     Ok(config)
--- a/daemon/tests/platform.rs
+++ b/daemon/tests/platform.rs
@@ -7,7 +7,7 @@
 use frosttrail_daemon::front::ClientTimeouts;
 use frosttrail_membership::gossip::Role;
 use frosttrail_membership::service::{Config as Shared, Membership, View};
-use frosttrail_membership::Terms;
+use frosttrail_membership::LeaseConfig;
 use serde_json::{json, Value};
 use support::*;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -294,8 +294,15 @@
     let socket = tokio::net::UdpSocket::bind("127.0.0.1:0").await.unwrap();
     let voter = socket.local_addr().unwrap();
     let key = "what this test shares".to_string();
-    let terms = Terms { lease: 600_000, renew: 200_000, again: 50_000, drift: 0.02, most: 64 };
-    let shared = Shared { listen: voter, voters: vec![voter], key: key.clone(), role: Role::Plugin, terms };
+    let lease_config = LeaseConfig {
+        duration: 600_000,
+        renewal_interval: 200_000,
+        retry_interval: 50_000,
+        max_clock_drift: 0.02,
+        max_instances: 64,
+    };
+    let shared =
+        Shared { listen: voter, voters: vec![voter], key: key.clone(), role: Role::Plugin, lease_config };
     let log = slog::Logger::root(slog::Discard, slog::o!());
     let here = Membership::on(socket, voter, shared, 1, log);
     let mut view = here.view();
--- a/membership/src/ballot.rs
+++ b/membership/src/ballot.rs
@@ -5,12 +5,12 @@
 use std::collections::BTreeSet;
 
 use crate::message::Ballot;
-use crate::{Incarnation, Micros, Terms};
+use crate::{Incarnation, LeaseConfig, Micros};
 
 /// A voter's memory.
 #[derive(Debug)]
 pub struct Voter {
-    terms: Terms,
+    lease_config: LeaseConfig,
     /// Before this, it has no voice.
     silent_until: Micros,
     heard: Ballot,
@@ -31,9 +31,10 @@
 
 impl Voter {
     /// A voter that has just started.
-    pub fn new(now: Micros, terms: Terms) -> Self {
-        let silent_until = now + terms.late(terms.late(terms.lease));
-        Voter { terms, silent_until, heard: Ballot::default(), agreed: None }
+    pub fn new(now: Micros, lease_config: LeaseConfig) -> Self {
+        let silent_until =
+            now + lease_config.lengthen_by_drift(lease_config.lengthen_by_drift(lease_config.duration));
+        Voter { lease_config, silent_until, heard: Ballot::default(), agreed: None }
     }
 
     /// Will you hear this ballot out? `None`: no voice yet.
@@ -47,8 +48,8 @@
     /// The ballot's instance is the keeper for this long.
     pub fn propose(&mut self, now: Micros, ballot: Ballot, lease: Micros) -> Option<Vote> {
         self.vote(now, ballot, |voter| {
-            let lease = lease.min(voter.terms.lease);
-            voter.agreed = Some((ballot.process, now + voter.terms.late(lease)));
+            let lease = lease.min(voter.lease_config.duration);
+            voter.agreed = Some((ballot.process, now + voter.lease_config.lengthen_by_drift(lease)));
             Vote::Accepted
         })
     }
@@ -76,7 +77,7 @@
 /// An instance's tries to be the keeper.
 #[derive(Debug)]
 pub struct Candidate {
-    terms: Terms,
+    lease_config: LeaseConfig,
     process: Incarnation,
     majority: usize,
     ballot: Ballot,
@@ -96,9 +97,9 @@
 
 impl Candidate {
     /// One among so many voters.
-    pub fn new(process: Incarnation, voters: usize, terms: Terms) -> Self {
+    pub fn new(process: Incarnation, voters: usize, lease_config: LeaseConfig) -> Self {
         Candidate {
-            terms,
+            lease_config,
             process,
             majority: voters / 2 + 1,
             ballot: Ballot::default(),
@@ -125,9 +126,9 @@
             return None;
         }
         // Counted from before the voters hear of it: it ends here before it ends there.
-        let end = now + self.terms.early(self.terms.lease);
+        let end = now + self.lease_config.shorten_by_drift(self.lease_config.duration);
         self.stage = Stage::Proposing(BTreeSet::new(), end);
-        Some(Say::Propose(ballot, self.terms.lease))
+        Some(Say::Propose(ballot, self.lease_config.duration))
     }
 
     /// A voter agrees. True if that makes it the keeper, or the keeper for longer.
--- a/membership/src/holder.rs
+++ b/membership/src/holder.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use crate::message::{Mark, Message};
-use crate::{Incarnation, Micros, Terms};
+use crate::{Incarnation, LeaseConfig, Micros};
 
 /// Questions that may still be answered.
 const OPEN: usize = 16;
@@ -17,7 +17,7 @@
 /// The holder's side.
 #[derive(Debug)]
 pub struct Holder {
-    terms: Terms,
+    lease_config: LeaseConfig,
     process: Incarnation,
     asks: VecDeque<(u64, Micros)>,
     ask: u64,
@@ -30,9 +30,9 @@
 
 impl Holder {
     /// With its floor.
-    pub fn new(process: Incarnation, terms: Terms) -> Self {
+    pub fn new(process: Incarnation, lease_config: LeaseConfig) -> Self {
         Holder {
-            terms,
+            lease_config,
             process,
             asks: VecDeque::new(),
             ask: 0,
@@ -58,9 +58,9 @@
     pub fn grant(&mut self, now: Micros, ask: u64, mark: Mark, part: f64, lasts: Micros) -> bool {
         let asked = self.asks.iter().find(|(number, _)| *number == ask).map(|(_, at)| *at);
         let Some(asked) = asked.filter(|_| mark > self.applied && !self.left) else { return false };
-        let until = asked + self.terms.early(lasts);
+        let until = asked + self.lease_config.shorten_by_drift(lasts);
         self.applied = mark;
-        let part = if part.is_finite() { part.clamp(0.0, self.terms.leased()) } else { 0.0 };
+        let part = if part.is_finite() { part.clamp(0.0, self.lease_config.leasable_share()) } else { 0.0 };
         self.shrunk |= self.lease.is_some_and(|l| part < l.part);
         self.lease = (now < until).then_some(Lease { part, until });
         true
@@ -88,7 +88,7 @@
         if self.left {
             return 0.0;
         }
-        self.terms.floor() + self.lease.filter(|l| now < l.until).map_or(0.0, |l| l.part)
+        self.lease_config.floor_share() + self.lease.filter(|l| now < l.until).map_or(0.0, |l| l.part)
     }
 
     /// When its part ends if it is not renewed.
--- a/membership/src/instance.rs
+++ b/membership/src/instance.rs
@@ -9,7 +9,7 @@
 use crate::holder::Holder;
 use crate::keeper::{Keeper, Out};
 use crate::message::{Ballot, Message};
-use crate::{Incarnation, Micros, Terms};
+use crate::{Incarnation, LeaseConfig, Micros};
 
 #[derive(Debug)]
 struct Seat {
@@ -22,7 +22,7 @@
 /// All that an instance knows of parts.
 #[derive(Debug)]
 pub struct Instance {
-    terms: Terms,
+    lease_config: LeaseConfig,
     at: SocketAddr,
     voters: Vec<SocketAddr>,
     seat: Option<Seat>,
@@ -42,23 +42,25 @@
         process: Incarnation,
         at: SocketAddr,
         voters: Vec<SocketAddr>,
-        terms: Terms,
+        lease_config: LeaseConfig,
     ) -> Self {
         let mut rng = SmallRng::seed_from_u64(process);
         let votes = voters.contains(&at);
         let seat = votes.then(|| Seat {
-            voter: Voter::new(now, terms),
-            candidate: Candidate::new(process, voters.len(), terms),
+            voter: Voter::new(now, lease_config),
+            candidate: Candidate::new(process, voters.len(), lease_config),
             keeper: None,
             // Before that no voter answers; not all at once.
-            next_try: now + terms.late(terms.lease) + rng.random_range(0..terms.again),
+            next_try: now
+                + lease_config.lengthen_by_drift(lease_config.duration)
+                + rng.random_range(0..lease_config.retry_interval),
         });
         Instance {
-            terms,
+            lease_config,
             at,
             voters,
             seat,
-            holder: Holder::new(process, terms),
+            holder: Holder::new(process, lease_config),
             keeper: None,
             next_ask: now,
             traffic: 0.0,
@@ -122,12 +124,18 @@
         // Whoever has a lease from another knows that there is a keeper.
         if now >= seat.next_try && !self.left && (keeps || self.holder.ends(now).is_none()) {
             // A keeper renews in time; the others try now and then, each at its own moment.
-            let spread = self.rng.random_range(0..self.terms.renew);
-            seat.next_try = now + if keeps { self.terms.renew } else { self.terms.again * 2 + spread };
+            let spread = self.rng.random_range(0..self.lease_config.renewal_interval);
+            seat.next_try = now
+                + if keeps {
+                    self.lease_config.renewal_interval
+                } else {
+                    self.lease_config.retry_interval * 2 + spread
+                };
             say = Some(seat.candidate.try_now());
         }
-        let next = if seat.next_try > now { seat.next_try } else { now + self.terms.again };
-        let next = if seat.keeper.is_some() { next.min(now + self.terms.again) } else { next };
+        let next = if seat.next_try > now { seat.next_try } else { now + self.lease_config.retry_interval };
+        let next =
+            if seat.keeper.is_some() { next.min(now + self.lease_config.retry_interval) } else { next };
         self.say_all(now, said, out);
         if let Some(say) = say {
             self.tell_voters(now, say, out);
@@ -146,7 +154,8 @@
     fn ask(&mut self, now: Micros, out: &mut Out) {
         // Where nobody has granted lately, any voter may be the keeper.
         let has = self.holder.ends(now).is_some();
-        self.next_ask = now + if has { self.terms.renew } else { self.terms.again };
+        self.next_ask =
+            now + if has { self.lease_config.renewal_interval } else { self.lease_config.retry_interval };
         let message = self.holder.ask(now, self.traffic);
         match self.keeper.filter(|_| has) {
             Some(keeper) => self.say(now, keeper, message, out),
@@ -199,7 +208,7 @@
             Message::Accepted(ballot) => self.accepted(now, from, ballot),
             Message::Rejected { ballot, heard } => {
                 let keeps = self.is_keeper(now);
-                let soon = now + self.rng.random_range(0..self.terms.again / 4);
+                let soon = now + self.rng.random_range(0..self.lease_config.retry_interval / 4);
                 if let Some(seat) = &mut self.seat {
                     seat.candidate.rejected(ballot, heard);
                     // A keeper's lease runs on; it goes over the other at once.
@@ -238,9 +247,9 @@
 
     /// Somebody else has the lease: trying again before it may have ended only disturbs.
     fn wait_for_keeper(&mut self, now: Micros) {
-        let spread = self.rng.random_range(0..self.terms.renew);
+        let spread = self.rng.random_range(0..self.lease_config.renewal_interval);
         if let Some(seat) = self.seat.as_mut().filter(|s| s.candidate.keeper_until(now).is_none()) {
-            seat.next_try = seat.next_try.max(now + self.terms.lease / 2 + spread);
+            seat.next_try = seat.next_try.max(now + self.lease_config.duration / 2 + spread);
         }
     }
 
@@ -269,7 +278,7 @@
         match &mut seat.keeper {
             Some(keeper) if kept => keeper.extend(until),
             // Its term is that of the ballot that made it the keeper.
-            _ => seat.keeper = Some(Keeper::new(ballot, until, self.terms)),
+            _ => seat.keeper = Some(Keeper::new(ballot, until, self.lease_config)),
         }
     }
 
--- a/membership/src/keeper.rs
+++ b/membership/src/keeper.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 use crate::message::{Ballot, Mark, Message};
-use crate::{Incarnation, Micros, Terms};
+use crate::{Incarnation, LeaseConfig, Micros};
 
 /// A part is changed where it is off by more than this share of itself.
 const SLACK: f64 = 0.05;
@@ -48,7 +48,7 @@
 /// The keeper's side.
 #[derive(Debug)]
 pub struct Keeper {
-    terms: Terms,
+    lease_config: LeaseConfig,
     term: Ballot,
     /// Its own lease.
     until: Micros,
@@ -61,8 +61,8 @@
 
 impl Keeper {
     /// With nothing out: whatever another keeper has given has ended with its lease.
-    pub fn new(term: Ballot, until: Micros, terms: Terms) -> Self {
-        Keeper { terms, term, until, members: BTreeMap::new(), number: 0 }
+    pub fn new(term: Ballot, until: Micros, lease_config: LeaseConfig) -> Self {
+        Keeper { lease_config, term, until, members: BTreeMap::new(), number: 0 }
     }
 
     /// Its own lease has been renewed.
@@ -117,7 +117,7 @@
     }
 
     fn expire(&mut self, now: Micros) {
-        let gone = self.terms.late(self.terms.lease);
+        let gone = self.lease_config.lengthen_by_drift(self.lease_config.duration);
         self.members.retain(|_, m| {
             m.grants.retain(|g| now < g.ends);
             !m.grants.is_empty() || now < m.asked + gone
@@ -126,7 +126,7 @@
 
     fn target(&self, member: &Member, traffic: f64) -> f64 {
         let even = EVEN / self.members.len().max(1) as f64;
-        self.terms.leased() * (even + (1.0 - EVEN) * member.traffic / traffic)
+        self.lease_config.leasable_share() * (even + (1.0 - EVEN) * member.traffic / traffic)
     }
 
     fn traffic(&self) -> f64 {
@@ -139,7 +139,8 @@
         let (mut less, mut more) = (Vec::new(), Vec::new());
         for (process, member) in &self.members {
             let (target, latest) = (self.target(member, traffic), member.latest());
-            let unconfirmed = member.grants.len() > 1 && now >= member.said + self.terms.again;
+            let unconfirmed =
+                member.grants.len() > 1 && now >= member.said + self.lease_config.retry_interval;
             if latest > target * (1.0 + SLACK) || (unconfirmed && latest <= target) {
                 less.push(*process);
             } else if latest < target * (1.0 - SLACK) {
@@ -155,14 +156,14 @@
     fn grant(&mut self, now: Micros, process: Incarnation, out: &mut Out) {
         let (traffic, all) = (self.traffic(), self.members.values().map(Member::out).sum::<f64>());
         let Some(member) = self.members.get(&process) else { return };
-        let room = self.terms.leased() - (all - member.out());
+        let room = self.lease_config.leasable_share() - (all - member.out());
         let part = self.target(member, traffic).min(room).max(0.0);
         // Within its own lease, and counted from a question that was asked before it was heard.
-        let lasts = self.terms.lease.min(self.until.saturating_sub(member.asked));
-        let ends = member.asked + self.terms.late(lasts);
+        let lasts = self.lease_config.duration.min(self.until.saturating_sub(member.asked));
+        let ends = member.asked + self.lease_config.lengthen_by_drift(lasts);
         let told =
             member.grants.last().is_some_and(|g| g.ends == ends && (g.part - part).abs() < part * SLACK);
-        if told && now < member.said + self.terms.again || ends <= now {
+        if told && now < member.said + self.lease_config.retry_interval || ends <= now {
             return;
         }
         self.number += 1;
--- a/membership/src/lib.rs
+++ b/membership/src/lib.rs
@@ -24,46 +24,52 @@
 
 /// How long leases last, and how far clocks may run apart.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
+pub struct LeaseConfig {
     /// Of a keeper's lease, and of the longest lease of a part.
-    pub lease: Micros,
+    pub duration: Micros,
     /// A part is asked for anew this often, and a keeper renews its own lease this often.
-    pub renew: Micros,
+    pub renewal_interval: Micros,
     /// What is not answered is said again after this time.
-    pub again: Micros,
+    pub retry_interval: Micros,
     /// By how much of itself a clock may run fast or slow.
-    pub drift: f64,
+    pub max_clock_drift: f64,
     /// The most instances that there will ever be at a time: each has a floor.
-    pub most: u32,
+    pub max_instances: u32,
 }
 
 /// Of the whole budget, what all floors together have.
-pub const FLOORS: f64 = 0.1;
+pub const TOTAL_FLOOR_SHARE: f64 = 0.1;
 
-impl Default for Terms {
+impl Default for LeaseConfig {
     fn default() -> Self {
-        Terms { lease: 3_000_000, renew: 1_000_000, again: 200_000, drift: 0.01, most: 64 }
+        LeaseConfig {
+            duration: 3_000_000,
+            renewal_interval: 1_000_000,
+            retry_interval: 200_000,
+            max_clock_drift: 0.01,
+            max_instances: 64,
+        }
     }
 }
 
-impl Terms {
+impl LeaseConfig {
     /// What an instance has that nobody has granted anything.
-    pub fn floor(&self) -> f64 {
-        FLOORS / f64::from(self.most.max(1))
+    pub fn floor_share(&self) -> f64 {
+        TOTAL_FLOOR_SHARE / f64::from(self.max_instances.max(1))
     }
 
     /// What a keeper can lease in all.
-    pub fn leased(&self) -> f64 {
-        1.0 - FLOORS
+    pub fn leasable_share(&self) -> f64 {
+        1.0 - TOTAL_FLOOR_SHARE
     }
 
     /// A span on whoever must be early: over no later than it is by any other clock.
-    pub fn early(&self, span: Micros) -> Micros {
-        (span as f64 * (1.0 - self.drift)) as Micros
+    pub fn shorten_by_drift(&self, span: Micros) -> Micros {
+        (span as f64 * (1.0 - self.max_clock_drift)) as Micros
     }
 
     /// A span on whoever must be late: over no earlier than it is by any other clock.
-    pub fn late(&self, span: Micros) -> Micros {
-        (span as f64 * (1.0 + self.drift)).ceil() as Micros
+    pub fn lengthen_by_drift(&self, span: Micros) -> Micros {
+        (span as f64 * (1.0 + self.max_clock_drift)).ceil() as Micros
     }
 }
--- a/membership/src/service.rs
+++ b/membership/src/service.rs
@@ -16,7 +16,7 @@
 use crate::gossip::{Change, Gossip, Peer, Role, Said};
 use crate::instance::Instance;
 use crate::message::Message;
-use crate::{Incarnation, Micros, Terms};
+use crate::{Incarnation, LeaseConfig, Micros};
 
 /// Longer packets are never sent.
 const PACKET: usize = 1_500;
@@ -44,7 +44,7 @@
     /// What it is.
     pub role: Role,
     /// How long leases last.
-    pub terms: Terms,
+    pub lease_config: LeaseConfig,
 }
 
 /// Settings that do not fit together.
@@ -79,7 +79,7 @@
             (!voters.is_empty(), ConfigError::Voters),
             (voters.len() == self.voters.len(), ConfigError::Twice),
             (self.key.len() >= 16, ConfigError::Key),
-            (self.terms.most as usize >= voters.len(), ConfigError::Most),
+            (self.lease_config.max_instances as usize >= voters.len(), ConfigError::Most),
             (reached, ConfigError::Listen),
         ];
         checks.into_iter().find(|(fits, _)| !fits).map_or(Ok(()), |(_, error)| Err(error))
@@ -128,7 +128,7 @@
 
     /// The same on a socket that is there already.
     pub fn on(socket: UdpSocket, at: SocketAddr, config: Config, process: Incarnation, log: Logger) -> Self {
-        let first = View { part: config.terms.floor(), keeper: false, peers: Arc::default() };
+        let first = View { part: config.lease_config.floor_share(), keeper: false, peers: Arc::default() };
         let (tell, view) = watch::channel(first);
         let (leave, leaving) = mpsc::channel(1);
         let traffic = Traffic::default();
@@ -206,9 +206,9 @@
     let post = Post { socket, key: blake3::derive_key(CONTEXT, config.key.as_bytes()), log: log.clone() };
     let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
     let me = Peer { at, process, started: unix.as_millis() as u64, renewed: 0, role: config.role };
-    let most = NonZeroU32::new(config.terms.most).unwrap_or(NonZeroU32::MIN);
+    let most = NonZeroU32::new(config.lease_config.max_instances).unwrap_or(NonZeroU32::MIN);
     let mut gossip = Gossip::new(me, most);
-    let mut instance = Instance::new(now(), process, at, config.voters.clone(), config.terms);
+    let mut instance = Instance::new(now(), process, at, config.voters.clone(), config.lease_config);
     let (hand, mut rung) = mpsc::unbounded_channel();
     let mut packet = vec![0; PACKET + 1];
     let (mut wake, mut announce, mut count) = (start, start, start + COUNT);
--- a/membership/tests/loopback.rs
+++ b/membership/tests/loopback.rs
@@ -5,7 +5,7 @@
 
 use frosttrail_membership::gossip::Role;
 use frosttrail_membership::service::{Config, Membership};
-use frosttrail_membership::Terms;
+use frosttrail_membership::LeaseConfig;
 use tokio::net::UdpSocket;
 use tokio::time::{sleep, timeout};
 
@@ -20,8 +20,14 @@
 }
 
 /// Quicker than usual, so that the test is.
-fn terms() -> Terms {
-    Terms { lease: 500_000, renew: 150_000, again: 40_000, drift: 0.02, most: 8 }
+fn lease_config() -> LeaseConfig {
+    LeaseConfig {
+        duration: 500_000,
+        renewal_interval: 150_000,
+        retry_interval: 40_000,
+        max_clock_drift: 0.02,
+        max_instances: 8,
+    }
 }
 
 struct Site {
@@ -46,8 +52,13 @@
 
     fn on(&mut self, socket: UdpSocket, role: Role, key: &str) {
         let at = socket.local_addr().unwrap();
-        let config =
-            Config { listen: at, voters: self.voters.clone(), key: key.into(), role, terms: terms() };
+        let config = Config {
+            listen: at,
+            voters: self.voters.clone(),
+            key: key.into(),
+            role,
+            lease_config: lease_config(),
+        };
         self.here.push(Membership::on(socket, at, config, self.next, log()));
         self.next += 1;
     }
@@ -119,6 +130,6 @@
     }
     sleep(Duration::from_millis(300)).await;
     site.until(|s| s.parts()[..3].iter().sum::<f64>() > 0.85).await;
-    assert_eq!(site.parts()[3], terms().floor());
+    assert_eq!(site.parts()[3], lease_config().floor_share());
     assert!(site.here[3].view().borrow().peers.is_empty());
 }
--- a/membership/tests/model.rs
+++ b/membership/tests/model.rs
@@ -120,7 +120,7 @@
 #[test]
 fn a_join_is_felt_by_the_others_before_it_has_more_than_its_floor() {
     let mut world = settled(&[0, 1, 2]);
-    let floor = world.terms.floor();
+    let floor = world.lease_config.floor_share();
     world.join(5);
     assert_eq!(part(&world, 5), floor);
     let others = [0, 1, 2].map(|p| part(&world, p));
@@ -139,7 +139,7 @@
     // Place 2, a voter, and two without a vote are cut off.
     world.side = vec![false, false, true, false, true, true, false, false];
     world.run(10_000_000);
-    let floor = world.terms.floor();
+    let floor = world.lease_config.floor_share();
     for place in [2, 4, 5] {
         assert_eq!(part(&world, place), floor, "on the side with fewer voters");
     }
--- a/membership/tests/support/mod.rs
+++ b/membership/tests/support/mod.rs
@@ -7,7 +7,7 @@
 
 use frosttrail_membership::instance::Instance;
 use frosttrail_membership::message::Message;
-use frosttrail_membership::{Micros, Terms};
+use frosttrail_membership::{LeaseConfig, Micros};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -56,7 +56,7 @@
 
 pub struct World {
     pub now: Micros,
-    pub terms: Terms,
+    pub lease_config: LeaseConfig,
     pub nodes: BTreeMap<usize, Node>,
     letters: BinaryHeap<Letter>,
     serial: u64,
@@ -78,7 +78,7 @@
     pub fn new(seed: u64, places: usize) -> Self {
         World {
             now: 1_000_000,
-            terms: Terms { most: places as u32, ..Terms::default() },
+            lease_config: LeaseConfig { max_instances: places as u32, ..LeaseConfig::default() },
             nodes: BTreeMap::new(),
             letters: BinaryHeap::new(),
             serial: 0,
@@ -101,7 +101,7 @@
         let process = place as u64 * 1_000 + u64::from(self.lives[place]);
         let local = offset + (self.now as f64 * rate) as Micros;
         let voters = (0..VOTERS).map(at).collect();
-        let mut instance = Instance::new(local, process, at(place), voters, self.terms);
+        let mut instance = Instance::new(local, process, at(place), voters, self.lease_config);
         instance.traffic(10.0 * (1.0 + place as f64));
         let node = Node { instance, place, rate, offset, wake: self.now, life: self.lives[place] };
         self.nodes.insert(place, node);
