--- a/daemon/src/command/serve.rs
+++ b/daemon/src/command/serve.rs
@@ -82,7 +82,7 @@
 struct OptionalFeatures {
     chat: Option<ChatConfig>,
     xds: Option<XdsConfig>,
-    membership: Option<service::Config>,
+    membership: Option<service::MembershipConfig>,
 }
 
 struct Signals {
@@ -182,26 +182,27 @@
 
 /// Takes part among those that share the servers, and tells the decisions what part is theirs.
 async fn join(
-    config: service::Config,
+    config: service::MembershipConfig,
     conductor: &Conductor<HttpUpstream>,
     log: &Logger,
 ) -> Result<(Membership, AbortOnDropHandle<()>), ServeError> {
     let listen = config.listen;
     let membership = Membership::start(config, incarnation()?, log.clone()).await;
     let membership = membership.map_err(|e| ServeError::Bind(listen, e))?;
-    let (mut view, traffic, conductor) = (membership.view(), membership.traffic(), conductor.clone());
-    conductor.share(view.borrow_and_update().part);
+    let (mut view, request_counter, conductor) =
+        (membership.view(), membership.request_counter(), conductor.clone());
+    conductor.share(view.borrow_and_update().quota_share);
     let shares = tokio::spawn(async move {
         let mut counted = 0;
         loop {
             tokio::select! {
                 changed = view.changed() => match changed {
-                    Ok(()) => conductor.share(view.borrow_and_update().part),
+                    Ok(()) => conductor.share(view.borrow_and_update().quota_share),
                     Err(_) => return,
                 },
                 () = sleep(COUNT) => {
                     let calls = conductor.calls();
-                    traffic.count(calls - counted);
+                    request_counter.add(calls - counted);
                     counted = calls;
                 }
             }
--- a/daemon/src/config.rs
+++ b/daemon/src/config.rs
@@ -7,7 +7,7 @@
 use frosttrail::setup::{self, Names, SetupError};
 use frosttrail::Settings;
 use frosttrail_membership::gossip::Role;
-use frosttrail_membership::service::Config as Membership;
+use frosttrail_membership::service::MembershipConfig;
 use frosttrail_membership::LeaseConfig;
 use frosttrail_transfer::service::{Config as Node, Inbox};
 use serde::de::DeserializeOwned;
@@ -406,15 +406,15 @@
 }
 
 /// Reads how the conductor takes part in a membership.
-pub fn membership(path: &Path) -> Result<Membership, ConfigError> {
+pub fn membership(path: &Path) -> Result<MembershipConfig, ConfigError> {
     let file: MembershipFile = json_file(path)?;
-    let config = Membership {
+    let config = MembershipConfig {
         listen: file.listen,
-        voters: file.voters,
+        acceptors: file.voters,
         key: file.key,
         role: Role::Daemon,
         lease_config: LeaseConfig { max_instances: file.most, ..LeaseConfig::default() },
     };
-    config.check().map_err(|e| ConfigError::Deploy(path.to_path_buf(), e.to_string()))?;
+    config.validate().map_err(|e| ConfigError::Deploy(path.to_path_buf(), e.to_string()))?;
     Ok(config)
 }
--- a/daemon/tests/platform.rs
+++ b/daemon/tests/platform.rs
@@ -6,7 +6,7 @@
 
 use frosttrail_daemon::front::ClientTimeouts;
 use frosttrail_membership::gossip::Role;
-use frosttrail_membership::service::{Config as Shared, Membership, View};
+use frosttrail_membership::service::{Membership, MembershipConfig, MembershipView};
 use frosttrail_membership::LeaseConfig;
 use serde_json::{json, Value};
 use support::*;
@@ -301,10 +301,15 @@
         max_clock_drift: 0.02,
         max_instances: 64,
     };
-    let shared =
-        Shared { listen: voter, voters: vec![voter], key: key.clone(), role: Role::Plugin, lease_config };
+    let shared = MembershipConfig {
+        listen: voter,
+        acceptors: vec![voter],
+        key: key.clone(),
+        role: Role::Plugin,
+        lease_config,
+    };
     let log = slog::Logger::root(slog::Discard, slog::o!());
-    let here = Membership::on(socket, voter, shared, 1, log);
+    let here = Membership::with_socket(socket, voter, shared, 1, log);
     let mut view = here.view();
     let file = std::env::temp_dir().join(format!("frosttrail-membership-{}.json", std::process::id()));
     let text = json!({"listen": "127.0.0.1:0", "voters": [voter], "key": key, "most": 64});
@@ -312,11 +317,12 @@
     let mut command = program("member", &config("127.0.0.1:0", "127.0.0.1:9").to_string());
     command.arg("--membership").arg(&file);
     let running = Running::start(command);
-    let both =
-        |v: &View| v.peers.len() == 1 && v.peers[0].role == Role::Daemon && (0.2..0.8).contains(&v.part);
+    let both = |v: &MembershipView| {
+        v.peers.len() == 1 && v.peers[0].role == Role::Daemon && (0.2..0.8).contains(&v.quota_share)
+    };
     timeout(LATEST, view.wait_for(both)).await.unwrap().unwrap();
     running.signal("-TERM");
-    timeout(LATEST, view.wait_for(|v| v.peers.is_empty() && v.part > 0.85)).await.unwrap().unwrap();
+    timeout(LATEST, view.wait_for(|v| v.peers.is_empty() && v.quota_share > 0.85)).await.unwrap().unwrap();
     running.ends_well().await;
     // What is wrong with the file is said on one line.
     for (key, value) in
--- a/membership/benches/settle.rs
+++ b/membership/benches/settle.rs
@@ -17,7 +17,7 @@
 
 fn part(world: &World, place: usize) -> f64 {
     let node = &world.nodes[&place];
-    node.instance.part(node.local(world.now))
+    node.instance.quota_share(node.local(world.now))
 }
 
 /// Milliseconds until it is so.
--- a/membership/src/gossip.rs
+++ b/membership/src/gossip.rs
@@ -27,13 +27,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Peer {
     /// Where it is reached.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     /// Its process.
-    pub process: Incarnation,
+    pub incarnation: Incarnation,
     /// Later lives at an address have later starts: milliseconds of the wall clock, of no other use.
-    pub started: u64,
+    pub started_unix_ms: u64,
     /// Counts the names that it has taken after others took it for dead.
-    pub renewed: u32,
+    pub renewals: u32,
     /// What it is.
     pub role: Role,
 }
@@ -42,22 +42,22 @@
     type Addr = SocketAddr;
 
     fn renew(&self) -> Option<Self> {
-        Some(Peer { renewed: self.renewed.wrapping_add(1), ..self.clone() })
+        Some(Peer { renewals: self.renewals.wrapping_add(1), ..self.clone() })
     }
 
     fn addr(&self) -> SocketAddr {
-        self.at
+        self.address
     }
 
     fn win_addr_conflict(&self, other: &Self) -> bool {
-        let key = |p: &Peer| (p.started, p.process, p.renewed);
+        let key = |p: &Peer| (p.started_unix_ms, p.incarnation, p.renewals);
         key(self) > key(other)
     }
 }
 
 /// What has changed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Change {
+pub enum PeerChange {
     /// An instance has turned up.
     Up(Peer),
     /// One has left, or is not heard of.
@@ -66,13 +66,13 @@
 
 /// What comes of a call: packets to send, timers to hand back, changes.
 #[derive(Debug, Default)]
-pub struct Said {
+pub struct GossipOutput {
     /// To whom, and what.
     pub packets: Vec<(SocketAddr, Vec<u8>)>,
-    /// After how long, and what to hand to [`Gossip::timer`].
+    /// After how long, and what to hand to [`Gossip::handle_timer`].
     pub timers: Vec<(Duration, Timer<Peer>)>,
     /// News.
-    pub changes: Vec<Change>,
+    pub changes: Vec<PeerChange>,
 }
 
 /// One instance's part in the gossip.
@@ -83,32 +83,33 @@
 
 impl Gossip {
     /// An instance that knows nobody, at a site of up to about so many.
-    pub fn new(me: Peer, most: NonZeroU32) -> Self {
-        let rng = SmallRng::seed_from_u64(me.process);
-        let mut config = foca::Config::new_lan(most);
+    pub fn new(own_identity: Peer, max_instances: NonZeroU32) -> Self {
+        let rng = SmallRng::seed_from_u64(own_identity.incarnation);
+        let mut config = foca::Config::new_lan(max_instances);
         config.notify_down_members = true;
-        Gossip { foca: Foca::new(me, config, rng, PostcardCodec), peers: BTreeMap::new() }
+        Gossip { foca: Foca::new(own_identity, config, rng, PostcardCodec), peers: BTreeMap::new() }
     }
 
     /// Makes itself known to whoever is at an address.
-    pub fn announce(&mut self, at: SocketAddr) -> Said {
+    pub fn announce(&mut self, address: SocketAddr) -> GossipOutput {
         // Who is there is not known yet; only the address counts.
-        let there = Peer { at, process: 0, started: 0, renewed: 0, role: Role::Daemon };
-        self.run(|foca, runtime| foca.announce(there, runtime))
+        let destination =
+            Peer { address, incarnation: 0, started_unix_ms: 0, renewals: 0, role: Role::Daemon };
+        self.run(|foca, runtime| foca.announce(destination, runtime))
     }
 
     /// A packet has come. What is none is passed over.
-    pub fn packet(&mut self, bytes: &[u8]) -> Said {
+    pub fn handle_packet(&mut self, bytes: &[u8]) -> GossipOutput {
         self.run(|foca, runtime| foca.handle_data(bytes, runtime))
     }
 
     /// A timer that was asked for.
-    pub fn timer(&mut self, timer: Timer<Peer>) -> Said {
+    pub fn handle_timer(&mut self, timer: Timer<Peer>) -> GossipOutput {
         self.run(|foca, runtime| foca.handle_timer(timer, runtime))
     }
 
     /// Says goodbye.
-    pub fn leave(&mut self) -> Said {
+    pub fn leave(&mut self) -> GossipOutput {
         self.run(|foca, runtime| foca.leave_cluster(runtime))
     }
 
@@ -119,42 +120,44 @@
 
     fn run(
         &mut self,
-        call: impl FnOnce(
+        operation: impl FnOnce(
             &mut Foca<Peer, PostcardCodec, SmallRng, foca::NoCustomBroadcast>,
             &mut AccumulatingRuntime<Peer>,
         ) -> Result<(), foca::Error>,
-    ) -> Said {
+    ) -> GossipOutput {
         let mut runtime = AccumulatingRuntime::new();
         // An error is a packet that makes no sense, or one too many of a goodbye: nothing to act on.
-        let _ = call(&mut self.foca, &mut runtime);
-        let mut said = Said::default();
+        let _ = operation(&mut self.foca, &mut runtime);
+        let mut output = GossipOutput::default();
         while let Some((to, bytes)) = runtime.to_send() {
-            said.packets.push((to.at, bytes.to_vec()));
+            output.packets.push((to.address, bytes.to_vec()));
         }
         while let Some(timer) = runtime.to_schedule() {
-            said.timers.push(timer);
+            output.timers.push(timer);
         }
-        while let Some(news) = runtime.to_notify() {
-            self.note(news, &mut said.changes);
+        while let Some(notification) = runtime.to_notify() {
+            self.apply_notification(notification, &mut output.changes);
         }
-        said
+        output
     }
 
-    fn note(&mut self, news: OwnedNotification<Peer>, changes: &mut Vec<Change>) {
-        match news {
+    fn apply_notification(&mut self, notification: OwnedNotification<Peer>, changes: &mut Vec<PeerChange>) {
+        match notification {
             OwnedNotification::MemberUp(peer) => {
-                self.peers.insert(peer.at, peer.clone());
-                changes.push(Change::Up(peer));
+                self.peers.insert(peer.address, peer.clone());
+                changes.push(PeerChange::Up(peer));
             }
             OwnedNotification::MemberDown(peer) => {
                 // A later life at the same address may have taken its place already.
-                if self.peers.get(&peer.at) == Some(&peer) {
-                    self.peers.remove(&peer.at);
+                if self.peers.get(&peer.address) == Some(&peer) {
+                    self.peers.remove(&peer.address);
                 }
-                changes.push(Change::Down(peer));
+                changes.push(PeerChange::Down(peer));
             }
-            OwnedNotification::Rename(before, peer) if self.peers.get(&before.at) == Some(&before) => {
-                self.peers.insert(peer.at, peer);
+            OwnedNotification::Rename(previous, peer)
+                if self.peers.get(&previous.address) == Some(&previous) =>
+            {
+                self.peers.insert(peer.address, peer);
             }
             _ => {}
         }
--- a/membership/src/holder.rs
+++ b/membership/src/holder.rs
@@ -84,7 +84,7 @@
     }
 
     /// What it may take of the whole.
-    pub fn part(&self, now: Micros) -> f64 {
+    pub fn quota_share(&self, now: Micros) -> f64 {
         if self.left {
             return 0.0;
         }
--- a/membership/src/instance.rs
+++ b/membership/src/instance.rs
@@ -70,12 +70,12 @@
     }
 
     /// What it may take of the whole.
-    pub fn part(&self, now: Micros) -> f64 {
-        self.holder.part(now)
+    pub fn quota_share(&self, now: Micros) -> f64 {
+        self.holder.quota_share(now)
     }
 
     /// Whether it is the keeper.
-    pub fn is_keeper(&self, now: Micros) -> bool {
+    pub fn is_leader(&self, now: Micros) -> bool {
         self.seat.as_ref().is_some_and(|s| s.candidate.keeper_until(now).is_some())
     }
 
@@ -207,7 +207,7 @@
             }
             Message::Accepted(ballot) => self.accepted(now, from, ballot),
             Message::Rejected { ballot, heard } => {
-                let keeps = self.is_keeper(now);
+                let keeps = self.is_leader(now);
                 let soon = now + self.rng.random_range(0..self.lease_config.retry_interval / 4);
                 if let Some(seat) = &mut self.seat {
                     seat.candidate.rejected(ballot, heard);
--- a/membership/src/service.rs
+++ b/membership/src/service.rs
@@ -13,7 +13,7 @@
 use tokio::time::{sleep, sleep_until, Instant};
 use tokio_util::task::AbortOnDropHandle;
 
-use crate::gossip::{Change, Gossip, Peer, Role, Said};
+use crate::gossip::{Gossip, GossipOutput, Peer, PeerChange, Role};
 use crate::instance::Instance;
 use crate::message::Message;
 use crate::{Incarnation, LeaseConfig, Micros};
@@ -34,11 +34,11 @@
 
 /// How an instance takes part.
 #[derive(Clone, Debug)]
-pub struct Config {
+pub struct MembershipConfig {
     /// Its port; others reach it at this address.
     pub listen: SocketAddr,
     /// Those that vote, on which all instances of the site must agree: an odd number of lasting ones.
-    pub voters: Vec<SocketAddr>,
+    pub acceptors: Vec<SocketAddr>,
     /// What the site shares, so that no other's packets count.
     pub key: String,
     /// What it is.
@@ -52,35 +52,35 @@
 pub enum ConfigError {
     /// No keeper could ever be elected.
     #[error("voters: at least one is needed")]
-    Voters,
+    NoAcceptors,
     /// One that is named twice would have two votes.
     #[error("voters: one is named twice")]
-    Twice,
+    DuplicateAcceptor,
     /// Packets of anybody would count.
     #[error("key: at least 16 characters are needed")]
-    Key,
+    KeyTooShort,
     /// Floors would add up to more than is set aside.
     #[error("most: at least as many as there are voters")]
-    Most,
+    TooManyAcceptors,
     /// The others could not reach it.
     #[error("listen: an address at which the others reach this instance is needed")]
-    Listen,
+    UnspecifiedListenAddress,
 }
 
-impl Config {
+impl MembershipConfig {
     /// Whether the settings fit together.
-    pub fn check(&self) -> Result<(), ConfigError> {
-        let mut voters = self.voters.clone();
-        voters.sort();
-        voters.dedup();
+    pub fn validate(&self) -> Result<(), ConfigError> {
+        let mut acceptors = self.acceptors.clone();
+        acceptors.sort();
+        acceptors.dedup();
         // The others learn of a port that the system chose; a voter's stands in their files.
         let reached = !self.listen.ip().is_unspecified();
         let checks = [
-            (!voters.is_empty(), ConfigError::Voters),
-            (voters.len() == self.voters.len(), ConfigError::Twice),
-            (self.key.len() >= 16, ConfigError::Key),
-            (self.lease_config.max_instances as usize >= voters.len(), ConfigError::Most),
-            (reached, ConfigError::Listen),
+            (!acceptors.is_empty(), ConfigError::NoAcceptors),
+            (acceptors.len() == self.acceptors.len(), ConfigError::DuplicateAcceptor),
+            (self.key.len() >= 16, ConfigError::KeyTooShort),
+            (self.lease_config.max_instances as usize >= acceptors.len(), ConfigError::TooManyAcceptors),
+            (reached, ConfigError::UnspecifiedListenAddress),
         ];
         checks.into_iter().find(|(fits, _)| !fits).map_or(Ok(()), |(_, error)| Err(error))
     }
@@ -88,22 +88,22 @@
 
 /// What it may take, and who is there.
 #[derive(Clone, Debug, PartialEq)]
-pub struct View {
+pub struct MembershipView {
     /// Its part of the whole.
-    pub part: f64,
+    pub quota_share: f64,
     /// Whether it is the keeper.
-    pub keeper: bool,
+    pub is_leader: bool,
     /// The others.
     pub peers: Arc<[Peer]>,
 }
 
 /// Counts requests, from which an instance's share of the traffic is measured.
 #[derive(Clone, Debug, Default)]
-pub struct Traffic(Arc<AtomicU64>);
+pub struct RequestCounter(Arc<AtomicU64>);
 
-impl Traffic {
+impl RequestCounter {
     /// So many have come.
-    pub fn count(&self, requests: u64) {
+    pub fn add(&self, requests: u64) {
         self.0.fetch_add(requests, Ordering::Relaxed);
     }
 }
@@ -111,39 +111,55 @@
 /// An instance that takes part. Dropping it ends it as a kill would; [`Membership::leave`] is better.
 pub struct Membership {
     /// Where it is.
-    pub at: SocketAddr,
-    view: watch::Receiver<View>,
-    traffic: Traffic,
+    pub address: SocketAddr,
+    view: watch::Receiver<MembershipView>,
+    request_counter: RequestCounter,
     leave: mpsc::Sender<oneshot::Sender<()>>,
     _task: AbortOnDropHandle<()>,
 }
 
 impl Membership {
     /// Takes part from now on. `process`: drawn anew at each start.
-    pub async fn start(config: Config, process: Incarnation, log: Logger) -> std::io::Result<Self> {
+    pub async fn start(config: MembershipConfig, process: Incarnation, log: Logger) -> std::io::Result<Self> {
         let socket = UdpSocket::bind(config.listen).await?;
         let at = socket.local_addr()?;
-        Ok(Membership::on(socket, at, config, process, log))
+        Ok(Membership::with_socket(socket, at, config, process, log))
     }
 
     /// The same on a socket that is there already.
-    pub fn on(socket: UdpSocket, at: SocketAddr, config: Config, process: Incarnation, log: Logger) -> Self {
-        let first = View { part: config.lease_config.floor_share(), keeper: false, peers: Arc::default() };
+    pub fn with_socket(
+        socket: UdpSocket,
+        at: SocketAddr,
+        config: MembershipConfig,
+        process: Incarnation,
+        log: Logger,
+    ) -> Self {
+        let first = MembershipView {
+            quota_share: config.lease_config.floor_share(),
+            is_leader: false,
+            peers: Arc::default(),
+        };
         let (tell, view) = watch::channel(first);
         let (leave, leaving) = mpsc::channel(1);
-        let traffic = Traffic::default();
-        let task = run(socket, at, config, process, tell, traffic.clone(), leaving, log);
-        Membership { at, view, traffic, leave, _task: AbortOnDropHandle::new(tokio::spawn(task)) }
+        let request_counter = RequestCounter::default();
+        let task = run(socket, at, config, process, tell, request_counter.clone(), leaving, log);
+        Membership {
+            address: at,
+            view,
+            request_counter,
+            leave,
+            _task: AbortOnDropHandle::new(tokio::spawn(task)),
+        }
     }
 
     /// What it may take; changes as it does. A part that ends is news too.
-    pub fn view(&self) -> watch::Receiver<View> {
+    pub fn view(&self) -> watch::Receiver<MembershipView> {
         self.view.clone()
     }
 
     /// Where to count requests.
-    pub fn traffic(&self) -> Traffic {
-        self.traffic.clone()
+    pub fn request_counter(&self) -> RequestCounter {
+        self.request_counter.clone()
     }
 
     /// Takes nothing from now on, and says so. What it had is the others' at once.
@@ -194,10 +210,10 @@
 async fn run(
     socket: UdpSocket,
     at: SocketAddr,
-    config: Config,
+    config: MembershipConfig,
     process: Incarnation,
-    tell: watch::Sender<View>,
-    traffic: Traffic,
+    tell: watch::Sender<MembershipView>,
+    request_counter: RequestCounter,
     mut leaving: mpsc::Receiver<oneshot::Sender<()>>,
     log: Logger,
 ) {
@@ -205,14 +221,20 @@
     let now = || start.elapsed().as_micros() as Micros;
     let post = Post { socket, key: blake3::derive_key(CONTEXT, config.key.as_bytes()), log: log.clone() };
     let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
-    let me = Peer { at, process, started: unix.as_millis() as u64, renewed: 0, role: config.role };
+    let me = Peer {
+        address: at,
+        incarnation: process,
+        started_unix_ms: unix.as_millis() as u64,
+        renewals: 0,
+        role: config.role,
+    };
     let most = NonZeroU32::new(config.lease_config.max_instances).unwrap_or(NonZeroU32::MIN);
     let mut gossip = Gossip::new(me, most);
-    let mut instance = Instance::new(now(), process, at, config.voters.clone(), config.lease_config);
+    let mut instance = Instance::new(now(), process, at, config.acceptors.clone(), config.lease_config);
     let (hand, mut rung) = mpsc::unbounded_channel();
     let mut packet = vec![0; PACKET + 1];
     let (mut wake, mut announce, mut count) = (start, start, start + COUNT);
-    let said = |said: Said| {
+    let said = |said: GossipOutput| {
         for (to, bytes) in said.packets {
             post.send(to, GOSSIP, &bytes);
         }
@@ -226,9 +248,11 @@
         let changed = !said.changes.is_empty();
         for change in said.changes {
             match change {
-                Change::Up(peer) => info!(log, "an instance has come"; "at" => peer.at, "role" => ?peer.role),
-                Change::Down(peer) => {
-                    info!(log, "an instance has gone"; "at" => peer.at, "role" => ?peer.role)
+                PeerChange::Up(peer) => {
+                    info!(log, "an instance has come"; "at" => peer.address, "role" => ?peer.role)
+                }
+                PeerChange::Down(peer) => {
+                    info!(log, "an instance has gone"; "at" => peer.address, "role" => ?peer.role)
                 }
             }
         }
@@ -240,7 +264,7 @@
         tokio::select! {
             got = post.socket.recv_from(&mut packet) => match got {
                 Ok((length, from)) => match post.open(&packet[..length]) {
-                    Some((GOSSIP, body)) => changed = said(gossip.packet(body)),
+                    Some((GOSSIP, body)) => changed = said(gossip.handle_packet(body)),
                     Some((PARTS, body)) => {
                         if let Ok(message) = postcard::from_bytes::<Message>(body) {
                             instance.receive(now(), from, message, &mut out);
@@ -254,7 +278,7 @@
                     sleep(Duration::from_millis(10)).await;
                 }
             },
-            Some(timer) = rung.recv() => changed = said(gossip.timer(timer)),
+            Some(timer) = rung.recv() => changed = said(gossip.handle_timer(timer)),
             () = sleep_until(wake) => {
                 let next = instance.tick(now(), &mut out);
                 wake = start + Duration::from_micros(next.min(now() + 1_000_000));
@@ -262,14 +286,14 @@
             () = sleep_until(announce) => {
                 announce = Instant::now() + ANNOUNCE;
                 if gossip.peers().next().is_none() {
-                    for voter in config.voters.iter().filter(|v| **v != at) {
+                    for voter in config.acceptors.iter().filter(|v| **v != at) {
                         said(gossip.announce(*voter));
                     }
                 }
             }
             () = sleep_until(count) => {
                 count += COUNT;
-                let requests = traffic.0.swap(0, Ordering::Relaxed);
+                let requests = request_counter.0.swap(0, Ordering::Relaxed);
                 instance.traffic(requests as f64 / COUNT.as_secs_f64());
             }
             Some(done) = leaving.recv() => {
@@ -284,8 +308,11 @@
         if changed {
             peers = gossip.peers().cloned().collect();
         }
-        let view =
-            View { part: instance.part(now()), keeper: instance.is_keeper(now()), peers: peers.clone() };
+        let view = MembershipView {
+            quota_share: instance.quota_share(now()),
+            is_leader: instance.is_leader(now()),
+            peers: peers.clone(),
+        };
         tell.send_if_modified(|old| std::mem::replace(old, view.clone()) != view);
     }
 }
--- a/membership/tests/loopback.rs
+++ b/membership/tests/loopback.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use frosttrail_membership::gossip::Role;
-use frosttrail_membership::service::{Config, Membership};
+use frosttrail_membership::service::{Membership, MembershipConfig};
 use frosttrail_membership::LeaseConfig;
 use tokio::net::UdpSocket;
 use tokio::time::{sleep, timeout};
@@ -52,14 +52,14 @@
 
     fn on(&mut self, socket: UdpSocket, role: Role, key: &str) {
         let at = socket.local_addr().unwrap();
-        let config = Config {
+        let config = MembershipConfig {
             listen: at,
-            voters: self.voters.clone(),
+            acceptors: self.voters.clone(),
             key: key.into(),
             role,
             lease_config: lease_config(),
         };
-        self.here.push(Membership::on(socket, at, config, self.next, log()));
+        self.here.push(Membership::with_socket(socket, at, config, self.next, log()));
         self.next += 1;
     }
 
@@ -69,7 +69,7 @@
     }
 
     fn parts(&self) -> Vec<f64> {
-        self.here.iter().map(|m| m.view().borrow().part).collect()
+        self.here.iter().map(|m| m.view().borrow().quota_share).collect()
     }
 
     /// Waits until it is so; all the while the parts are at most the whole.
@@ -107,9 +107,9 @@
     site.until(all).await;
     site.until(|s| s.here[0].view().borrow().peers.len() == 2).await;
     // The keeper is killed: another takes its place.
-    let keeper = site.here.iter().position(|m| m.view().borrow().keeper).unwrap();
+    let keeper = site.here.iter().position(|m| m.view().borrow().is_leader).unwrap();
     drop(site.here.remove(keeper));
-    site.until(|s| s.here.iter().any(|m| m.view().borrow().keeper)).await;
+    site.until(|s| s.here.iter().any(|m| m.view().borrow().is_leader)).await;
     site.until(all).await;
 }
 
--- a/membership/tests/model.rs
+++ b/membership/tests/model.rs
@@ -69,7 +69,7 @@
     let parts = world.parts();
     assert!(parts > 0.82, "only {parts} of it is used");
     for node in world.nodes.values() {
-        let part = node.instance.part(node.local(world.now));
+        let part = node.instance.quota_share(node.local(world.now));
         let least = 0.4 * 0.9 / world.nodes.len() as f64;
         assert!(part > least, "{} of life {} has {part}", node.place, node.life);
     }
@@ -89,7 +89,7 @@
             world.join(place);
         }
         world.run(8_000_000);
-        let keeper = (0..VOTERS).find(|p| world.nodes[p].instance.is_keeper(world.nodes[p].local(world.now)));
+        let keeper = (0..VOTERS).find(|p| world.nodes[p].instance.is_leader(world.nodes[p].local(world.now)));
         let keeper = keeper.unwrap();
         // The keeper and one instance on one side; the other voters, one of them new, on the other.
         world.kill((keeper + 1) % VOTERS);
@@ -114,7 +114,7 @@
 
 fn part(world: &World, place: usize) -> f64 {
     let node = &world.nodes[&place];
-    node.instance.part(node.local(world.now))
+    node.instance.quota_share(node.local(world.now))
 }
 
 #[test]
@@ -166,7 +166,7 @@
 #[test]
 fn a_keeper_that_is_killed_is_followed_by_another_and_never_by_two() {
     let mut world = settled(&[0, 1, 2, 3]);
-    let keeper = (0..VOTERS).find(|p| world.nodes[p].instance.is_keeper(world.nodes[p].local(world.now)));
+    let keeper = (0..VOTERS).find(|p| world.nodes[p].instance.is_leader(world.nodes[p].local(world.now)));
     world.kill(keeper.unwrap());
     let mut most = 0;
     for _ in 0..800 {
--- a/membership/tests/support/mod.rs
+++ b/membership/tests/support/mod.rs
@@ -116,7 +116,7 @@
         let mut out = Vec::new();
         let local = node.local(self.now);
         node.instance.leave(local, &mut out);
-        assert_eq!(node.instance.part(local), 0.0);
+        assert_eq!(node.instance.quota_share(local), 0.0);
         self.post(place, out);
     }
 
@@ -133,7 +133,7 @@
     }
 
     pub fn parts(&self) -> f64 {
-        self.nodes.values().map(|n| n.instance.part(n.local(self.now))).sum()
+        self.nodes.values().map(|n| n.instance.quota_share(n.local(self.now))).sum()
     }
 
     pub fn check(&mut self) {
@@ -179,6 +179,6 @@
     }
 
     pub fn keepers(&self) -> usize {
-        self.nodes.values().filter(|n| n.instance.is_keeper(n.local(self.now))).count()
+        self.nodes.values().filter(|n| n.instance.is_leader(n.local(self.now))).count()
     }
 }
