--- a/membership/src/ballot.rs
+++ b/membership/src/ballot.rs
@@ -9,18 +9,18 @@
 
 /// A voter's memory.
 #[derive(Debug)]
-pub struct Voter {
+pub struct Acceptor {
     lease_config: LeaseConfig,
     /// Before this, it has no voice.
-    silent_until: Micros,
-    heard: Ballot,
+    reply_from: Micros,
+    highest_ballot: Ballot,
     /// Whose lease it has agreed to, and until when.
-    agreed: Option<(Incarnation, Micros)>,
+    accepted_lease: Option<(Incarnation, Micros)>,
 }
 
 /// A voter's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Vote {
+pub enum AcceptorReply {
     /// It hears the ballot out; `true`: nobody else has a lease.
     Prepared(bool),
     /// It has agreed.
@@ -29,45 +29,58 @@
     Rejected(Ballot),
 }
 
-impl Voter {
+impl Acceptor {
     /// A voter that has just started.
     pub fn new(now: Micros, lease_config: LeaseConfig) -> Self {
-        let silent_until =
+        let reply_from =
             now + lease_config.lengthen_by_drift(lease_config.lengthen_by_drift(lease_config.duration));
-        Voter { lease_config, silent_until, heard: Ballot::default(), agreed: None }
+        Acceptor { lease_config, reply_from, highest_ballot: Ballot::default(), accepted_lease: None }
     }
 
     /// Will you hear this ballot out? `None`: no voice yet.
-    pub fn prepare(&mut self, now: Micros, ballot: Ballot) -> Option<Vote> {
-        self.vote(now, ballot, |voter| {
-            let other = voter.agreed.is_some_and(|(who, until)| who != ballot.process && now < until);
-            Vote::Prepared(!other)
+    pub fn handle_prepare(&mut self, now: Micros, ballot: Ballot) -> Option<AcceptorReply> {
+        self.reply(now, ballot, |acceptor| {
+            let held_by_other = acceptor
+                .accepted_lease
+                .is_some_and(|(holder, until)| holder != ballot.incarnation && now < until);
+            AcceptorReply::Prepared(!held_by_other)
         })
     }
 
     /// The ballot's instance is the keeper for this long.
-    pub fn propose(&mut self, now: Micros, ballot: Ballot, lease: Micros) -> Option<Vote> {
-        self.vote(now, ballot, |voter| {
-            let lease = lease.min(voter.lease_config.duration);
-            voter.agreed = Some((ballot.process, now + voter.lease_config.lengthen_by_drift(lease)));
-            Vote::Accepted
+    pub fn handle_propose(
+        &mut self,
+        now: Micros,
+        ballot: Ballot,
+        lease_duration: Micros,
+    ) -> Option<AcceptorReply> {
+        self.reply(now, ballot, |acceptor| {
+            let lease_duration = lease_duration.min(acceptor.lease_config.duration);
+            acceptor.accepted_lease =
+                Some((ballot.incarnation, now + acceptor.lease_config.lengthen_by_drift(lease_duration)));
+            AcceptorReply::Accepted
         })
     }
 
-    fn vote(&mut self, now: Micros, ballot: Ballot, yes: impl FnOnce(&mut Self) -> Vote) -> Option<Vote> {
-        if now < self.silent_until {
+    fn reply(
+        &mut self,
+        now: Micros,
+        ballot: Ballot,
+        current_ballot_reply: impl FnOnce(&mut Self) -> AcceptorReply,
+    ) -> Option<AcceptorReply> {
+        if now < self.reply_from {
             return None;
         }
-        if ballot < self.heard {
-            return Some(Vote::Rejected(self.heard));
+        if ballot < self.highest_ballot {
+            return Some(AcceptorReply::Rejected(self.highest_ballot));
         }
-        self.heard = ballot;
-        Some(yes(self))
+        self.highest_ballot = ballot;
+        Some(current_ballot_reply(self))
     }
 }
 
 #[derive(Debug)]
-enum Stage {
+enum Phase {
     Idle,
     Preparing(BTreeSet<usize>),
     /// The lease, if a majority agrees, ends then.
@@ -76,86 +89,92 @@
 
 /// An instance's tries to be the keeper.
 #[derive(Debug)]
-pub struct Candidate {
+pub struct Proposer {
     lease_config: LeaseConfig,
-    process: Incarnation,
+    incarnation: Incarnation,
     majority: usize,
     ballot: Ballot,
-    stage: Stage,
+    phase: Phase,
     /// It is the keeper until then.
-    keeper_until: Option<Micros>,
+    leader_until: Option<Micros>,
 }
 
 /// What a candidate has to say to all voters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Say {
+pub enum ProposerRequest {
     /// Will you hear this out?
     Prepare(Ballot),
     /// I am the keeper for this long.
     Propose(Ballot, Micros),
 }
 
-impl Candidate {
+impl Proposer {
     /// One among so many voters.
-    pub fn new(process: Incarnation, voters: usize, lease_config: LeaseConfig) -> Self {
-        Candidate {
+    pub fn new(incarnation: Incarnation, acceptor_count: usize, lease_config: LeaseConfig) -> Self {
+        Proposer {
             lease_config,
-            process,
-            majority: voters / 2 + 1,
+            incarnation,
+            majority: acceptor_count / 2 + 1,
             ballot: Ballot::default(),
-            stage: Stage::Idle,
-            keeper_until: None,
+            phase: Phase::Idle,
+            leader_until: None,
         }
     }
 
     /// Tries, or renews.
-    pub fn try_now(&mut self) -> Say {
-        self.ballot = Ballot { round: self.ballot.round + 1, process: self.process };
-        self.stage = Stage::Preparing(BTreeSet::new());
-        Say::Prepare(self.ballot)
+    pub fn start_round(&mut self) -> ProposerRequest {
+        self.ballot = Ballot { round: self.ballot.round + 1, incarnation: self.incarnation };
+        self.phase = Phase::Preparing(BTreeSet::new());
+        ProposerRequest::Prepare(self.ballot)
     }
 
     /// A voter hears it out.
-    pub fn prepared(&mut self, now: Micros, voter: usize, ballot: Ballot, open: bool) -> Option<Say> {
-        let Stage::Preparing(voters) = &mut self.stage else { return None };
-        if ballot != self.ballot || !open {
+    pub fn handle_prepared(
+        &mut self,
+        now: Micros,
+        acceptor: usize,
+        ballot: Ballot,
+        is_lease_free: bool,
+    ) -> Option<ProposerRequest> {
+        let Phase::Preparing(acceptors) = &mut self.phase else { return None };
+        if ballot != self.ballot || !is_lease_free {
             return None;
         }
-        voters.insert(voter);
-        if voters.len() < self.majority {
+        acceptors.insert(acceptor);
+        if acceptors.len() < self.majority {
             return None;
         }
         // Counted from before the voters hear of it: it ends here before it ends there.
-        let end = now + self.lease_config.shorten_by_drift(self.lease_config.duration);
-        self.stage = Stage::Proposing(BTreeSet::new(), end);
-        Some(Say::Propose(ballot, self.lease_config.duration))
+        let lease_end = now + self.lease_config.shorten_by_drift(self.lease_config.duration);
+        self.phase = Phase::Proposing(BTreeSet::new(), lease_end);
+        Some(ProposerRequest::Propose(ballot, self.lease_config.duration))
     }
 
     /// A voter agrees. True if that makes it the keeper, or the keeper for longer.
-    pub fn accepted(&mut self, voter: usize, ballot: Ballot) -> bool {
-        let Stage::Proposing(voters, end) = &mut self.stage else { return false };
+    pub fn handle_accepted(&mut self, acceptor: usize, ballot: Ballot) -> bool {
+        let Phase::Proposing(acceptors, lease_end) = &mut self.phase else { return false };
         if ballot != self.ballot {
             return false;
         }
-        voters.insert(voter);
-        if voters.len() < self.majority {
+        acceptors.insert(acceptor);
+        if acceptors.len() < self.majority {
             return false;
         }
-        self.keeper_until = Some(*end);
-        self.stage = Stage::Idle;
+        self.leader_until = Some(*lease_end);
+        self.phase = Phase::Idle;
         true
     }
 
     /// A voter has heard of a higher ballot: the next try goes over it.
-    pub fn rejected(&mut self, ballot: Ballot, heard: Ballot) {
+    pub fn handle_rejected(&mut self, ballot: Ballot, highest_ballot: Ballot) {
         if ballot == self.ballot {
-            self.ballot.round = self.ballot.round.max(heard.round);
-            self.stage = Stage::Idle;
+            self.ballot.round = self.ballot.round.max(highest_ballot.round);
+            self.phase = Phase::Idle;
         }
     }
 
     /// Until when it is the keeper, if it is now.
-    pub fn keeper_until(&self, now: Micros) -> Option<Micros> {
-        self.keeper_until.filter(|until| now < *until)
+    pub fn leader_until(&self, now: Micros) -> Option<Micros> {
+        self.leader_until.filter(|until| now < *until)
     }
 }
--- a/membership/src/holder.rs
+++ b/membership/src/holder.rs
@@ -2,97 +2,118 @@
 
 use std::collections::VecDeque;
 
-use crate::message::{Mark, Message};
+use crate::message::{GrantId, Message};
 use crate::{Incarnation, LeaseConfig, Micros};
 
 /// Questions that may still be answered.
-const OPEN: usize = 16;
+const MAX_PENDING_REQUESTS: usize = 16;
 
 #[derive(Clone, Copy, Debug)]
 struct Lease {
-    part: f64,
-    until: Micros,
+    quota_share: f64,
+    expires_at: Micros,
 }
 
 /// The holder's side.
 #[derive(Debug)]
-pub struct Holder {
+pub struct LeaseHolder {
     lease_config: LeaseConfig,
-    process: Incarnation,
-    asks: VecDeque<(u64, Micros)>,
-    ask: u64,
-    applied: Mark,
+    incarnation: Incarnation,
+    pending_requests: VecDeque<(u64, Micros)>,
+    last_request_number: u64,
+    last_applied: GrantId,
     lease: Option<Lease>,
     /// A grant has made it smaller, and no question has gone out since.
-    shrunk: bool,
-    left: bool,
+    must_report_decrease: bool,
+    has_left: bool,
 }
 
-impl Holder {
+impl LeaseHolder {
     /// With its floor.
-    pub fn new(process: Incarnation, lease_config: LeaseConfig) -> Self {
-        Holder {
+    pub fn new(incarnation: Incarnation, lease_config: LeaseConfig) -> Self {
+        LeaseHolder {
             lease_config,
-            process,
-            asks: VecDeque::new(),
-            ask: 0,
-            applied: Mark::default(),
+            incarnation,
+            pending_requests: VecDeque::new(),
+            last_request_number: 0,
+            last_applied: GrantId::default(),
             lease: None,
-            shrunk: false,
-            left: false,
+            must_report_decrease: false,
+            has_left: false,
         }
     }
 
     /// The question to ask now.
-    pub fn ask(&mut self, now: Micros, traffic: f64) -> Message {
-        self.ask += 1;
-        self.asks.push_back((self.ask, now));
-        if self.asks.len() > OPEN {
-            self.asks.pop_front();
+    pub fn request_share(&mut self, now: Micros, request_rate: f64) -> Message {
+        self.last_request_number += 1;
+        self.pending_requests.push_back((self.last_request_number, now));
+        if self.pending_requests.len() > MAX_PENDING_REQUESTS {
+            self.pending_requests.pop_front();
+        }
+        self.must_report_decrease = false;
+        Message::RequestShare {
+            incarnation: self.incarnation,
+            request_number: self.last_request_number,
+            request_rate,
+            last_applied: self.last_applied,
         }
-        self.shrunk = false;
-        Message::Ask { process: self.process, ask: self.ask, traffic, applied: self.applied }
     }
 
     /// A part is granted. True if it was applied.
-    pub fn grant(&mut self, now: Micros, ask: u64, mark: Mark, part: f64, lasts: Micros) -> bool {
-        let asked = self.asks.iter().find(|(number, _)| *number == ask).map(|(_, at)| *at);
-        let Some(asked) = asked.filter(|_| mark > self.applied && !self.left) else { return false };
-        let until = asked + self.lease_config.shorten_by_drift(lasts);
-        self.applied = mark;
-        let part = if part.is_finite() { part.clamp(0.0, self.lease_config.leasable_share()) } else { 0.0 };
-        self.shrunk |= self.lease.is_some_and(|l| part < l.part);
-        self.lease = (now < until).then_some(Lease { part, until });
+    pub fn apply_grant(
+        &mut self,
+        now: Micros,
+        request_number: u64,
+        grant_id: GrantId,
+        quota_share: f64,
+        duration: Micros,
+    ) -> bool {
+        let requested_at =
+            self.pending_requests.iter().find(|(number, _)| *number == request_number).map(|(_, at)| *at);
+        let Some(requested_at) = requested_at.filter(|_| grant_id > self.last_applied && !self.has_left)
+        else {
+            return false;
+        };
+        let expires_at = requested_at + self.lease_config.shorten_by_drift(duration);
+        self.last_applied = grant_id;
+        let quota_share = if quota_share.is_finite() {
+            quota_share.clamp(0.0, self.lease_config.leasable_share())
+        } else {
+            0.0
+        };
+        self.must_report_decrease |= self.lease.is_some_and(|l| quota_share < l.quota_share);
+        self.lease = (now < expires_at).then_some(Lease { quota_share, expires_at });
         true
     }
 
     /// It takes nothing from now on.
     pub fn leave(&mut self) -> Message {
-        self.left = true;
+        self.has_left = true;
         self.lease = None;
-        Message::Bye(self.process)
+        Message::Leave(self.incarnation)
     }
 
     /// Whether the keeper should hear at once what has been applied, as what it shrank by is another's then.
-    pub fn shrunk(&self) -> bool {
-        self.shrunk
+    pub fn must_report_decrease(&self) -> bool {
+        self.must_report_decrease
     }
 
     /// Its process.
-    pub fn process(&self) -> Incarnation {
-        self.process
+    pub fn incarnation(&self) -> Incarnation {
+        self.incarnation
     }
 
     /// What it may take of the whole.
     pub fn quota_share(&self, now: Micros) -> f64 {
-        if self.left {
+        if self.has_left {
             return 0.0;
         }
-        self.lease_config.floor_share() + self.lease.filter(|l| now < l.until).map_or(0.0, |l| l.part)
+        self.lease_config.floor_share()
+            + self.lease.filter(|l| now < l.expires_at).map_or(0.0, |l| l.quota_share)
     }
 
     /// When its part ends if it is not renewed.
-    pub fn ends(&self, now: Micros) -> Option<Micros> {
-        self.lease.map(|l| l.until).filter(|until| now < *until)
+    pub fn lease_expires_at(&self, now: Micros) -> Option<Micros> {
+        self.lease.map(|l| l.expires_at).filter(|expires_at| now < *expires_at)
     }
 }
--- a/membership/src/instance.rs
+++ b/membership/src/instance.rs
@@ -5,33 +5,33 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-use crate::ballot::{Candidate, Say, Vote, Voter};
-use crate::holder::Holder;
-use crate::keeper::{Keeper, Out};
+use crate::ballot::{Acceptor, AcceptorReply, Proposer, ProposerRequest};
+use crate::holder::LeaseHolder;
+use crate::keeper::{Leader, OutgoingMessages};
 use crate::message::{Ballot, Message};
 use crate::{Incarnation, LeaseConfig, Micros};
 
 #[derive(Debug)]
-struct Seat {
-    voter: Voter,
-    candidate: Candidate,
-    keeper: Option<Keeper>,
-    next_try: Micros,
+struct ElectionState {
+    acceptor: Acceptor,
+    proposer: Proposer,
+    leader: Option<Leader>,
+    next_round_at: Micros,
 }
 
 /// All that an instance knows of parts.
 #[derive(Debug)]
 pub struct Instance {
     lease_config: LeaseConfig,
-    at: SocketAddr,
-    voters: Vec<SocketAddr>,
-    seat: Option<Seat>,
-    holder: Holder,
+    address: SocketAddr,
+    acceptors: Vec<SocketAddr>,
+    election: Option<ElectionState>,
+    lease_holder: LeaseHolder,
     /// Who granted last.
-    keeper: Option<SocketAddr>,
-    next_ask: Micros,
-    traffic: f64,
-    left: bool,
+    leader_address: Option<SocketAddr>,
+    next_request_at: Micros,
+    request_rate: f64,
+    has_left: bool,
     rng: SmallRng,
 }
 
@@ -39,253 +39,301 @@
     /// An instance at an address. It votes if the voters name it.
     pub fn new(
         now: Micros,
-        process: Incarnation,
-        at: SocketAddr,
-        voters: Vec<SocketAddr>,
+        incarnation: Incarnation,
+        address: SocketAddr,
+        acceptors: Vec<SocketAddr>,
         lease_config: LeaseConfig,
     ) -> Self {
-        let mut rng = SmallRng::seed_from_u64(process);
-        let votes = voters.contains(&at);
-        let seat = votes.then(|| Seat {
-            voter: Voter::new(now, lease_config),
-            candidate: Candidate::new(process, voters.len(), lease_config),
-            keeper: None,
+        let mut rng = SmallRng::seed_from_u64(incarnation);
+        let is_acceptor = acceptors.contains(&address);
+        let election = is_acceptor.then(|| ElectionState {
+            acceptor: Acceptor::new(now, lease_config),
+            proposer: Proposer::new(incarnation, acceptors.len(), lease_config),
+            leader: None,
             // Before that no voter answers; not all at once.
-            next_try: now
+            next_round_at: now
                 + lease_config.lengthen_by_drift(lease_config.duration)
                 + rng.random_range(0..lease_config.retry_interval),
         });
         Instance {
             lease_config,
-            at,
-            voters,
-            seat,
-            holder: Holder::new(process, lease_config),
-            keeper: None,
-            next_ask: now,
-            traffic: 0.0,
-            left: false,
+            address,
+            acceptors,
+            election,
+            lease_holder: LeaseHolder::new(incarnation, lease_config),
+            leader_address: None,
+            next_request_at: now,
+            request_rate: 0.0,
+            has_left: false,
             rng,
         }
     }
 
     /// What it may take of the whole.
     pub fn quota_share(&self, now: Micros) -> f64 {
-        self.holder.quota_share(now)
+        self.lease_holder.quota_share(now)
     }
 
     /// Whether it is the keeper.
     pub fn is_leader(&self, now: Micros) -> bool {
-        self.seat.as_ref().is_some_and(|s| s.candidate.keeper_until(now).is_some())
+        self.election.as_ref().is_some_and(|election| election.proposer.leader_until(now).is_some())
     }
 
     /// The traffic that comes to it, in requests a second.
-    pub fn traffic(&mut self, per_second: f64) {
-        self.traffic = per_second;
+    pub fn set_request_rate(&mut self, request_rate: f64) {
+        self.request_rate = request_rate;
     }
 
     /// It takes nothing from now on; as a keeper it lets its lease end.
-    pub fn leave(&mut self, now: Micros, out: &mut Out) {
-        self.left = true;
-        let bye = self.holder.leave();
-        match self.keeper {
-            Some(keeper) => self.say(now, keeper, bye, out),
-            None => self.say_to_voters(now, &bye, out),
+    pub fn leave(&mut self, now: Micros, outgoing: &mut OutgoingMessages) {
+        self.has_left = true;
+        let leave_message = self.lease_holder.leave();
+        match self.leader_address {
+            Some(leader) => self.send(now, leader, leave_message, outgoing),
+            None => self.send_to_acceptors(now, &leave_message, outgoing),
         }
     }
 
     /// Does what is due. Returns when to call again.
-    pub fn tick(&mut self, now: Micros, out: &mut Out) -> Micros {
+    pub fn tick(&mut self, now: Micros, outgoing: &mut OutgoingMessages) -> Micros {
         let mut next = Micros::MAX;
-        if !self.left {
-            if now >= self.next_ask {
-                self.ask(now, out);
+        if !self.has_left {
+            if now >= self.next_request_at {
+                self.request_share(now, outgoing);
             }
-            next = next.min(self.next_ask);
-            next = next.min(self.holder.ends(now).unwrap_or(Micros::MAX));
+            next = next.min(self.next_request_at);
+            next = next.min(self.lease_holder.lease_expires_at(now).unwrap_or(Micros::MAX));
         }
-        if self.seat.is_some() {
-            next = next.min(self.tick_seat(now, out));
+        if self.election.is_some() {
+            next = next.min(self.tick_election(now, outgoing));
         }
         next.max(now + 1)
     }
 
-    fn tick_seat(&mut self, now: Micros, out: &mut Out) -> Micros {
-        let Some(seat) = &mut self.seat else { return Micros::MAX };
-        if seat.candidate.keeper_until(now).is_none() {
-            seat.keeper = None;
+    fn tick_election(&mut self, now: Micros, outgoing: &mut OutgoingMessages) -> Micros {
+        let Some(election) = &mut self.election else { return Micros::MAX };
+        if election.proposer.leader_until(now).is_none() {
+            election.leader = None;
         }
-        let mut said = Out::new();
-        if let Some(keeper) = &mut seat.keeper {
-            keeper.tick(now, &mut said);
+        let mut leader_messages = OutgoingMessages::new();
+        if let Some(leader) = &mut election.leader {
+            leader.tick(now, &mut leader_messages);
         }
-        let mut say = None;
-        let keeps = seat.candidate.keeper_until(now).is_some();
+        let mut proposer_request = None;
+        let is_leader = election.proposer.leader_until(now).is_some();
         // Whoever has a lease from another knows that there is a keeper.
-        if now >= seat.next_try && !self.left && (keeps || self.holder.ends(now).is_none()) {
+        if now >= election.next_round_at
+            && !self.has_left
+            && (is_leader || self.lease_holder.lease_expires_at(now).is_none())
+        {
             // A keeper renews in time; the others try now and then, each at its own moment.
             let spread = self.rng.random_range(0..self.lease_config.renewal_interval);
-            seat.next_try = now
-                + if keeps {
+            election.next_round_at = now
+                + if is_leader {
                     self.lease_config.renewal_interval
                 } else {
                     self.lease_config.retry_interval * 2 + spread
                 };
-            say = Some(seat.candidate.try_now());
+            proposer_request = Some(election.proposer.start_round());
         }
-        let next = if seat.next_try > now { seat.next_try } else { now + self.lease_config.retry_interval };
+        let next = if election.next_round_at > now {
+            election.next_round_at
+        } else {
+            now + self.lease_config.retry_interval
+        };
         let next =
-            if seat.keeper.is_some() { next.min(now + self.lease_config.retry_interval) } else { next };
-        self.say_all(now, said, out);
-        if let Some(say) = say {
-            self.tell_voters(now, say, out);
+            if election.leader.is_some() { next.min(now + self.lease_config.retry_interval) } else { next };
+        self.send_all(now, leader_messages, outgoing);
+        if let Some(proposer_request) = proposer_request {
+            self.send_proposer_request(now, proposer_request, outgoing);
         }
         next
     }
 
-    fn tell_voters(&mut self, now: Micros, say: Say, out: &mut Out) {
-        let message = match say {
-            Say::Prepare(ballot) => Message::Prepare(ballot),
-            Say::Propose(ballot, lease) => Message::Propose(ballot, lease),
+    fn send_proposer_request(
+        &mut self,
+        now: Micros,
+        proposer_request: ProposerRequest,
+        outgoing: &mut OutgoingMessages,
+    ) {
+        let message = match proposer_request {
+            ProposerRequest::Prepare(ballot) => Message::Prepare(ballot),
+            ProposerRequest::Propose(ballot, duration) => Message::Propose(ballot, duration),
         };
-        self.say_to_voters(now, &message, out);
+        self.send_to_acceptors(now, &message, outgoing);
     }
 
-    fn ask(&mut self, now: Micros, out: &mut Out) {
+    fn request_share(&mut self, now: Micros, outgoing: &mut OutgoingMessages) {
         // Where nobody has granted lately, any voter may be the keeper.
-        let has = self.holder.ends(now).is_some();
-        self.next_ask =
-            now + if has { self.lease_config.renewal_interval } else { self.lease_config.retry_interval };
-        let message = self.holder.ask(now, self.traffic);
-        match self.keeper.filter(|_| has) {
-            Some(keeper) => self.say(now, keeper, message, out),
-            None => self.say_to_voters(now, &message, out),
+        let has_lease = self.lease_holder.lease_expires_at(now).is_some();
+        self.next_request_at = now
+            + if has_lease { self.lease_config.renewal_interval } else { self.lease_config.retry_interval };
+        let message = self.lease_holder.request_share(now, self.request_rate);
+        match self.leader_address.filter(|_| has_lease) {
+            Some(leader) => self.send(now, leader, message, outgoing),
+            None => self.send_to_acceptors(now, &message, outgoing),
         }
     }
 
     /// Says something, to itself at once.
-    fn say(&mut self, now: Micros, to: SocketAddr, message: Message, out: &mut Out) {
-        if to == self.at {
-            self.receive(now, to, message, out);
+    fn send(&mut self, now: Micros, to: SocketAddr, message: Message, outgoing: &mut OutgoingMessages) {
+        if to == self.address {
+            self.handle_message(now, to, message, outgoing);
         } else {
-            out.push((to, message));
+            outgoing.push((to, message));
         }
     }
 
-    fn say_all(&mut self, now: Micros, said: Out, out: &mut Out) {
-        for (to, message) in said {
-            self.say(now, to, message, out);
+    fn send_all(&mut self, now: Micros, messages: OutgoingMessages, outgoing: &mut OutgoingMessages) {
+        for (to, message) in messages {
+            self.send(now, to, message, outgoing);
         }
     }
 
-    fn say_to_voters(&mut self, now: Micros, message: &Message, out: &mut Out) {
-        for at in self.voters.clone() {
-            self.say(now, at, message.clone(), out);
+    fn send_to_acceptors(&mut self, now: Micros, message: &Message, outgoing: &mut OutgoingMessages) {
+        for address in self.acceptors.clone() {
+            self.send(now, address, message.clone(), outgoing);
         }
     }
 
     /// Takes a message. What makes no sense here is passed over.
-    pub fn receive(&mut self, now: Micros, from: SocketAddr, message: Message, out: &mut Out) {
+    pub fn handle_message(
+        &mut self,
+        now: Micros,
+        from: SocketAddr,
+        message: Message,
+        outgoing: &mut OutgoingMessages,
+    ) {
         match message {
             Message::Prepare(ballot) => {
-                let vote = self.seat.as_mut().and_then(|s| s.voter.prepare(now, ballot));
-                self.vote(now, from, ballot, vote, out);
+                let reply =
+                    self.election.as_mut().and_then(|election| election.acceptor.handle_prepare(now, ballot));
+                self.send_reply(now, from, ballot, reply, outgoing);
             }
-            Message::Propose(ballot, lease) => {
-                let vote = self.seat.as_mut().and_then(|s| s.voter.propose(now, ballot, lease));
-                self.vote(now, from, ballot, vote, out);
+            Message::Propose(ballot, duration) => {
+                let reply = self
+                    .election
+                    .as_mut()
+                    .and_then(|election| election.acceptor.handle_propose(now, ballot, duration));
+                self.send_reply(now, from, ballot, reply, outgoing);
             }
-            Message::Prepared { ballot, open } => {
-                let Some(voter) = self.voter(from) else { return };
-                if !open {
-                    self.wait_for_keeper(now);
+            Message::Prepared { ballot, is_lease_free } => {
+                let Some(acceptor) = self.acceptor_index(from) else { return };
+                if !is_lease_free {
+                    self.postpone_round(now);
                 }
-                let say = self.seat.as_mut().and_then(|s| s.candidate.prepared(now, voter, ballot, open));
-                if let Some(say) = say {
-                    self.tell_voters(now, say, out);
+                let proposer_request = self.election.as_mut().and_then(|election| {
+                    election.proposer.handle_prepared(now, acceptor, ballot, is_lease_free)
+                });
+                if let Some(proposer_request) = proposer_request {
+                    self.send_proposer_request(now, proposer_request, outgoing);
                 }
             }
-            Message::Accepted(ballot) => self.accepted(now, from, ballot),
-            Message::Rejected { ballot, heard } => {
-                let keeps = self.is_leader(now);
-                let soon = now + self.rng.random_range(0..self.lease_config.retry_interval / 4);
-                if let Some(seat) = &mut self.seat {
-                    seat.candidate.rejected(ballot, heard);
+            Message::Accepted(ballot) => self.handle_accepted(now, from, ballot),
+            Message::Rejected { ballot, highest_ballot } => {
+                let is_leader = self.is_leader(now);
+                let retry_at = now + self.rng.random_range(0..self.lease_config.retry_interval / 4);
+                if let Some(election) = &mut self.election {
+                    election.proposer.handle_rejected(ballot, highest_ballot);
                     // A keeper's lease runs on; it goes over the other at once.
-                    seat.next_try = if keeps { soon } else { seat.next_try };
+                    election.next_round_at = if is_leader { retry_at } else { election.next_round_at };
                 }
             }
-            Message::Ask { process, ask, traffic, applied } => {
-                let mut said = Out::new();
-                match self.keeper_now(now) {
-                    Some(keeper) => keeper.ask(now, from, process, ask, traffic, applied, &mut said),
-                    None => said.push((from, Message::Elsewhere(self.keeper.filter(|k| *k != self.at)))),
+            Message::RequestShare { incarnation, request_number, request_rate, last_applied } => {
+                let mut leader_messages = OutgoingMessages::new();
+                match self.current_leader(now) {
+                    Some(leader) => leader.handle_share_request(
+                        now,
+                        from,
+                        incarnation,
+                        request_number,
+                        request_rate,
+                        last_applied,
+                        &mut leader_messages,
+                    ),
+                    None => leader_messages.push((
+                        from,
+                        Message::Redirect(self.leader_address.filter(|leader| *leader != self.address)),
+                    )),
                 }
-                self.say_all(now, said, out);
+                self.send_all(now, leader_messages, outgoing);
             }
-            Message::Grant { process, ask, mark, part, lasts } => {
-                if process == self.holder.process() && self.holder.grant(now, ask, mark, part, lasts) {
-                    self.keeper = Some(from);
+            Message::Grant { incarnation, request_number, grant_id, quota_share, duration } => {
+                if incarnation == self.lease_holder.incarnation()
+                    && self.lease_holder.apply_grant(now, request_number, grant_id, quota_share, duration)
+                {
+                    self.leader_address = Some(from);
                     // What has shrunk is somebody else's once the keeper has heard.
-                    self.next_ask = if self.holder.shrunk() { now } else { self.next_ask };
+                    self.next_request_at =
+                        if self.lease_holder.must_report_decrease() { now } else { self.next_request_at };
                 }
             }
-            Message::Elsewhere(at) => {
-                if self.holder.ends(now).is_none() {
-                    self.keeper = at;
+            Message::Redirect(address) => {
+                if self.lease_holder.lease_expires_at(now).is_none() {
+                    self.leader_address = address;
                 }
             }
-            Message::Bye(process) => {
-                let mut said = Out::new();
-                if let Some(keeper) = self.keeper_now(now) {
-                    keeper.bye(now, process, &mut said);
+            Message::Leave(incarnation) => {
+                let mut leader_messages = OutgoingMessages::new();
+                if let Some(leader) = self.current_leader(now) {
+                    leader.handle_leave(now, incarnation, &mut leader_messages);
                 }
-                self.say_all(now, said, out);
+                self.send_all(now, leader_messages, outgoing);
             }
         }
     }
 
     /// Somebody else has the lease: trying again before it may have ended only disturbs.
-    fn wait_for_keeper(&mut self, now: Micros) {
+    fn postpone_round(&mut self, now: Micros) {
         let spread = self.rng.random_range(0..self.lease_config.renewal_interval);
-        if let Some(seat) = self.seat.as_mut().filter(|s| s.candidate.keeper_until(now).is_none()) {
-            seat.next_try = seat.next_try.max(now + self.lease_config.duration / 2 + spread);
+        if let Some(election) =
+            self.election.as_mut().filter(|election| election.proposer.leader_until(now).is_none())
+        {
+            election.next_round_at =
+                election.next_round_at.max(now + self.lease_config.duration / 2 + spread);
         }
     }
 
-    fn voter(&self, at: SocketAddr) -> Option<usize> {
-        self.voters.iter().position(|v| *v == at)
+    fn acceptor_index(&self, address: SocketAddr) -> Option<usize> {
+        self.acceptors.iter().position(|acceptor| *acceptor == address)
     }
 
-    fn vote(&mut self, now: Micros, to: SocketAddr, ballot: Ballot, vote: Option<Vote>, out: &mut Out) {
-        let message = match vote {
+    fn send_reply(
+        &mut self,
+        now: Micros,
+        to: SocketAddr,
+        ballot: Ballot,
+        reply: Option<AcceptorReply>,
+        outgoing: &mut OutgoingMessages,
+    ) {
+        let message = match reply {
             None => return,
-            Some(Vote::Prepared(open)) => Message::Prepared { ballot, open },
-            Some(Vote::Accepted) => Message::Accepted(ballot),
-            Some(Vote::Rejected(heard)) => Message::Rejected { ballot, heard },
+            Some(AcceptorReply::Prepared(is_lease_free)) => Message::Prepared { ballot, is_lease_free },
+            Some(AcceptorReply::Accepted) => Message::Accepted(ballot),
+            Some(AcceptorReply::Rejected(highest_ballot)) => Message::Rejected { ballot, highest_ballot },
         };
-        self.say(now, to, message, out);
+        self.send(now, to, message, outgoing);
     }
 
-    fn accepted(&mut self, now: Micros, from: SocketAddr, ballot: Ballot) {
-        let Some(voter) = self.voter(from) else { return };
-        let Some(seat) = &mut self.seat else { return };
-        let kept = seat.candidate.keeper_until(now).is_some();
-        if !seat.candidate.accepted(voter, ballot) {
+    fn handle_accepted(&mut self, now: Micros, from: SocketAddr, ballot: Ballot) {
+        let Some(acceptor) = self.acceptor_index(from) else { return };
+        let Some(election) = &mut self.election else { return };
+        let was_leader = election.proposer.leader_until(now).is_some();
+        if !election.proposer.handle_accepted(acceptor, ballot) {
             return;
         }
-        let Some(until) = seat.candidate.keeper_until(now) else { return };
-        match &mut seat.keeper {
-            Some(keeper) if kept => keeper.extend(until),
+        let Some(lease_expires_at) = election.proposer.leader_until(now) else { return };
+        match &mut election.leader {
+            Some(leader) if was_leader => leader.extend_lease(lease_expires_at),
             // Its term is that of the ballot that made it the keeper.
-            _ => seat.keeper = Some(Keeper::new(ballot, until, self.lease_config)),
+            _ => election.leader = Some(Leader::new(ballot, lease_expires_at, self.lease_config)),
         }
     }
 
     /// The book, while it is the keeper.
-    fn keeper_now(&mut self, now: Micros) -> Option<&mut Keeper> {
-        let seat = self.seat.as_mut()?;
-        seat.candidate.keeper_until(now)?;
-        seat.keeper.as_mut()
+    fn current_leader(&mut self, now: Micros) -> Option<&mut Leader> {
+        let election = self.election.as_mut()?;
+        election.proposer.leader_until(now)?;
+        election.leader.as_mut()
     }
 }
--- a/membership/src/keeper.rs
+++ b/membership/src/keeper.rs
@@ -4,174 +4,202 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use crate::message::{Ballot, Mark, Message};
+use crate::message::{Ballot, GrantId, Message};
 use crate::{Incarnation, LeaseConfig, Micros};
 
 /// A part is changed where it is off by more than this share of itself.
-const SLACK: f64 = 0.05;
+const MIN_RELATIVE_CHANGE: f64 = 0.05;
 /// Of a part, what is the same for all; the rest goes by traffic. One that has none yet has some when it
 /// comes.
-const EVEN: f64 = 0.5;
+const EVEN_FRACTION: f64 = 0.5;
 /// The least traffic that counts, in requests a second.
-const LEAST_TRAFFIC: f64 = 0.1;
+const MIN_REQUESTS_PER_SECOND: f64 = 0.1;
 
 #[derive(Clone, Copy, Debug)]
 struct Grant {
     number: u64,
-    part: f64,
-    ends: Micros,
+    quota_share: f64,
+    expires_at: Micros,
 }
 
 #[derive(Debug)]
 struct Member {
-    at: SocketAddr,
-    traffic: f64,
-    ask: u64,
+    address: SocketAddr,
+    request_rate: f64,
+    request_number: u64,
     /// When that was heard, and until when a grant in answer to it may last.
-    asked: Micros,
+    requested_at: Micros,
     /// Those that may still be in force, the latest last.
     grants: Vec<Grant>,
-    said: Micros,
+    last_sent_at: Micros,
 }
 
 impl Member {
-    fn latest(&self) -> f64 {
-        self.grants.last().map_or(0.0, |g| g.part)
+    fn latest_share(&self) -> f64 {
+        self.grants.last().map_or(0.0, |g| g.quota_share)
     }
 
     /// The most that it may be using.
-    fn out(&self) -> f64 {
-        self.grants.iter().map(|g| g.part).fold(0.0, f64::max)
+    fn max_share_in_use(&self) -> f64 {
+        self.grants.iter().map(|g| g.quota_share).fold(0.0, f64::max)
     }
 }
 
 /// The keeper's side.
 #[derive(Debug)]
-pub struct Keeper {
+pub struct Leader {
     lease_config: LeaseConfig,
     term: Ballot,
     /// Its own lease.
-    until: Micros,
+    lease_expires_at: Micros,
     members: BTreeMap<Incarnation, Member>,
-    number: u64,
+    last_grant_number: u64,
 }
 
 /// What is to be said to whom.
-pub type Out = Vec<(SocketAddr, Message)>;
+pub type OutgoingMessages = Vec<(SocketAddr, Message)>;
 
-impl Keeper {
+impl Leader {
     /// With nothing out: whatever another keeper has given has ended with its lease.
-    pub fn new(term: Ballot, until: Micros, lease_config: LeaseConfig) -> Self {
-        Keeper { lease_config, term, until, members: BTreeMap::new(), number: 0 }
+    pub fn new(term: Ballot, lease_expires_at: Micros, lease_config: LeaseConfig) -> Self {
+        Leader { lease_config, term, lease_expires_at, members: BTreeMap::new(), last_grant_number: 0 }
     }
 
     /// Its own lease has been renewed.
-    pub fn extend(&mut self, until: Micros) {
-        self.until = self.until.max(until);
+    pub fn extend_lease(&mut self, lease_expires_at: Micros) {
+        self.lease_expires_at = self.lease_expires_at.max(lease_expires_at);
     }
 
     /// An instance asks for its part.
     #[allow(clippy::too_many_arguments)]
-    pub fn ask(
+    pub fn handle_share_request(
         &mut self,
         now: Micros,
         from: SocketAddr,
-        process: Incarnation,
-        ask: u64,
-        traffic: f64,
-        applied: Mark,
-        out: &mut Out,
+        incarnation: Incarnation,
+        request_number: u64,
+        request_rate: f64,
+        last_applied: GrantId,
+        outgoing: &mut OutgoingMessages,
     ) {
-        self.expire(now);
-        let traffic = if traffic.is_finite() { traffic.max(LEAST_TRAFFIC) } else { LEAST_TRAFFIC };
-        let fresh = || Member { at: from, traffic, ask: 0, asked: 0, grants: Vec::new(), said: 0 };
-        let member = self.members.entry(process).or_insert_with(fresh);
-        if ask < member.ask {
+        self.expire_grants(now);
+        let request_rate = if request_rate.is_finite() {
+            request_rate.max(MIN_REQUESTS_PER_SECOND)
+        } else {
+            MIN_REQUESTS_PER_SECOND
+        };
+        let new_member = || Member {
+            address: from,
+            request_rate,
+            request_number: 0,
+            requested_at: 0,
+            grants: Vec::new(),
+            last_sent_at: 0,
+        };
+        let member = self.members.entry(incarnation).or_insert_with(new_member);
+        if request_number < member.request_number {
             return;
         }
-        (member.at, member.traffic) = (from, traffic);
-        if ask > member.ask {
-            (member.ask, member.asked) = (ask, now);
+        (member.address, member.request_rate) = (from, request_rate);
+        if request_number > member.request_number {
+            (member.request_number, member.requested_at) = (request_number, now);
         }
-        if applied.term > self.term {
+        if last_applied.term > self.term {
             // Voters that have restarted know nothing of earlier terms; their members do.
-            self.term.round = applied.term.round + 1;
+            self.term.round = last_applied.term.round + 1;
         }
-        if applied.term == self.term {
-            member.grants.retain(|g| g.number >= applied.number);
+        if last_applied.term == self.term {
+            member.grants.retain(|g| g.number >= last_applied.number);
         }
-        self.grant(now, process, out);
-        self.balance(now, out);
+        self.send_grant(now, incarnation, outgoing);
+        self.rebalance(now, outgoing);
     }
 
     /// An instance takes nothing from now on.
-    pub fn bye(&mut self, now: Micros, process: Incarnation, out: &mut Out) {
-        self.members.remove(&process);
-        self.balance(now, out);
+    pub fn handle_leave(&mut self, now: Micros, incarnation: Incarnation, outgoing: &mut OutgoingMessages) {
+        self.members.remove(&incarnation);
+        self.rebalance(now, outgoing);
     }
 
     /// Time passes: what has ended goes to the others, what was not confirmed is said again.
-    pub fn tick(&mut self, now: Micros, out: &mut Out) {
-        self.expire(now);
-        self.balance(now, out);
+    pub fn tick(&mut self, now: Micros, outgoing: &mut OutgoingMessages) {
+        self.expire_grants(now);
+        self.rebalance(now, outgoing);
     }
 
-    fn expire(&mut self, now: Micros) {
-        let gone = self.lease_config.lengthen_by_drift(self.lease_config.duration);
+    fn expire_grants(&mut self, now: Micros) {
+        let member_timeout = self.lease_config.lengthen_by_drift(self.lease_config.duration);
         self.members.retain(|_, m| {
-            m.grants.retain(|g| now < g.ends);
-            !m.grants.is_empty() || now < m.asked + gone
+            m.grants.retain(|g| now < g.expires_at);
+            !m.grants.is_empty() || now < m.requested_at + member_timeout
         });
     }
 
-    fn target(&self, member: &Member, traffic: f64) -> f64 {
-        let even = EVEN / self.members.len().max(1) as f64;
-        self.lease_config.leasable_share() * (even + (1.0 - EVEN) * member.traffic / traffic)
+    fn target_share(&self, member: &Member, total_request_rate: f64) -> f64 {
+        let even_share = EVEN_FRACTION / self.members.len().max(1) as f64;
+        self.lease_config.leasable_share()
+            * (even_share + (1.0 - EVEN_FRACTION) * member.request_rate / total_request_rate)
     }
 
-    fn traffic(&self) -> f64 {
-        self.members.values().map(|m| m.traffic).sum()
+    fn total_request_rate(&self) -> f64 {
+        self.members.values().map(|m| m.request_rate).sum()
     }
 
     /// Says what each is to have where that differs from what it was told, first of all what is to shrink.
-    fn balance(&mut self, now: Micros, out: &mut Out) {
-        let traffic = self.traffic();
-        let (mut less, mut more) = (Vec::new(), Vec::new());
-        for (process, member) in &self.members {
-            let (target, latest) = (self.target(member, traffic), member.latest());
+    fn rebalance(&mut self, now: Micros, outgoing: &mut OutgoingMessages) {
+        let total_request_rate = self.total_request_rate();
+        let (mut to_decrease, mut to_increase) = (Vec::new(), Vec::new());
+        for (incarnation, member) in &self.members {
+            let (target_share, latest_share) =
+                (self.target_share(member, total_request_rate), member.latest_share());
             let unconfirmed =
-                member.grants.len() > 1 && now >= member.said + self.lease_config.retry_interval;
-            if latest > target * (1.0 + SLACK) || (unconfirmed && latest <= target) {
-                less.push(*process);
-            } else if latest < target * (1.0 - SLACK) {
-                more.push(*process);
+                member.grants.len() > 1 && now >= member.last_sent_at + self.lease_config.retry_interval;
+            if latest_share > target_share * (1.0 + MIN_RELATIVE_CHANGE)
+                || (unconfirmed && latest_share <= target_share)
+            {
+                to_decrease.push(*incarnation);
+            } else if latest_share < target_share * (1.0 - MIN_RELATIVE_CHANGE) {
+                to_increase.push(*incarnation);
             }
         }
-        for process in less.into_iter().chain(more) {
-            self.grant(now, process, out);
+        for incarnation in to_decrease.into_iter().chain(to_increase) {
+            self.send_grant(now, incarnation, outgoing);
         }
     }
 
     /// Grants a part in answer to the last question, as large as is right and as there is room for.
-    fn grant(&mut self, now: Micros, process: Incarnation, out: &mut Out) {
-        let (traffic, all) = (self.traffic(), self.members.values().map(Member::out).sum::<f64>());
-        let Some(member) = self.members.get(&process) else { return };
-        let room = self.lease_config.leasable_share() - (all - member.out());
-        let part = self.target(member, traffic).min(room).max(0.0);
+    fn send_grant(&mut self, now: Micros, incarnation: Incarnation, outgoing: &mut OutgoingMessages) {
+        let (total_request_rate, total_in_use) =
+            (self.total_request_rate(), self.members.values().map(Member::max_share_in_use).sum::<f64>());
+        let Some(member) = self.members.get(&incarnation) else { return };
+        let available = self.lease_config.leasable_share() - (total_in_use - member.max_share_in_use());
+        let quota_share = self.target_share(member, total_request_rate).min(available).max(0.0);
         // Within its own lease, and counted from a question that was asked before it was heard.
-        let lasts = self.lease_config.duration.min(self.until.saturating_sub(member.asked));
-        let ends = member.asked + self.lease_config.lengthen_by_drift(lasts);
-        let told =
-            member.grants.last().is_some_and(|g| g.ends == ends && (g.part - part).abs() < part * SLACK);
-        if told && now < member.said + self.lease_config.retry_interval || ends <= now {
+        let duration =
+            self.lease_config.duration.min(self.lease_expires_at.saturating_sub(member.requested_at));
+        let expires_at = member.requested_at + self.lease_config.lengthen_by_drift(duration);
+        let is_current = member.grants.last().is_some_and(|g| {
+            g.expires_at == expires_at
+                && (g.quota_share - quota_share).abs() < quota_share * MIN_RELATIVE_CHANGE
+        });
+        if is_current && now < member.last_sent_at + self.lease_config.retry_interval || expires_at <= now {
             return;
         }
-        self.number += 1;
-        let (term, number) = (self.term, self.number);
-        let Some(member) = self.members.get_mut(&process) else { return };
-        member.grants.push(Grant { number, part, ends });
-        member.said = now;
-        let mark = Mark { term, number };
-        out.push((member.at, Message::Grant { process, ask: member.ask, mark, part, lasts }));
+        self.last_grant_number += 1;
+        let (term, number) = (self.term, self.last_grant_number);
+        let Some(member) = self.members.get_mut(&incarnation) else { return };
+        member.grants.push(Grant { number, quota_share, expires_at });
+        member.last_sent_at = now;
+        let grant_id = GrantId { term, number };
+        outgoing.push((
+            member.address,
+            Message::Grant {
+                incarnation,
+                request_number: member.request_number,
+                grant_id,
+                quota_share,
+                duration,
+            },
+        ));
     }
 }
--- a/membership/src/message.rs
+++ b/membership/src/message.rs
@@ -11,12 +11,12 @@
     /// Counts.
     pub round: u64,
     /// Whose try.
-    pub process: Incarnation,
+    pub incarnation: Incarnation,
 }
 
 /// What an instance has applied last: grants are numbered within a keeper's term.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Mark {
+pub struct GrantId {
     /// The keeper's.
     pub term: Ballot,
     /// Its number.
@@ -33,7 +33,7 @@
         /// Of the question.
         ballot: Ballot,
         /// Nobody else has.
-        open: bool,
+        is_lease_free: bool,
     },
     /// To a voter: I am the keeper for this long.
     Propose(Ballot, Micros),
@@ -44,34 +44,34 @@
         /// Of the question.
         ballot: Ballot,
         /// The higher one.
-        heard: Ballot,
+        highest_ballot: Ballot,
     },
     /// To a keeper, or to a voter that may be it: my part, please.
-    Ask {
+    RequestShare {
         /// Who asks.
-        process: Incarnation,
+        incarnation: Incarnation,
         /// Counts.
-        ask: u64,
+        request_number: u64,
         /// The traffic that comes to it, in requests a second.
-        traffic: f64,
+        request_rate: f64,
         /// The last grant that it has applied: none before it is in force any more.
-        applied: Mark,
+        last_applied: GrantId,
     },
     /// From a keeper: your part.
     Grant {
         /// To whom: an address may have changed hands.
-        process: Incarnation,
+        incarnation: Incarnation,
         /// Which question it answers: the lease counts from when that was asked.
-        ask: u64,
+        request_number: u64,
         /// Its place among all grants to the process.
-        mark: Mark,
+        grant_id: GrantId,
         /// The part.
-        part: f64,
+        quota_share: f64,
         /// For how long from the question on.
-        lasts: Micros,
+        duration: Micros,
     },
     /// From a voter that is no keeper: that one may be.
-    Elsewhere(Option<std::net::SocketAddr>),
+    Redirect(Option<std::net::SocketAddr>),
     /// To a keeper: I take nothing from now on.
-    Bye(Incarnation),
+    Leave(Incarnation),
 }
--- a/membership/src/service.rs
+++ b/membership/src/service.rs
@@ -19,18 +19,18 @@
 use crate::{Incarnation, LeaseConfig, Micros};
 
 /// Longer packets are never sent.
-const PACKET: usize = 1_500;
+const MAX_PACKET_BYTES: usize = 1_500;
 /// Of the keyed hash.
-const TAG: usize = 16;
+const TAG_BYTES: usize = 16;
 /// What a packet is.
-const GOSSIP: u8 = 1;
-const PARTS: u8 = 2;
+const GOSSIP_PACKET: u8 = 1;
+const QUOTA_PACKET: u8 = 2;
 /// Names the use of the key.
-const CONTEXT: &str = "frosttrail membership 1 packets";
+const KEY_CONTEXT: &str = "frosttrail membership 1 packets";
 /// Made known to the voters again, as long as nobody is there.
-const ANNOUNCE: Duration = Duration::from_secs(1);
+const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(1);
 /// Traffic is counted over this time.
-const COUNT: Duration = Duration::from_secs(2);
+const TRAFFIC_INTERVAL: Duration = Duration::from_secs(2);
 
 /// How an instance takes part.
 #[derive(Clone, Debug)]
@@ -74,15 +74,15 @@
         acceptors.sort();
         acceptors.dedup();
         // The others learn of a port that the system chose; a voter's stands in their files.
-        let reached = !self.listen.ip().is_unspecified();
+        let is_reachable = !self.listen.ip().is_unspecified();
         let checks = [
             (!acceptors.is_empty(), ConfigError::NoAcceptors),
             (acceptors.len() == self.acceptors.len(), ConfigError::DuplicateAcceptor),
             (self.key.len() >= 16, ConfigError::KeyTooShort),
             (self.lease_config.max_instances as usize >= acceptors.len(), ConfigError::TooManyAcceptors),
-            (reached, ConfigError::UnspecifiedListenAddress),
+            (is_reachable, ConfigError::UnspecifiedListenAddress),
         ];
-        checks.into_iter().find(|(fits, _)| !fits).map_or(Ok(()), |(_, error)| Err(error))
+        checks.into_iter().find(|(is_valid, _)| !is_valid).map_or(Ok(()), |(_, error)| Err(error))
     }
 }
 
@@ -114,40 +114,53 @@
     pub address: SocketAddr,
     view: watch::Receiver<MembershipView>,
     request_counter: RequestCounter,
-    leave: mpsc::Sender<oneshot::Sender<()>>,
+    leave_requests: mpsc::Sender<oneshot::Sender<()>>,
     _task: AbortOnDropHandle<()>,
 }
 
 impl Membership {
     /// Takes part from now on. `process`: drawn anew at each start.
-    pub async fn start(config: MembershipConfig, process: Incarnation, log: Logger) -> std::io::Result<Self> {
+    pub async fn start(
+        config: MembershipConfig,
+        incarnation: Incarnation,
+        log: Logger,
+    ) -> std::io::Result<Self> {
         let socket = UdpSocket::bind(config.listen).await?;
-        let at = socket.local_addr()?;
-        Ok(Membership::with_socket(socket, at, config, process, log))
+        let address = socket.local_addr()?;
+        Ok(Membership::with_socket(socket, address, config, incarnation, log))
     }
 
     /// The same on a socket that is there already.
     pub fn with_socket(
         socket: UdpSocket,
-        at: SocketAddr,
+        address: SocketAddr,
         config: MembershipConfig,
-        process: Incarnation,
+        incarnation: Incarnation,
         log: Logger,
     ) -> Self {
-        let first = MembershipView {
+        let initial_view = MembershipView {
             quota_share: config.lease_config.floor_share(),
             is_leader: false,
             peers: Arc::default(),
         };
-        let (tell, view) = watch::channel(first);
-        let (leave, leaving) = mpsc::channel(1);
+        let (view_sender, view) = watch::channel(initial_view);
+        let (leave_requests, leave_receiver) = mpsc::channel(1);
         let request_counter = RequestCounter::default();
-        let task = run(socket, at, config, process, tell, request_counter.clone(), leaving, log);
+        let task = run(
+            socket,
+            address,
+            config,
+            incarnation,
+            view_sender,
+            request_counter.clone(),
+            leave_receiver,
+            log,
+        );
         Membership {
-            address: at,
+            address,
             view,
             request_counter,
-            leave,
+            leave_requests,
             _task: AbortOnDropHandle::new(tokio::spawn(task)),
         }
     }
@@ -164,29 +177,29 @@
 
     /// Takes nothing from now on, and says so. What it had is the others' at once.
     pub async fn leave(self) {
-        let (tell, told) = oneshot::channel();
-        if self.leave.send(tell).await.is_ok() {
-            let _ = told.await;
+        let (done_sender, done) = oneshot::channel();
+        if self.leave_requests.send(done_sender).await.is_ok() {
+            let _ = done.await;
         }
     }
 }
 
-struct Post {
+struct PacketSocket {
     socket: UdpSocket,
     key: [u8; 32],
     log: Logger,
 }
 
-impl Post {
-    fn tag(&self, body: &[u8]) -> [u8; TAG] {
-        let mut tag = [0; TAG];
-        tag.copy_from_slice(&blake3::keyed_hash(&self.key, body).as_bytes()[..TAG]);
+impl PacketSocket {
+    fn tag(&self, body: &[u8]) -> [u8; TAG_BYTES] {
+        let mut tag = [0; TAG_BYTES];
+        tag.copy_from_slice(&blake3::keyed_hash(&self.key, body).as_bytes()[..TAG_BYTES]);
         tag
     }
 
     /// Sends, and does not wait: what is lost is said again.
     fn send(&self, to: SocketAddr, kind: u8, body: &[u8]) {
-        let mut packet = Vec::with_capacity(1 + body.len() + TAG);
+        let mut packet = Vec::with_capacity(1 + body.len() + TAG_BYTES);
         packet.push(kind);
         packet.extend_from_slice(body);
         let tag = self.tag(&packet);
@@ -197,56 +210,63 @@
     }
 
     /// The kind and the body of a packet that is one of ours.
-    fn open<'a>(&self, packet: &'a [u8]) -> Option<(u8, &'a [u8])> {
-        let (signed, tag) = packet.split_at_checked(packet.len().checked_sub(TAG)?)?;
-        let (kind, body) = signed.split_first()?;
+    fn verify<'a>(&self, packet: &'a [u8]) -> Option<(u8, &'a [u8])> {
+        let (authenticated, tag) = packet.split_at_checked(packet.len().checked_sub(TAG_BYTES)?)?;
+        let (kind, body) = authenticated.split_first()?;
         // Of equal length, and compared in a time that does not depend on where they differ.
-        let differs = self.tag(signed).iter().zip(tag).fold(0, |d, (a, b)| d | (a ^ b));
-        (differs == 0).then_some((*kind, body))
+        let difference = self.tag(authenticated).iter().zip(tag).fold(0, |d, (a, b)| d | (a ^ b));
+        (difference == 0).then_some((*kind, body))
     }
 }
 
 #[allow(clippy::too_many_arguments)]
 async fn run(
     socket: UdpSocket,
-    at: SocketAddr,
+    address: SocketAddr,
     config: MembershipConfig,
-    process: Incarnation,
-    tell: watch::Sender<MembershipView>,
+    incarnation: Incarnation,
+    view_sender: watch::Sender<MembershipView>,
     request_counter: RequestCounter,
-    mut leaving: mpsc::Receiver<oneshot::Sender<()>>,
+    mut leave_receiver: mpsc::Receiver<oneshot::Sender<()>>,
     log: Logger,
 ) {
     let start = Instant::now();
     let now = || start.elapsed().as_micros() as Micros;
-    let post = Post { socket, key: blake3::derive_key(CONTEXT, config.key.as_bytes()), log: log.clone() };
-    let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
-    let me = Peer {
-        address: at,
-        incarnation: process,
-        started_unix_ms: unix.as_millis() as u64,
+    let packet_socket = PacketSocket {
+        socket,
+        key: blake3::derive_key(KEY_CONTEXT, config.key.as_bytes()),
+        log: log.clone(),
+    };
+    let since_unix_epoch =
+        std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
+    let own_identity = Peer {
+        address,
+        incarnation,
+        started_unix_ms: since_unix_epoch.as_millis() as u64,
         renewals: 0,
         role: config.role,
     };
-    let most = NonZeroU32::new(config.lease_config.max_instances).unwrap_or(NonZeroU32::MIN);
-    let mut gossip = Gossip::new(me, most);
-    let mut instance = Instance::new(now(), process, at, config.acceptors.clone(), config.lease_config);
-    let (hand, mut rung) = mpsc::unbounded_channel();
-    let mut packet = vec![0; PACKET + 1];
-    let (mut wake, mut announce, mut count) = (start, start, start + COUNT);
-    let said = |said: GossipOutput| {
-        for (to, bytes) in said.packets {
-            post.send(to, GOSSIP, &bytes);
+    let max_instances = NonZeroU32::new(config.lease_config.max_instances).unwrap_or(NonZeroU32::MIN);
+    let mut gossip = Gossip::new(own_identity, max_instances);
+    let mut instance =
+        Instance::new(now(), incarnation, address, config.acceptors.clone(), config.lease_config);
+    let (timer_sender, mut timer_receiver) = mpsc::unbounded_channel();
+    let mut packet = vec![0; MAX_PACKET_BYTES + 1];
+    let (mut next_tick, mut next_announcement, mut next_traffic_sample) =
+        (start, start, start + TRAFFIC_INTERVAL);
+    let handle_gossip_output = |output: GossipOutput| {
+        for (to, bytes) in output.packets {
+            packet_socket.send(to, GOSSIP_PACKET, &bytes);
         }
-        for (after, timer) in said.timers {
-            let hand = hand.clone();
+        for (after, timer) in output.timers {
+            let timer_sender = timer_sender.clone();
             tokio::spawn(async move {
                 sleep(after).await;
-                let _ = hand.send(timer);
+                let _ = timer_sender.send(timer);
             });
         }
-        let changed = !said.changes.is_empty();
-        for change in said.changes {
+        let has_peer_changes = !output.changes.is_empty();
+        for change in output.changes {
             match change {
                 PeerChange::Up(peer) => {
                     info!(log, "an instance has come"; "at" => peer.address, "role" => ?peer.role)
@@ -256,19 +276,21 @@
                 }
             }
         }
-        changed
+        has_peer_changes
     };
     let mut peers: Arc<[Peer]> = Arc::default();
     loop {
-        let (mut out, mut changed) = (Vec::new(), false);
+        let (mut outgoing, mut has_peer_changes) = (Vec::new(), false);
         tokio::select! {
-            got = post.socket.recv_from(&mut packet) => match got {
-                Ok((length, from)) => match post.open(&packet[..length]) {
-                    Some((GOSSIP, body)) => changed = said(gossip.handle_packet(body)),
-                    Some((PARTS, body)) => {
+            received = packet_socket.socket.recv_from(&mut packet) => match received {
+                Ok((length, from)) => match packet_socket.verify(&packet[..length]) {
+                    Some((GOSSIP_PACKET, body)) => {
+                        has_peer_changes = handle_gossip_output(gossip.handle_packet(body));
+                    }
+                    Some((QUOTA_PACKET, body)) => {
                         if let Ok(message) = postcard::from_bytes::<Message>(body) {
-                            instance.receive(now(), from, message, &mut out);
-                            wake = Instant::now();
+                            instance.handle_message(now(), from, message, &mut outgoing);
+                            next_tick = Instant::now();
                         }
                     }
                     _ => debug!(log, "a packet was passed over"; "from" => from, "bytes" => length),
@@ -278,34 +300,36 @@
                     sleep(Duration::from_millis(10)).await;
                 }
             },
-            Some(timer) = rung.recv() => changed = said(gossip.handle_timer(timer)),
-            () = sleep_until(wake) => {
-                let next = instance.tick(now(), &mut out);
-                wake = start + Duration::from_micros(next.min(now() + 1_000_000));
+            Some(timer) = timer_receiver.recv() => {
+                has_peer_changes = handle_gossip_output(gossip.handle_timer(timer));
+            }
+            () = sleep_until(next_tick) => {
+                let next = instance.tick(now(), &mut outgoing);
+                next_tick = start + Duration::from_micros(next.min(now() + 1_000_000));
             }
-            () = sleep_until(announce) => {
-                announce = Instant::now() + ANNOUNCE;
+            () = sleep_until(next_announcement) => {
+                next_announcement = Instant::now() + ANNOUNCE_INTERVAL;
                 if gossip.peers().next().is_none() {
-                    for voter in config.acceptors.iter().filter(|v| **v != at) {
-                        said(gossip.announce(*voter));
+                    for acceptor in config.acceptors.iter().filter(|acceptor| **acceptor != address) {
+                        handle_gossip_output(gossip.announce(*acceptor));
                     }
                 }
             }
-            () = sleep_until(count) => {
-                count += COUNT;
+            () = sleep_until(next_traffic_sample) => {
+                next_traffic_sample += TRAFFIC_INTERVAL;
                 let requests = request_counter.0.swap(0, Ordering::Relaxed);
-                instance.traffic(requests as f64 / COUNT.as_secs_f64());
+                instance.set_request_rate(requests as f64 / TRAFFIC_INTERVAL.as_secs_f64());
             }
-            Some(done) = leaving.recv() => {
-                instance.leave(now(), &mut out);
-                said(gossip.leave());
-                deliver(&post, out);
-                let _ = done.send(());
+            Some(done_sender) = leave_receiver.recv() => {
+                instance.leave(now(), &mut outgoing);
+                handle_gossip_output(gossip.leave());
+                send_messages(&packet_socket, outgoing);
+                let _ = done_sender.send(());
                 return;
             }
         }
-        deliver(&post, out);
-        if changed {
+        send_messages(&packet_socket, outgoing);
+        if has_peer_changes {
             peers = gossip.peers().cloned().collect();
         }
         let view = MembershipView {
@@ -313,15 +337,15 @@
             is_leader: instance.is_leader(now()),
             peers: peers.clone(),
         };
-        tell.send_if_modified(|old| std::mem::replace(old, view.clone()) != view);
+        view_sender.send_if_modified(|current| std::mem::replace(current, view.clone()) != view);
     }
 }
 
-fn deliver(post: &Post, out: Vec<(SocketAddr, Message)>) {
-    for (to, message) in out {
+fn send_messages(packet_socket: &PacketSocket, outgoing: Vec<(SocketAddr, Message)>) {
+    for (to, message) in outgoing {
         match postcard::to_stdvec(&message) {
-            Ok(body) => post.send(to, PARTS, &body),
-            Err(e) => warn!(post.log, "a message can't be written"; "why" => %e),
+            Ok(body) => packet_socket.send(to, QUOTA_PACKET, &body),
+            Err(e) => warn!(packet_socket.log, "a message can't be written"; "why" => %e),
         }
     }
 }
--- a/membership/tests/model.rs
+++ b/membership/tests/model.rs
@@ -54,7 +54,7 @@
             Step::Whole => world.side = vec![false; PLACES],
             Step::Traffic(place, per_second) => {
                 if let Some(node) = world.nodes.get_mut(&place) {
-                    node.instance.traffic(f64::from(per_second));
+                    node.instance.set_request_rate(f64::from(per_second));
                 }
             }
         }
--- a/membership/tests/support/mod.rs
+++ b/membership/tests/support/mod.rs
@@ -102,7 +102,7 @@
         let local = offset + (self.now as f64 * rate) as Micros;
         let voters = (0..VOTERS).map(at).collect();
         let mut instance = Instance::new(local, process, at(place), voters, self.lease_config);
-        instance.traffic(10.0 * (1.0 + place as f64));
+        instance.set_request_rate(10.0 * (1.0 + place as f64));
         let node = Node { instance, place, rate, offset, wake: self.now, life: self.lives[place] };
         self.nodes.insert(place, node);
     }
@@ -162,7 +162,7 @@
                 let Some(node) = self.nodes.get_mut(&to) else { continue };
                 let mut out = Vec::new();
                 let local = node.local(self.now);
-                node.instance.receive(local, at(from), message, &mut out);
+                node.instance.handle_message(local, at(from), message, &mut out);
                 node.wake = self.now;
                 self.post(to, out);
             } else {
