--- a/membership/benches/settle.rs
+++ b/membership/benches/settle.rs
@@ -3,48 +3,54 @@
 #[path = "../tests/support/mod.rs"]
 mod support;
 
-use support::World;
+use support::Simulation;
 
 /// Instances with traffic alike, settled; one place is left for one that joins.
-fn site(instances: usize) -> World {
-    let mut world = World::new(1, instances + 1);
-    for place in 0..instances {
-        world.join(place);
+fn settled_simulation(instances: usize) -> Simulation {
+    let mut simulation = Simulation::new(1, instances + 1);
+    for host in 0..instances {
+        simulation.join(host);
     }
-    world.run(12_000_000);
-    world
+    simulation.advance(12_000_000);
+    simulation
 }
 
-fn part(world: &World, place: usize) -> f64 {
-    let node = &world.nodes[&place];
-    node.instance.quota_share(node.local(world.now))
+fn quota_share(simulation: &Simulation, host: usize) -> f64 {
+    let node = &simulation.nodes[&host];
+    node.instance.quota_share(node.local_time(simulation.now))
 }
 
 /// Milliseconds until it is so.
-fn until(world: &mut World, so: impl Fn(&World) -> bool) -> u64 {
-    let begin = world.now;
-    while !so(world) && world.now < begin + 60_000_000 {
-        world.run(1_000);
+fn milliseconds_until(simulation: &mut Simulation, condition: impl Fn(&Simulation) -> bool) -> u64 {
+    let started_at = simulation.now;
+    while !condition(simulation) && simulation.now < started_at + 60_000_000 {
+        simulation.advance(1_000);
     }
-    (world.now - begin) / 1_000
+    (simulation.now - started_at) / 1_000
 }
 
 fn main() {
     println!("one way 0.1 to 5.1 ms; leases of 3 s, renewed every second");
     for instances in [3, 30, 300] {
-        let mut world = site(instances);
-        let whole = world.parts();
-        world.join(instances);
-        let fair = 0.9 * 0.45 / (instances + 1) as f64;
-        let joined = until(&mut world, |w| part(w, instances) > fair);
-        let join_whole = until(&mut world, |w| w.parts() > whole * 0.98);
-        world.run(5_000_000);
-        let before = part(&world, 1);
-        world.kill(instances);
-        let killed = until(&mut world, |w| w.parts() > whole * 0.98 && part(w, 1) > before);
+        let mut simulation = settled_simulation(instances);
+        let total_share = simulation.total_share();
+        simulation.join(instances);
+        let min_joined_share = 0.9 * 0.45 / (instances + 1) as f64;
+        let join_ms = milliseconds_until(&mut simulation, |simulation| {
+            quota_share(simulation, instances) > min_joined_share
+        });
+        let settle_ms =
+            milliseconds_until(&mut simulation, |simulation| simulation.total_share() > total_share * 0.98);
+        simulation.advance(5_000_000);
+        let share_before_kill = quota_share(&simulation, 1);
+        simulation.kill(instances);
+        let recovery_ms = milliseconds_until(&mut simulation, |simulation| {
+            simulation.total_share() > total_share * 0.98 && quota_share(simulation, 1) > share_before_kill
+        });
         println!(
-            "{instances} instances: {whole:.3} of the whole in use; a join has nine tenths of an even half \
-             after {joined} ms (all settled {join_whole} ms later), a kill is made up for after {killed} ms"
+            "{instances} instances: {total_share:.3} of the whole in use; a join has nine tenths of an even \
+             half after {join_ms} ms (all settled {settle_ms} ms later), a kill is made up for \
+             after {recovery_ms} ms"
         );
     }
 }
--- a/membership/tests/loopback.rs
+++ b/membership/tests/loopback.rs
@@ -9,13 +9,13 @@
 use tokio::net::UdpSocket;
 use tokio::time::{sleep, timeout};
 
-const LATEST: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn log() -> slog::Logger {
     slog::Logger::root(slog::Discard, slog::o!())
 }
 
-fn any() -> SocketAddr {
+fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
@@ -30,106 +30,114 @@
     }
 }
 
-struct Site {
-    voters: Vec<SocketAddr>,
-    here: Vec<Membership>,
-    next: u64,
+struct Cluster {
+    acceptors: Vec<SocketAddr>,
+    instances: Vec<Membership>,
+    next_incarnation: u64,
 }
 
-impl Site {
+impl Cluster {
     async fn start() -> Self {
         let mut sockets = Vec::new();
         for _ in 0..3 {
-            sockets.push(UdpSocket::bind(any()).await.unwrap());
+            sockets.push(UdpSocket::bind(any_port()).await.unwrap());
         }
-        let voters: Vec<SocketAddr> = sockets.iter().map(|s| s.local_addr().unwrap()).collect();
-        let mut site = Site { voters, here: Vec::new(), next: 1 };
+        let acceptors: Vec<SocketAddr> = sockets.iter().map(|socket| socket.local_addr().unwrap()).collect();
+        let mut cluster = Cluster { acceptors, instances: Vec::new(), next_incarnation: 1 };
         for socket in sockets {
-            site.on(socket, Role::Daemon, "key");
+            cluster.start_instance(socket, Role::Daemon, "key");
         }
-        site
+        cluster
     }
 
-    fn on(&mut self, socket: UdpSocket, role: Role, key: &str) {
-        let at = socket.local_addr().unwrap();
+    fn start_instance(&mut self, socket: UdpSocket, role: Role, key: &str) {
+        let address = socket.local_addr().unwrap();
         let config = MembershipConfig {
-            listen: at,
-            acceptors: self.voters.clone(),
+            listen: address,
+            acceptors: self.acceptors.clone(),
             key: key.into(),
             role,
             lease_config: lease_config(),
         };
-        self.here.push(Membership::with_socket(socket, at, config, self.next, log()));
-        self.next += 1;
+        self.instances.push(Membership::with_socket(socket, address, config, self.next_incarnation, log()));
+        self.next_incarnation += 1;
     }
 
-    async fn plugin(&mut self, key: &str) {
-        let socket = UdpSocket::bind(any()).await.unwrap();
-        self.on(socket, Role::Plugin, key);
+    async fn start_plugin(&mut self, key: &str) {
+        let socket = UdpSocket::bind(any_port()).await.unwrap();
+        self.start_instance(socket, Role::Plugin, key);
     }
 
-    fn parts(&self) -> Vec<f64> {
-        self.here.iter().map(|m| m.view().borrow().quota_share).collect()
+    fn quota_shares(&self) -> Vec<f64> {
+        self.instances.iter().map(|instance| instance.view().borrow().quota_share).collect()
     }
 
     /// Waits until it is so; all the while the parts are at most the whole.
-    async fn until(&self, so: impl Fn(&Site) -> bool) {
-        let wait = async {
-            while !so(self) {
+    async fn wait_until(&self, condition: impl Fn(&Cluster) -> bool) {
+        let polling = async {
+            while !condition(self) {
                 // Read one after another: a reading is of one moment, as no task runs between.
-                let sum: f64 = self.parts().iter().sum();
-                assert!(sum <= 1.0 + 1e-9, "all parts together are {sum}");
+                let total_share: f64 = self.quota_shares().iter().sum();
+                assert!(total_share <= 1.0 + 1e-9, "all parts together are {total_share}");
                 sleep(Duration::from_millis(5)).await;
             }
         };
-        timeout(LATEST, wait).await.expect("it never comes to that");
+        timeout(TIMEOUT, polling).await.expect("it never comes to that");
     }
 }
 
 #[tokio::test]
-async fn instances_find_each_other_share_the_whole_and_take_over_from_what_has_gone() {
-    let mut site = Site::start().await;
-    let all = |s: &Site| s.parts().iter().sum::<f64>() > 0.9;
-    site.until(all).await;
+async fn instances_discover_each_other_and_take_over_the_shares_of_departed_ones() {
+    let mut cluster = Cluster::start().await;
+    let uses_whole_quota = |cluster: &Cluster| cluster.quota_shares().iter().sum::<f64>() > 0.9;
+    cluster.wait_until(uses_whole_quota).await;
     for _ in 0..2 {
-        site.plugin("key").await;
+        cluster.start_plugin("key").await;
     }
-    let even = |s: &Site| s.parts().iter().all(|p| *p > 0.12);
-    site.until(even).await;
-    let peers = |s: &Site| s.here.iter().all(|m| m.view().borrow().peers.len() + 1 == s.here.len());
-    site.until(peers).await;
-    let plugins = site.here[0].view().borrow().peers.iter().filter(|p| p.role == Role::Plugin).count();
+    let has_even_shares = |cluster: &Cluster| cluster.quota_shares().iter().all(|share| *share > 0.12);
+    cluster.wait_until(has_even_shares).await;
+    let knows_all_peers = |cluster: &Cluster| {
+        cluster
+            .instances
+            .iter()
+            .all(|instance| instance.view().borrow().peers.len() + 1 == cluster.instances.len())
+    };
+    cluster.wait_until(knows_all_peers).await;
+    let plugins =
+        cluster.instances[0].view().borrow().peers.iter().filter(|peer| peer.role == Role::Plugin).count();
     assert_eq!(plugins, 2);
     // One leaves, one is killed.
-    site.here.pop().unwrap().leave().await;
-    site.until(all).await;
-    drop(site.here.pop());
-    site.until(all).await;
-    site.until(|s| s.here[0].view().borrow().peers.len() == 2).await;
+    cluster.instances.pop().unwrap().leave().await;
+    cluster.wait_until(uses_whole_quota).await;
+    drop(cluster.instances.pop());
+    cluster.wait_until(uses_whole_quota).await;
+    cluster.wait_until(|cluster| cluster.instances[0].view().borrow().peers.len() == 2).await;
     // The keeper is killed: another takes its place.
-    let keeper = site.here.iter().position(|m| m.view().borrow().is_leader).unwrap();
-    drop(site.here.remove(keeper));
-    site.until(|s| s.here.iter().any(|m| m.view().borrow().is_leader)).await;
-    site.until(all).await;
+    let leader = cluster.instances.iter().position(|instance| instance.view().borrow().is_leader).unwrap();
+    drop(cluster.instances.remove(leader));
+    cluster
+        .wait_until(|cluster| cluster.instances.iter().any(|instance| instance.view().borrow().is_leader))
+        .await;
+    cluster.wait_until(uses_whole_quota).await;
 }
 
 #[tokio::test]
-async fn who_does_not_know_the_key_gets_its_floor_and_noise_gets_nothing() {
-    let mut site = Site::start().await;
-    site.plugin("another").await;
-    let noise = UdpSocket::bind(any()).await.unwrap();
-    site.until(|s| s.parts()[..3].iter().sum::<f64>() > 0.85).await;
+async fn an_instance_with_another_key_keeps_only_its_floor_and_noise_is_ignored() {
+    let mut cluster = Cluster::start().await;
+    cluster.start_plugin("another").await;
+    let noise = UdpSocket::bind(any_port()).await.unwrap();
+    cluster.wait_until(|cluster| cluster.quota_shares()[..3].iter().sum::<f64>() > 0.85).await;
     for length in [0, 1, 16, 17, 18, 400, 1_400] {
         for first in [0, 1, 2, 255] {
             let mut packet = vec![7; length];
             packet.iter_mut().take(1).for_each(|b| *b = first);
-            for to in &site.voters {
+            for to in &cluster.acceptors {
                 noise.send_to(&packet, to).await.unwrap();
             }
         }
     }
     sleep(Duration::from_millis(300)).await;
-    site.until(|s| s.parts()[..3].iter().sum::<f64>() > 0.85).await;
-    assert_eq!(site.parts()[3], lease_config().floor_share());
-    assert!(site.here[3].view().borrow().peers.is_empty());
+    cluster.wait_until(|cluster| cluster.quota_shares()[..3].iter().sum::<f64>() > 0.85).await;
+    assert_eq!(cluster.quota_shares()[3], lease_config().floor_share());
+    assert!(cluster.instances[3].view().borrow().peers.is_empty());
 }
--- a/membership/tests/model.rs
+++ b/membership/tests/model.rs
@@ -8,180 +8,192 @@
 use support::*;
 
 /// Places at which an instance may run.
-const PLACES: usize = 8;
+const HOSTS: usize = 8;
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Join(usize),
     Leave(usize),
     Kill(usize),
-    Run(u16),
-    Loss(u32),
-    Delay(u16),
-    Cut(u8),
-    Whole,
-    Traffic(usize, u8),
+    Advance(u16),
+    SetLoss(u32),
+    SetDelay(u16),
+    Partition(u8),
+    HealPartition,
+    SetRequestRate(usize, u8),
 }
 
 impl Arbitrary for Step {
     fn arbitrary(g: &mut Gen) -> Self {
-        let place = usize::arbitrary(g) % PLACES;
+        let host = usize::arbitrary(g) % HOSTS;
         match u8::arbitrary(g) % 24 {
-            0..=6 => Step::Join(place),
-            7 => Step::Leave(place),
-            8..=9 => Step::Kill(place),
-            10..=17 => Step::Run(u16::arbitrary(g) % 4_000),
-            18 => Step::Loss(u32::arbitrary(g) % 60),
-            19 => Step::Delay(u16::arbitrary(g) % 2_000),
-            20..=21 => Step::Cut(u8::arbitrary(g)),
-            22 => Step::Whole,
-            _ => Step::Traffic(place, u8::arbitrary(g)),
+            0..=6 => Step::Join(host),
+            7 => Step::Leave(host),
+            8..=9 => Step::Kill(host),
+            10..=17 => Step::Advance(u16::arbitrary(g) % 4_000),
+            18 => Step::SetLoss(u32::arbitrary(g) % 60),
+            19 => Step::SetDelay(u16::arbitrary(g) % 2_000),
+            20..=21 => Step::Partition(u8::arbitrary(g)),
+            22 => Step::HealPartition,
+            _ => Step::SetRequestRate(host, u8::arbitrary(g)),
         }
     }
 }
 
-fn run(seed: u64, steps: Vec<Step>) {
-    let mut world = World::new(seed, PLACES);
+fn check_history(seed: u64, steps: Vec<Step>) {
+    let mut simulation = Simulation::new(seed, HOSTS);
     for step in steps {
         match step {
-            Step::Join(place) => world.join(place),
-            Step::Leave(place) => world.leave(place),
-            Step::Kill(place) => world.kill(place),
-            Step::Run(ms) => world.run(u64::from(ms) * 1_000),
-            Step::Loss(percent) => world.loss = percent,
-            Step::Delay(ms) => world.delay = u64::from(ms) * 1_000,
-            Step::Cut(sides) => world.side = (0..PLACES).map(|p| (sides >> p) & 1 == 1).collect(),
-            Step::Whole => world.side = vec![false; PLACES],
-            Step::Traffic(place, per_second) => {
-                if let Some(node) = world.nodes.get_mut(&place) {
+            Step::Join(host) => simulation.join(host),
+            Step::Leave(host) => simulation.leave(host),
+            Step::Kill(host) => simulation.kill(host),
+            Step::Advance(ms) => simulation.advance(u64::from(ms) * 1_000),
+            Step::SetLoss(percent) => simulation.loss_percent = percent,
+            Step::SetDelay(ms) => simulation.max_delay = u64::from(ms) * 1_000,
+            Step::Partition(sides) => {
+                simulation.partition_side = (0..HOSTS).map(|host| (sides >> host) & 1 == 1).collect()
+            }
+            Step::HealPartition => simulation.partition_side = vec![false; HOSTS],
+            Step::SetRequestRate(host, per_second) => {
+                if let Some(node) = simulation.nodes.get_mut(&host) {
                     node.instance.set_request_rate(f64::from(per_second));
                 }
             }
         }
-        world.check();
+        simulation.check_total_share();
     }
     // Quiet, and a majority of voters is there: each gets what it should.
-    (world.loss, world.delay, world.side) = (0, 5_000, vec![false; PLACES]);
-    world.join(0);
-    world.join(1);
-    world.run(15_000_000);
-    assert_eq!(world.keepers(), 1);
-    let parts = world.parts();
-    assert!(parts > 0.82, "only {parts} of it is used");
-    for node in world.nodes.values() {
-        let part = node.instance.quota_share(node.local(world.now));
-        let least = 0.4 * 0.9 / world.nodes.len() as f64;
-        assert!(part > least, "{} of life {} has {part}", node.place, node.life);
+    (simulation.loss_percent, simulation.max_delay, simulation.partition_side) =
+        (0, 5_000, vec![false; HOSTS]);
+    simulation.join(0);
+    simulation.join(1);
+    simulation.advance(15_000_000);
+    assert_eq!(simulation.leader_count(), 1);
+    let total_share = simulation.total_share();
+    assert!(total_share > 0.82, "only {total_share} of it is used");
+    for node in simulation.nodes.values() {
+        let share = node.instance.quota_share(node.local_time(simulation.now));
+        let min_share = 0.4 * 0.9 / simulation.nodes.len() as f64;
+        assert!(share > min_share, "{} of life {} has {share}", node.host, node.start_count);
     }
 }
 
 #[test]
-fn parts_never_add_up_to_more_than_one_and_settle_once_it_is_quiet() {
+fn shares_never_exceed_the_quota_and_converge_after_faults_end() {
     let mut histories = QuickCheck::new().rng(Gen::from_size_and_seed(60, 21)).tests(400);
-    histories.quickcheck(run as fn(u64, Vec<Step>));
+    histories.quickcheck(check_history as fn(u64, Vec<Step>));
 }
 
 #[test]
-fn a_voter_that_has_restarted_does_not_help_a_second_keeper_into_place() {
+fn a_restarted_acceptor_does_not_help_elect_a_second_leader() {
     for seed in 0..20 {
-        let mut world = World::new(seed, PLACES);
-        for place in [0, 1, 2, 5] {
-            world.join(place);
+        let mut simulation = Simulation::new(seed, HOSTS);
+        for host in [0, 1, 2, 5] {
+            simulation.join(host);
         }
-        world.run(8_000_000);
-        let keeper = (0..VOTERS).find(|p| world.nodes[p].instance.is_leader(world.nodes[p].local(world.now)));
-        let keeper = keeper.unwrap();
+        simulation.advance(8_000_000);
+        let leader = (0..ACCEPTORS).find(|host| {
+            simulation.nodes[host].instance.is_leader(simulation.nodes[host].local_time(simulation.now))
+        });
+        let leader = leader.unwrap();
         // The keeper and one instance on one side; the other voters, one of them new, on the other.
-        world.kill((keeper + 1) % VOTERS);
-        world.join((keeper + 1) % VOTERS);
-        world.side[keeper] = true;
-        world.side[5] = true;
-        world.run(12_000_000);
-        assert_eq!(world.keepers(), 1);
+        simulation.kill((leader + 1) % ACCEPTORS);
+        simulation.join((leader + 1) % ACCEPTORS);
+        simulation.partition_side[leader] = true;
+        simulation.partition_side[5] = true;
+        simulation.advance(12_000_000);
+        assert_eq!(simulation.leader_count(), 1);
     }
 }
 
-fn settled(places: &[usize]) -> World {
-    let mut world = World::new(3, PLACES);
-    for place in places {
-        world.join(*place);
+fn settled_simulation(hosts: &[usize]) -> Simulation {
+    let mut simulation = Simulation::new(3, HOSTS);
+    for host in hosts {
+        simulation.join(*host);
     }
-    world.run(8_000_000);
-    assert_eq!(world.keepers(), 1);
-    assert!(world.parts() > 0.9, "{}", world.parts());
-    world
+    simulation.advance(8_000_000);
+    assert_eq!(simulation.leader_count(), 1);
+    assert!(simulation.total_share() > 0.9, "{}", simulation.total_share());
+    simulation
 }
 
-fn part(world: &World, place: usize) -> f64 {
-    let node = &world.nodes[&place];
-    node.instance.quota_share(node.local(world.now))
+fn quota_share(simulation: &Simulation, host: usize) -> f64 {
+    let node = &simulation.nodes[&host];
+    node.instance.quota_share(node.local_time(simulation.now))
 }
 
 #[test]
-fn a_join_is_felt_by_the_others_before_it_has_more_than_its_floor() {
-    let mut world = settled(&[0, 1, 2]);
-    let floor = world.lease_config.floor_share();
-    world.join(5);
-    assert_eq!(part(&world, 5), floor);
-    let others = [0, 1, 2].map(|p| part(&world, p));
-    while part(&world, 5) <= floor {
-        world.run(1_000);
+fn a_joining_instance_exceeds_its_floor_only_after_another_share_decreases() {
+    let mut simulation = settled_simulation(&[0, 1, 2]);
+    let floor_share = simulation.lease_config.floor_share();
+    simulation.join(5);
+    assert_eq!(quota_share(&simulation, 5), floor_share);
+    let shares_before = [0, 1, 2].map(|host| quota_share(&simulation, host));
+    while quota_share(&simulation, 5) <= floor_share {
+        simulation.advance(1_000);
     }
-    let less = [0, 1, 2].map(|p| part(&world, p));
-    assert!(less.iter().zip(others).any(|(l, o)| *l < o));
-    world.run(1_000_000);
-    assert!(part(&world, 5) > 0.2, "{}", part(&world, 5));
+    let shares_after = [0, 1, 2].map(|host| quota_share(&simulation, host));
+    assert!(shares_after.iter().zip(shares_before).any(|(after, before)| *after < before));
+    simulation.advance(1_000_000);
+    assert!(quota_share(&simulation, 5) > 0.2, "{}", quota_share(&simulation, 5));
 }
 
 #[test]
-fn neither_side_of_a_partition_takes_the_whole() {
-    let mut world = settled(&[0, 1, 2, 3, 4, 5]);
+fn neither_side_of_a_partition_takes_the_whole_quota() {
+    let mut simulation = settled_simulation(&[0, 1, 2, 3, 4, 5]);
     // Place 2, a voter, and two without a vote are cut off.
-    world.side = vec![false, false, true, false, true, true, false, false];
-    world.run(10_000_000);
-    let floor = world.lease_config.floor_share();
-    for place in [2, 4, 5] {
-        assert_eq!(part(&world, place), floor, "on the side with fewer voters");
+    simulation.partition_side = vec![false, false, true, false, true, true, false, false];
+    simulation.advance(10_000_000);
+    let floor_share = simulation.lease_config.floor_share();
+    for host in [2, 4, 5] {
+        assert_eq!(quota_share(&simulation, host), floor_share, "on the side with fewer voters");
     }
-    assert!([0, 1, 3].iter().map(|p| part(&world, *p)).sum::<f64>() > 0.85);
-    world.side = vec![false; PLACES];
-    world.run(3_000_000);
-    assert!(part(&world, 4) > 0.1 && world.keepers() == 1);
+    assert!([0, 1, 3].iter().map(|host| quota_share(&simulation, *host)).sum::<f64>() > 0.85);
+    simulation.partition_side = vec![false; HOSTS];
+    simulation.advance(3_000_000);
+    assert!(quota_share(&simulation, 4) > 0.1 && simulation.leader_count() == 1);
 }
 
 #[test]
-fn what_leaves_gives_back_at_once_and_what_is_killed_after_a_lease() {
-    let mut world = settled(&[0, 1, 2, 3, 6, 7]);
-    let before = part(&world, 6);
-    world.leave(7);
-    world.run(1_000_000);
-    let after = part(&world, 6);
+fn a_leaving_instance_frees_its_share_at_once_and_a_killed_one_after_its_lease() {
+    let mut simulation = settled_simulation(&[0, 1, 2, 3, 6, 7]);
+    let before = quota_share(&simulation, 6);
+    simulation.leave(7);
+    simulation.advance(1_000_000);
+    let after = quota_share(&simulation, 6);
     assert!(after > before * 1.2, "{before} {after}");
-    world.kill(3);
-    world.run(2_000_000);
-    world.run(2_500_000);
-    assert!(part(&world, 6) > after * 1.15 && world.parts() > 0.85, "{} {}", part(&world, 6), world.parts());
+    simulation.kill(3);
+    simulation.advance(2_000_000);
+    simulation.advance(2_500_000);
+    assert!(
+        quota_share(&simulation, 6) > after * 1.15 && simulation.total_share() > 0.85,
+        "{} {}",
+        quota_share(&simulation, 6),
+        simulation.total_share()
+    );
 }
 
 #[test]
-fn a_keeper_that_is_killed_is_followed_by_another_and_never_by_two() {
-    let mut world = settled(&[0, 1, 2, 3]);
-    let keeper = (0..VOTERS).find(|p| world.nodes[p].instance.is_leader(world.nodes[p].local(world.now)));
-    world.kill(keeper.unwrap());
-    let mut most = 0;
+fn a_killed_leader_is_replaced_by_exactly_one_leader() {
+    let mut simulation = settled_simulation(&[0, 1, 2, 3]);
+    let leader = (0..ACCEPTORS).find(|host| {
+        simulation.nodes[host].instance.is_leader(simulation.nodes[host].local_time(simulation.now))
+    });
+    simulation.kill(leader.unwrap());
+    let mut max_leaders = 0;
     for _ in 0..800 {
-        world.run(10_000);
-        most = most.max(world.keepers());
+        simulation.advance(10_000);
+        max_leaders = max_leaders.max(simulation.leader_count());
     }
-    assert_eq!((most, world.keepers()), (1, 1));
-    assert!(world.parts() > 0.85);
+    assert_eq!((max_leaders, simulation.leader_count()), (1, 1));
+    assert!(simulation.total_share() > 0.85);
     // All voters at once: nobody grants anything that might still be out.
-    for place in 0..VOTERS {
-        world.kill(place);
+    for host in 0..ACCEPTORS {
+        simulation.kill(host);
     }
-    for place in 0..VOTERS {
-        world.join(place);
+    for host in 0..ACCEPTORS {
+        simulation.join(host);
     }
-    world.run(9_000_000);
-    assert!(world.parts() > 0.85, "{}", world.parts());
+    simulation.advance(9_000_000);
+    assert!(simulation.total_share() > 0.85, "{}", simulation.total_share());
 }
--- a/membership/tests/support/mod.rs
+++ b/membership/tests/support/mod.rs
@@ -12,173 +12,183 @@
 use rand::{Rng, SeedableRng};
 
 /// The first so many places vote.
-pub const VOTERS: usize = 3;
+pub const ACCEPTORS: usize = 3;
 
 pub struct Node {
     pub instance: Instance,
-    pub place: usize,
+    pub host: usize,
     /// Its clock against the true one.
-    rate: f64,
-    offset: Micros,
-    wake: Micros,
+    clock_rate: f64,
+    clock_offset: Micros,
+    wake_at: Micros,
     /// So many have run at its place before.
-    pub life: u32,
+    pub start_count: u32,
 }
 
 impl Node {
-    pub fn local(&self, now: Micros) -> Micros {
-        self.offset + (now as f64 * self.rate) as Micros
+    pub fn local_time(&self, now: Micros) -> Micros {
+        self.clock_offset + (now as f64 * self.clock_rate) as Micros
     }
 }
 
-/// In flight: when it arrives, its place in the order, from, to, what.
-struct Letter(Micros, u64, usize, usize, Message);
+/// In flight: when it arrives_at, its place in the order, from, to, what.
+struct InFlightMessage(Micros, u64, usize, usize, Message);
 
-impl PartialEq for Letter {
+impl PartialEq for InFlightMessage {
     fn eq(&self, other: &Self) -> bool {
         (self.0, self.1) == (other.0, other.1)
     }
 }
 
-impl Eq for Letter {}
+impl Eq for InFlightMessage {}
 
-impl PartialOrd for Letter {
+impl PartialOrd for InFlightMessage {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Letter {
+impl Ord for InFlightMessage {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         (other.0, other.1).cmp(&(self.0, self.1))
     }
 }
 
-pub struct World {
+pub struct Simulation {
     pub now: Micros,
     pub lease_config: LeaseConfig,
     pub nodes: BTreeMap<usize, Node>,
-    letters: BinaryHeap<Letter>,
-    serial: u64,
+    in_flight: BinaryHeap<InFlightMessage>,
+    last_sequence: u64,
     rng: SmallRng,
     /// Lost, in percent.
-    pub loss: u32,
-    pub delay: Micros,
+    pub loss_percent: u32,
+    pub max_delay: Micros,
     /// Which side of a cut each place is on.
-    pub side: Vec<bool>,
-    lives: Vec<u32>,
-    most: f64,
+    pub partition_side: Vec<bool>,
+    start_counts: Vec<u32>,
+    max_total_share: f64,
 }
 
-pub fn at(place: usize) -> SocketAddr {
-    SocketAddr::from(([10, 0, (place / 250) as u8, (place % 250) as u8 + 1], 7946))
+pub fn host_address(host: usize) -> SocketAddr {
+    SocketAddr::from(([10, 0, (host / 250) as u8, (host % 250) as u8 + 1], 7946))
 }
 
-impl World {
-    pub fn new(seed: u64, places: usize) -> Self {
-        World {
+impl Simulation {
+    pub fn new(seed: u64, hosts: usize) -> Self {
+        Simulation {
             now: 1_000_000,
-            lease_config: LeaseConfig { max_instances: places as u32, ..LeaseConfig::default() },
+            lease_config: LeaseConfig { max_instances: hosts as u32, ..LeaseConfig::default() },
             nodes: BTreeMap::new(),
-            letters: BinaryHeap::new(),
-            serial: 0,
+            in_flight: BinaryHeap::new(),
+            last_sequence: 0,
             rng: SmallRng::seed_from_u64(seed),
-            loss: 0,
-            delay: 5_000,
-            side: vec![false; places],
-            lives: vec![0; places],
-            most: 0.0,
+            loss_percent: 0,
+            max_delay: 5_000,
+            partition_side: vec![false; hosts],
+            start_counts: vec![0; hosts],
+            max_total_share: 0.0,
         }
     }
 
-    pub fn join(&mut self, place: usize) {
-        if self.nodes.contains_key(&place) {
+    pub fn join(&mut self, host: usize) {
+        if self.nodes.contains_key(&host) {
             return;
         }
-        self.lives[place] += 1;
-        let rate = 1.0 + self.rng.random_range(-0.004..0.004);
-        let offset = self.rng.random_range(0..1_000_000_000);
-        let process = place as u64 * 1_000 + u64::from(self.lives[place]);
-        let local = offset + (self.now as f64 * rate) as Micros;
-        let voters = (0..VOTERS).map(at).collect();
-        let mut instance = Instance::new(local, process, at(place), voters, self.lease_config);
-        instance.set_request_rate(10.0 * (1.0 + place as f64));
-        let node = Node { instance, place, rate, offset, wake: self.now, life: self.lives[place] };
-        self.nodes.insert(place, node);
+        self.start_counts[host] += 1;
+        let clock_rate = 1.0 + self.rng.random_range(-0.004..0.004);
+        let clock_offset = self.rng.random_range(0..1_000_000_000);
+        let incarnation = host as u64 * 1_000 + u64::from(self.start_counts[host]);
+        let local = clock_offset + (self.now as f64 * clock_rate) as Micros;
+        let acceptors = (0..ACCEPTORS).map(host_address).collect();
+        let mut instance =
+            Instance::new(local, incarnation, host_address(host), acceptors, self.lease_config);
+        instance.set_request_rate(10.0 * (1.0 + host as f64));
+        let node = Node {
+            instance,
+            host,
+            clock_rate,
+            clock_offset,
+            wake_at: self.now,
+            start_count: self.start_counts[host],
+        };
+        self.nodes.insert(host, node);
     }
 
-    pub fn kill(&mut self, place: usize) {
-        self.nodes.remove(&place);
+    pub fn kill(&mut self, host: usize) {
+        self.nodes.remove(&host);
     }
 
-    pub fn leave(&mut self, place: usize) {
-        let Some(mut node) = self.nodes.remove(&place) else { return };
-        let mut out = Vec::new();
-        let local = node.local(self.now);
-        node.instance.leave(local, &mut out);
+    pub fn leave(&mut self, host: usize) {
+        let Some(mut node) = self.nodes.remove(&host) else { return };
+        let mut outgoing = Vec::new();
+        let local = node.local_time(self.now);
+        node.instance.leave(local, &mut outgoing);
         assert_eq!(node.instance.quota_share(local), 0.0);
-        self.post(place, out);
+        self.send_messages(host, outgoing);
     }
 
-    fn post(&mut self, from: usize, out: Vec<(SocketAddr, Message)>) {
-        for (to, message) in out {
-            let Some(to) = (0..self.side.len()).find(|p| at(*p) == to) else { continue };
-            if self.rng.random_range(0..100) < self.loss {
+    fn send_messages(&mut self, from: usize, outgoing: Vec<(SocketAddr, Message)>) {
+        for (to, message) in outgoing {
+            let Some(to) = (0..self.partition_side.len()).find(|host| host_address(*host) == to) else {
+                continue;
+            };
+            if self.rng.random_range(0..100) < self.loss_percent {
                 continue;
             }
-            let arrives = self.now + 100 + self.rng.random_range(0..=self.delay);
-            self.serial += 1;
-            self.letters.push(Letter(arrives, self.serial, from, to, message));
+            let arrives_at = self.now + 100 + self.rng.random_range(0..=self.max_delay);
+            self.last_sequence += 1;
+            self.in_flight.push(InFlightMessage(arrives_at, self.last_sequence, from, to, message));
         }
     }
 
-    pub fn parts(&self) -> f64 {
-        self.nodes.values().map(|n| n.instance.quota_share(n.local(self.now))).sum()
+    pub fn total_share(&self) -> f64 {
+        self.nodes.values().map(|n| n.instance.quota_share(n.local_time(self.now))).sum()
     }
 
-    pub fn check(&mut self) {
-        let parts = self.parts();
-        self.most = self.most.max(parts);
-        assert!(parts <= 1.0 + 1e-9, "all parts together are {parts} at {}", self.now);
+    pub fn check_total_share(&mut self) {
+        let total_share = self.total_share();
+        self.max_total_share = self.max_total_share.max(total_share);
+        assert!(total_share <= 1.0 + 1e-9, "all parts together are {total_share} at {}", self.now);
     }
 
-    pub fn run(&mut self, time: Micros) {
-        let end = self.now + time;
+    pub fn advance(&mut self, duration: Micros) {
+        let end = self.now + duration;
         loop {
-            let wake = self.nodes.values().map(|n| n.wake).min().unwrap_or(Micros::MAX);
-            let letter = self.letters.peek().map_or(Micros::MAX, |l| l.0);
-            let next = wake.min(letter);
+            let wake_at = self.nodes.values().map(|n| n.wake_at).min().unwrap_or(Micros::MAX);
+            let next_arrival = self.in_flight.peek().map_or(Micros::MAX, |message| message.0);
+            let next = wake_at.min(next_arrival);
             // Just before something happens is when leases that were thought ended would show.
             self.now = next.min(end).max(self.now);
-            self.check();
+            self.check_total_share();
             if next > end {
                 return;
             }
-            if letter <= wake {
-                let Some(Letter(_, _, from, to, message)) = self.letters.pop() else { return };
-                if self.side[from] != self.side[to] {
+            if next_arrival <= wake_at {
+                let Some(InFlightMessage(_, _, from, to, message)) = self.in_flight.pop() else { return };
+                if self.partition_side[from] != self.partition_side[to] {
                     continue;
                 }
                 let Some(node) = self.nodes.get_mut(&to) else { continue };
-                let mut out = Vec::new();
-                let local = node.local(self.now);
-                node.instance.handle_message(local, at(from), message, &mut out);
-                node.wake = self.now;
-                self.post(to, out);
+                let mut outgoing = Vec::new();
+                let local = node.local_time(self.now);
+                node.instance.handle_message(local, host_address(from), message, &mut outgoing);
+                node.wake_at = self.now;
+                self.send_messages(to, outgoing);
             } else {
-                let Some(node) = self.nodes.values_mut().min_by_key(|n| (n.wake, n.place)) else { return };
-                let (place, mut out) = (node.place, Vec::new());
-                let local = node.local(self.now);
-                let next = node.instance.tick(local, &mut out);
-                let ahead = ((next - local) as f64 / node.rate) as Micros + 1;
-                node.wake = self.now + ahead.min(1_000_000);
-                self.post(place, out);
+                let Some(node) = self.nodes.values_mut().min_by_key(|n| (n.wake_at, n.host)) else { return };
+                let (host, mut outgoing) = (node.host, Vec::new());
+                let local = node.local_time(self.now);
+                let next = node.instance.tick(local, &mut outgoing);
+                let delay = ((next - local) as f64 / node.clock_rate) as Micros + 1;
+                node.wake_at = self.now + delay.min(1_000_000);
+                self.send_messages(host, outgoing);
             }
-            self.check();
+            self.check_total_share();
         }
     }
 
-    pub fn keepers(&self) -> usize {
-        self.nodes.values().filter(|n| n.instance.is_leader(n.local(self.now))).count()
+    pub fn leader_count(&self) -> usize {
+        self.nodes.values().filter(|n| n.instance.is_leader(n.local_time(self.now))).count()
     }
 }
