--- a/membership/src/ballot.rs
+++ b/membership/src/ballot.rs
@@ -1,43 +1,43 @@
-//! Who is the keeper: at most one at a time, for a lease, among a fixed set of voters. This is PaxosLease
-//! (Trencseni, Gazso and Reinhardt, 2010): voters write nothing down; one that has restarted stays silent
-//! until whatever it may have promised before has ended.
+//! Leader election by lease among a fixed set of acceptors, with at most one leader at a time. This is
+//! PaxosLease (Trencseni, Gazso and Reinhardt, 2010): acceptors keep nothing on disk, and one that has
+//! restarted does not reply until every lease that it may have accepted before has expired.
 
 use std::collections::BTreeSet;
 
 use crate::message::Ballot;
 use crate::{Incarnation, LeaseConfig, Micros};
 
-/// A voter's memory.
+/// The state of an acceptor.
 #[derive(Debug)]
 pub struct Acceptor {
     lease_config: LeaseConfig,
-    /// Before this, it has no voice.
+    /// No message is answered before this time.
     reply_from: Micros,
     highest_ballot: Ballot,
-    /// Whose lease it has agreed to, and until when.
+    /// The holder of the lease that was accepted last, and when that expires.
     accepted_lease: Option<(Incarnation, Micros)>,
 }
 
-/// A voter's answer.
+/// An acceptor's reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptorReply {
-    /// It hears the ballot out; `true`: nobody else has a lease.
+    /// The ballot is promised; `true` if no other instance holds an unexpired lease.
     Prepared(bool),
-    /// It has agreed.
+    /// The proposed lease is accepted.
     Accepted,
-    /// It has heard of this higher ballot.
+    /// This higher ballot has been promised.
     Rejected(Ballot),
 }
 
 impl Acceptor {
-    /// A voter that has just started.
+    /// Creates an acceptor that starts now, and that replies once leases from before have expired.
     pub fn new(now: Micros, lease_config: LeaseConfig) -> Self {
         let reply_from =
             now + lease_config.lengthen_by_drift(lease_config.lengthen_by_drift(lease_config.duration));
         Acceptor { lease_config, reply_from, highest_ballot: Ballot::default(), accepted_lease: None }
     }
 
-    /// Will you hear this ballot out? `None`: no voice yet.
+    /// Handles a `Prepare`. Returns `None` while the acceptor must not reply.
     pub fn handle_prepare(&mut self, now: Micros, ballot: Ballot) -> Option<AcceptorReply> {
         self.reply(now, ballot, |acceptor| {
             let held_by_other = acceptor
@@ -47,7 +47,7 @@
         })
     }
 
-    /// The ballot's instance is the keeper for this long.
+    /// Handles a `Propose` for a lease of this duration. Returns `None` while the acceptor must not reply.
     pub fn handle_propose(
         &mut self,
         now: Micros,
@@ -83,11 +83,11 @@
 enum Phase {
     Idle,
     Preparing(BTreeSet<usize>),
-    /// The lease, if a majority agrees, ends then.
+    /// The acceptors that have accepted, and when the lease expires if a majority does.
     Proposing(BTreeSet<usize>, Micros),
 }
 
-/// An instance's tries to be the keeper.
+/// The attempts of an instance to become leader or to renew its lease.
 #[derive(Debug)]
 pub struct Proposer {
     lease_config: LeaseConfig,
@@ -95,21 +95,21 @@
     majority: usize,
     ballot: Ballot,
     phase: Phase,
-    /// It is the keeper until then.
+    /// When the lease expires that was won last.
     leader_until: Option<Micros>,
 }
 
-/// What a candidate has to say to all voters.
+/// A message for all acceptors.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProposerRequest {
-    /// Will you hear this out?
+    /// Asks for a promise to reject lower ballots.
     Prepare(Ballot),
-    /// I am the keeper for this long.
+    /// Proposes the sender as leader for this duration.
     Propose(Ballot, Micros),
 }
 
 impl Proposer {
-    /// One among so many voters.
+    /// Creates a proposer for this number of acceptors.
     pub fn new(incarnation: Incarnation, acceptor_count: usize, lease_config: LeaseConfig) -> Self {
         Proposer {
             lease_config,
@@ -121,14 +121,14 @@
         }
     }
 
-    /// Tries, or renews.
+    /// Starts a new round, to become leader or to renew the lease.
     pub fn start_round(&mut self) -> ProposerRequest {
         self.ballot = Ballot { round: self.ballot.round + 1, incarnation: self.incarnation };
         self.phase = Phase::Preparing(BTreeSet::new());
         ProposerRequest::Prepare(self.ballot)
     }
 
-    /// A voter hears it out.
+    /// Handles an acceptor's promise. Returns the proposal once a majority has promised.
     pub fn handle_prepared(
         &mut self,
         now: Micros,
@@ -144,13 +144,14 @@
         if acceptors.len() < self.majority {
             return None;
         }
-        // Counted from before the voters hear of it: it ends here before it ends there.
+        // The lease runs from before the proposal is sent, so it expires here before it does at any acceptor.
         let lease_end = now + self.lease_config.shorten_by_drift(self.lease_config.duration);
         self.phase = Phase::Proposing(BTreeSet::new(), lease_end);
         Some(ProposerRequest::Propose(ballot, self.lease_config.duration))
     }
 
-    /// A voter agrees. True if that makes it the keeper, or the keeper for longer.
+    /// Handles an acceptor's acceptance. Returns true once a majority has accepted, which makes the instance
+    /// leader or extends its lease.
     pub fn handle_accepted(&mut self, acceptor: usize, ballot: Ballot) -> bool {
         let Phase::Proposing(acceptors, lease_end) = &mut self.phase else { return false };
         if ballot != self.ballot {
@@ -165,7 +166,7 @@
         true
     }
 
-    /// A voter has heard of a higher ballot: the next try goes over it.
+    /// Handles a rejection: the next round uses a ballot above the acceptor's.
     pub fn handle_rejected(&mut self, ballot: Ballot, highest_ballot: Ballot) {
         if ballot == self.ballot {
             self.ballot.round = self.ballot.round.max(highest_ballot.round);
@@ -173,7 +174,7 @@
         }
     }
 
-    /// Until when it is the keeper, if it is now.
+    /// Returns when the lease expires, if the instance is the leader now.
     pub fn leader_until(&self, now: Micros) -> Option<Micros> {
         self.leader_until.filter(|until| now < *until)
     }
--- a/membership/src/gossip.rs
+++ b/membership/src/gossip.rs
@@ -1,5 +1,6 @@
-//! Who is there: SWIM gossip, on a library that knows no sockets either. What it says decides nothing about
-//! parts; it shows operators the site, and instances each other's roles and addresses.
+//! Discovery of instances by SWIM gossip, on a library (foca) that uses no sockets either. It does not affect
+//! quota shares: it shows operators which instances run, and tells instances each other's roles
+//! and addresses.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,28 +14,29 @@
 
 use crate::Incarnation;
 
-/// What an instance is.
+/// The kind of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
-    /// A conductor that clients reach over a network.
+    /// A conductor that clients reach over the network.
     Daemon,
-    /// One in a client's own process.
+    /// A conductor within a client's own process.
     Plugin,
 }
 
-/// An instance, as the others know it.
+/// The identity of an instance as the others know it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Peer {
-    /// Where it is reached.
+    /// Address at which it is reached.
     pub address: SocketAddr,
-    /// Its process.
+    /// Identifies the run of its process.
     pub incarnation: Incarnation,
-    /// Later lives at an address have later starts: milliseconds of the wall clock, of no other use.
+    /// Start of the process by the wall clock, in milliseconds since the Unix epoch. It serves only to prefer
+    /// the latest of several processes that ran at one address.
     pub started_unix_ms: u64,
-    /// Counts the names that it has taken after others took it for dead.
+    /// How often it has taken a new identity because others had declared it dead.
     pub renewals: u32,
-    /// What it is.
+    /// Its kind.
     pub role: Role,
 }
 
@@ -55,34 +57,34 @@
     }
 }
 
-/// What has changed.
+/// A change among the known instances.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PeerChange {
-    /// An instance has turned up.
+    /// An instance was discovered.
     Up(Peer),
-    /// One has left, or is not heard of.
+    /// An instance has left or no longer responds.
     Down(Peer),
 }
 
-/// What comes of a call: packets to send, timers to hand back, changes.
+/// The result of a call: packets to send, timers to schedule, and changes among the known instances.
 #[derive(Debug, Default)]
 pub struct GossipOutput {
-    /// To whom, and what.
+    /// Destinations and contents.
     pub packets: Vec<(SocketAddr, Vec<u8>)>,
-    /// After how long, and what to hand to [`Gossip::handle_timer`].
+    /// Delays, and what to pass to [`Gossip::handle_timer`] after them.
     pub timers: Vec<(Duration, Timer<Peer>)>,
-    /// News.
+    /// Changes, in the order in which they were learned.
     pub changes: Vec<PeerChange>,
 }
 
-/// One instance's part in the gossip.
+/// The gossip state of one instance.
 pub struct Gossip {
     foca: Foca<Peer, PostcardCodec, SmallRng, foca::NoCustomBroadcast>,
     peers: BTreeMap<SocketAddr, Peer>,
 }
 
 impl Gossip {
-    /// An instance that knows nobody, at a site of up to about so many.
+    /// Creates an instance that knows no other, tuned for clusters of up to about this many.
     pub fn new(own_identity: Peer, max_instances: NonZeroU32) -> Self {
         let rng = SmallRng::seed_from_u64(own_identity.incarnation);
         let mut config = foca::Config::new_lan(max_instances);
@@ -90,30 +92,30 @@
         Gossip { foca: Foca::new(own_identity, config, rng, PostcardCodec), peers: BTreeMap::new() }
     }
 
-    /// Makes itself known to whoever is at an address.
+    /// Announces the instance to the one at an address.
     pub fn announce(&mut self, address: SocketAddr) -> GossipOutput {
-        // Who is there is not known yet; only the address counts.
+        // The identity of that instance is not known yet, and only the address is used.
         let destination =
             Peer { address, incarnation: 0, started_unix_ms: 0, renewals: 0, role: Role::Daemon };
         self.run(|foca, runtime| foca.announce(destination, runtime))
     }
 
-    /// A packet has come. What is none is passed over.
+    /// Handles a packet. Ignores one that is invalid.
     pub fn handle_packet(&mut self, bytes: &[u8]) -> GossipOutput {
         self.run(|foca, runtime| foca.handle_data(bytes, runtime))
     }
 
-    /// A timer that was asked for.
+    /// Handles a timer of an earlier [`GossipOutput`] that has expired.
     pub fn handle_timer(&mut self, timer: Timer<Peer>) -> GossipOutput {
         self.run(|foca, runtime| foca.handle_timer(timer, runtime))
     }
 
-    /// Says goodbye.
+    /// Tells the others that the instance leaves.
     pub fn leave(&mut self) -> GossipOutput {
         self.run(|foca, runtime| foca.leave_cluster(runtime))
     }
 
-    /// Who is there, by address; itself not counted.
+    /// Returns the known instances other than this one, in the order of their addresses.
     pub fn peers(&self) -> impl Iterator<Item = &Peer> {
         self.peers.values()
     }
@@ -126,7 +128,7 @@
         ) -> Result<(), foca::Error>,
     ) -> GossipOutput {
         let mut runtime = AccumulatingRuntime::new();
-        // An error is a packet that makes no sense, or one too many of a goodbye: nothing to act on.
+        // Errors stand for invalid packets, or for a second departure, and need no reaction.
         let _ = operation(&mut self.foca, &mut runtime);
         let mut output = GossipOutput::default();
         while let Some((to, bytes)) = runtime.to_send() {
@@ -148,7 +150,7 @@
                 changes.push(PeerChange::Up(peer));
             }
             OwnedNotification::MemberDown(peer) => {
-                // A later life at the same address may have taken its place already.
+                // A later process at the same address may have replaced it already.
                 if self.peers.get(&peer.address) == Some(&peer) {
                     self.peers.remove(&peer.address);
                 }
--- a/membership/src/holder.rs
+++ b/membership/src/holder.rs
@@ -1,11 +1,12 @@
-//! An instance's own part: its floor, and what a keeper has leased to it.
+//! The share of the quota that an instance may use: its floor share, and the share that it has leased from
+//! the leader.
 
 use std::collections::VecDeque;
 
 use crate::message::{GrantId, Message};
 use crate::{Incarnation, LeaseConfig, Micros};
 
-/// Questions that may still be answered.
+/// Requests whose grants are still applied. Grants that answer older ones are ignored.
 const MAX_PENDING_REQUESTS: usize = 16;
 
 #[derive(Clone, Copy, Debug)]
@@ -14,7 +15,7 @@
     expires_at: Micros,
 }
 
-/// The holder's side.
+/// The holder's side of the leases on quota shares.
 #[derive(Debug)]
 pub struct LeaseHolder {
     lease_config: LeaseConfig,
@@ -23,13 +24,13 @@
     last_request_number: u64,
     last_applied: GrantId,
     lease: Option<Lease>,
-    /// A grant has made it smaller, and no question has gone out since.
+    /// Set when a grant decreases the share, and cleared when the next request reports it.
     must_report_decrease: bool,
     has_left: bool,
 }
 
 impl LeaseHolder {
-    /// With its floor.
+    /// Creates a holder that has only its floor share.
     pub fn new(incarnation: Incarnation, lease_config: LeaseConfig) -> Self {
         LeaseHolder {
             lease_config,
@@ -43,7 +44,7 @@
         }
     }
 
-    /// The question to ask now.
+    /// Returns the next request for a share, which also reports the grant that was applied last.
     pub fn request_share(&mut self, now: Micros, request_rate: f64) -> Message {
         self.last_request_number += 1;
         self.pending_requests.push_back((self.last_request_number, now));
@@ -59,7 +60,7 @@
         }
     }
 
-    /// A part is granted. True if it was applied.
+    /// Applies a grant unless it is obsolete. Returns true if it was applied.
     pub fn apply_grant(
         &mut self,
         now: Micros,
@@ -86,24 +87,25 @@
         true
     }
 
-    /// It takes nothing from now on.
+    /// Gives up the floor share and the lease. Returns the message that tells the leader.
     pub fn leave(&mut self) -> Message {
         self.has_left = true;
         self.lease = None;
         Message::Leave(self.incarnation)
     }
 
-    /// Whether the keeper should hear at once what has been applied, as what it shrank by is another's then.
+    /// Whether a decrease should be reported to the leader at once: only then can the leader lease the
+    /// difference to others.
     pub fn must_report_decrease(&self) -> bool {
         self.must_report_decrease
     }
 
-    /// Its process.
+    /// Returns the incarnation of the instance.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// What it may take of the whole.
+    /// Returns the share of the quota that the instance may use now.
     pub fn quota_share(&self, now: Micros) -> f64 {
         if self.has_left {
             return 0.0;
@@ -112,7 +114,7 @@
             + self.lease.filter(|l| now < l.expires_at).map_or(0.0, |l| l.quota_share)
     }
 
-    /// When its part ends if it is not renewed.
+    /// Returns when the lease expires, if the instance holds one now.
     pub fn lease_expires_at(&self, now: Micros) -> Option<Micros> {
         self.lease.map(|l| l.expires_at).filter(|expires_at| now < *expires_at)
     }
--- a/membership/src/instance.rs
+++ b/membership/src/instance.rs
@@ -1,4 +1,5 @@
-//! One instance: its own part, its vote if it has one, and the keeper's book while it is the keeper.
+//! The protocol state of one instance: its own quota share, its acceptor and proposer if it is one of the
+//! acceptors, and the record of grants while it is the leader.
 
 use std::net::SocketAddr;
 
@@ -11,6 +12,7 @@
 use crate::message::{Ballot, Message};
 use crate::{Incarnation, LeaseConfig, Micros};
 
+/// What an instance that is an acceptor has in addition.
 #[derive(Debug)]
 struct ElectionState {
     acceptor: Acceptor,
@@ -19,7 +21,7 @@
     next_round_at: Micros,
 }
 
-/// All that an instance knows of parts.
+/// The state of an instance in the protocol that leases quota shares.
 #[derive(Debug)]
 pub struct Instance {
     lease_config: LeaseConfig,
@@ -27,7 +29,7 @@
     acceptors: Vec<SocketAddr>,
     election: Option<ElectionState>,
     lease_holder: LeaseHolder,
-    /// Who granted last.
+    /// The instance that sent the last grant, or that a redirect named.
     leader_address: Option<SocketAddr>,
     next_request_at: Micros,
     request_rate: f64,
@@ -36,7 +38,7 @@
 }
 
 impl Instance {
-    /// An instance at an address. It votes if the voters name it.
+    /// Creates an instance at an address. It takes part in elections if it is one of the acceptors.
     pub fn new(
         now: Micros,
         incarnation: Incarnation,
@@ -50,7 +52,8 @@
             acceptor: Acceptor::new(now, lease_config),
             proposer: Proposer::new(incarnation, acceptors.len(), lease_config),
             leader: None,
-            // Before that no voter answers; not all at once.
+            // Acceptors that start now do not reply earlier. The random delay keeps them from starting
+            // rounds at the same time.
             next_round_at: now
                 + lease_config.lengthen_by_drift(lease_config.duration)
                 + rng.random_range(0..lease_config.retry_interval),
@@ -69,22 +72,22 @@
         }
     }
 
-    /// What it may take of the whole.
+    /// Returns the share of the quota that the instance may use now.
     pub fn quota_share(&self, now: Micros) -> f64 {
         self.lease_holder.quota_share(now)
     }
 
-    /// Whether it is the keeper.
+    /// Whether the instance is the leader now.
     pub fn is_leader(&self, now: Micros) -> bool {
         self.election.as_ref().is_some_and(|election| election.proposer.leader_until(now).is_some())
     }
 
-    /// The traffic that comes to it, in requests a second.
+    /// Sets the traffic that arrives at the instance, in requests per second.
     pub fn set_request_rate(&mut self, request_rate: f64) {
         self.request_rate = request_rate;
     }
 
-    /// It takes nothing from now on; as a keeper it lets its lease end.
+    /// Gives up the instance's share for good. A leader lets its own lease expire.
     pub fn leave(&mut self, now: Micros, outgoing: &mut OutgoingMessages) {
         self.has_left = true;
         let leave_message = self.lease_holder.leave();
@@ -94,7 +97,7 @@
         }
     }
 
-    /// Does what is due. Returns when to call again.
+    /// Performs the actions that are due. Returns when it must be called again.
     pub fn tick(&mut self, now: Micros, outgoing: &mut OutgoingMessages) -> Micros {
         let mut next = Micros::MAX;
         if !self.has_left {
@@ -121,12 +124,13 @@
         }
         let mut proposer_request = None;
         let is_leader = election.proposer.leader_until(now).is_some();
-        // Whoever has a lease from another knows that there is a keeper.
+        // An instance that holds a lease from another instance knows that there is a leader.
         if now >= election.next_round_at
             && !self.has_left
             && (is_leader || self.lease_holder.lease_expires_at(now).is_none())
         {
-            // A keeper renews in time; the others try now and then, each at its own moment.
+            // The leader renews its lease in time. Others try again after a random delay, so that their
+            // rounds do not collide.
             let spread = self.rng.random_range(0..self.lease_config.renewal_interval);
             election.next_round_at = now
                 + if is_leader {
@@ -164,7 +168,7 @@
     }
 
     fn request_share(&mut self, now: Micros, outgoing: &mut OutgoingMessages) {
-        // Where nobody has granted lately, any voter may be the keeper.
+        // Without a current grant, any acceptor may be the leader.
         let has_lease = self.lease_holder.lease_expires_at(now).is_some();
         self.next_request_at = now
             + if has_lease { self.lease_config.renewal_interval } else { self.lease_config.retry_interval };
@@ -175,7 +179,7 @@
         }
     }
 
-    /// Says something, to itself at once.
+    /// Queues a message, or handles it at once if it is for the instance itself.
     fn send(&mut self, now: Micros, to: SocketAddr, message: Message, outgoing: &mut OutgoingMessages) {
         if to == self.address {
             self.handle_message(now, to, message, outgoing);
@@ -196,7 +200,7 @@
         }
     }
 
-    /// Takes a message. What makes no sense here is passed over.
+    /// Handles a message. Ignores it if it does not fit the state of the instance.
     pub fn handle_message(
         &mut self,
         now: Micros,
@@ -235,7 +239,7 @@
                 let retry_at = now + self.rng.random_range(0..self.lease_config.retry_interval / 4);
                 if let Some(election) = &mut self.election {
                     election.proposer.handle_rejected(ballot, highest_ballot);
-                    // A keeper's lease runs on; it goes over the other at once.
+                    // A leader still holds its lease, and soon tries to renew it with a higher ballot.
                     election.next_round_at = if is_leader { retry_at } else { election.next_round_at };
                 }
             }
@@ -263,7 +267,7 @@
                     && self.lease_holder.apply_grant(now, request_number, grant_id, quota_share, duration)
                 {
                     self.leader_address = Some(from);
-                    // What has shrunk is somebody else's once the keeper has heard.
+                    // Reports a decrease at once: only then can the leader lease the difference to others.
                     self.next_request_at =
                         if self.lease_holder.must_report_decrease() { now } else { self.next_request_at };
                 }
@@ -283,7 +287,8 @@
         }
     }
 
-    /// Somebody else has the lease: trying again before it may have ended only disturbs.
+    /// Postpones the next round because another instance holds the lease: a round before that lease may have
+    /// expired would only disturb the leader.
     fn postpone_round(&mut self, now: Micros) {
         let spread = self.rng.random_range(0..self.lease_config.renewal_interval);
         if let Some(election) =
@@ -325,12 +330,12 @@
         let Some(lease_expires_at) = election.proposer.leader_until(now) else { return };
         match &mut election.leader {
             Some(leader) if was_leader => leader.extend_lease(lease_expires_at),
-            // Its term is that of the ballot that made it the keeper.
+            // The term of a new leader is the ballot that elected it.
             _ => election.leader = Some(Leader::new(ballot, lease_expires_at, self.lease_config)),
         }
     }
 
-    /// The book, while it is the keeper.
+    /// Returns the record of grants while the instance is the leader.
     fn current_leader(&mut self, now: Micros) -> Option<&mut Leader> {
         let election = self.election.as_mut()?;
         election.proposer.leader_until(now)?;
--- a/membership/src/keeper.rs
+++ b/membership/src/keeper.rs
@@ -1,5 +1,5 @@
-//! A keeper's book: who has which part until when. It never has more than all of it out, whatever has been
-//! lost on the way: a grant counts until it has ended, or its holder has applied a later one.
+//! The leader's record of leases on quota shares. The shares in use never exceed the quota, even if messages
+//! are lost: a grant counts as in use until it has expired or its holder has applied a later one.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,12 +7,12 @@
 use crate::message::{Ballot, GrantId, Message};
 use crate::{Incarnation, LeaseConfig, Micros};
 
-/// A part is changed where it is off by more than this share of itself.
+/// An instance's share is changed if it differs from its target by more than this fraction.
 const MIN_RELATIVE_CHANGE: f64 = 0.05;
-/// Of a part, what is the same for all; the rest goes by traffic. One that has none yet has some when it
-/// comes.
+/// Fraction of the leasable quota that is divided evenly; the rest is divided by traffic. It gives instances
+/// without traffic a share to start with.
 const EVEN_FRACTION: f64 = 0.5;
-/// The least traffic that counts, in requests a second.
+/// Lower request rates count as this one.
 const MIN_REQUESTS_PER_SECOND: f64 = 0.1;
 
 #[derive(Clone, Copy, Debug)]
@@ -27,9 +27,9 @@
     address: SocketAddr,
     request_rate: f64,
     request_number: u64,
-    /// When that was heard, and until when a grant in answer to it may last.
+    /// When the latest request arrived. Leases that answer it are counted from then.
     requested_at: Micros,
-    /// Those that may still be in force, the latest last.
+    /// Grants that may still be in force, in the order in which they were sent.
     grants: Vec<Grant>,
     last_sent_at: Micros,
 }
@@ -39,38 +39,38 @@
         self.grants.last().map_or(0.0, |g| g.quota_share)
     }
 
-    /// The most that it may be using.
+    /// Returns the largest share that the instance may be using.
     fn max_share_in_use(&self) -> f64 {
         self.grants.iter().map(|g| g.quota_share).fold(0.0, f64::max)
     }
 }
 
-/// The keeper's side.
+/// The leader's side of the leases on quota shares.
 #[derive(Debug)]
 pub struct Leader {
     lease_config: LeaseConfig,
     term: Ballot,
-    /// Its own lease.
+    /// When the leader's own lease expires.
     lease_expires_at: Micros,
     members: BTreeMap<Incarnation, Member>,
     last_grant_number: u64,
 }
 
-/// What is to be said to whom.
+/// Messages to send, and their destinations.
 pub type OutgoingMessages = Vec<(SocketAddr, Message)>;
 
 impl Leader {
-    /// With nothing out: whatever another keeper has given has ended with its lease.
+    /// Creates a leader without grants: those of an earlier leader have expired with its lease.
     pub fn new(term: Ballot, lease_expires_at: Micros, lease_config: LeaseConfig) -> Self {
         Leader { lease_config, term, lease_expires_at, members: BTreeMap::new(), last_grant_number: 0 }
     }
 
-    /// Its own lease has been renewed.
+    /// Records a renewal of the leader's own lease.
     pub fn extend_lease(&mut self, lease_expires_at: Micros) {
         self.lease_expires_at = self.lease_expires_at.max(lease_expires_at);
     }
 
-    /// An instance asks for its part.
+    /// Handles a request for a share, which also confirms the grant that the instance applied last.
     #[allow(clippy::too_many_arguments)]
     pub fn handle_share_request(
         &mut self,
@@ -105,7 +105,8 @@
             (member.request_number, member.requested_at) = (request_number, now);
         }
         if last_applied.term > self.term {
-            // Voters that have restarted know nothing of earlier terms; their members do.
+            // Acceptors forget earlier ballots when they restart, but instances remember the term of their
+            // last grant, and ignore grants of lower terms.
             self.term.round = last_applied.term.round + 1;
         }
         if last_applied.term == self.term {
@@ -115,13 +116,13 @@
         self.rebalance(now, outgoing);
     }
 
-    /// An instance takes nothing from now on.
+    /// Handles the departure of an instance: its share is available to the others at once.
     pub fn handle_leave(&mut self, now: Micros, incarnation: Incarnation, outgoing: &mut OutgoingMessages) {
         self.members.remove(&incarnation);
         self.rebalance(now, outgoing);
     }
 
-    /// Time passes: what has ended goes to the others, what was not confirmed is said again.
+    /// Reassigns the shares of expired grants, and sends unconfirmed grants again.
     pub fn tick(&mut self, now: Micros, outgoing: &mut OutgoingMessages) {
         self.expire_grants(now);
         self.rebalance(now, outgoing);
@@ -145,7 +146,7 @@
         self.members.values().map(|m| m.request_rate).sum()
     }
 
-    /// Says what each is to have where that differs from what it was told, first of all what is to shrink.
+    /// Sends a grant to each instance whose share should change. Decreases go first.
     fn rebalance(&mut self, now: Micros, outgoing: &mut OutgoingMessages) {
         let total_request_rate = self.total_request_rate();
         let (mut to_decrease, mut to_increase) = (Vec::new(), Vec::new());
@@ -167,14 +168,16 @@
         }
     }
 
-    /// Grants a part in answer to the last question, as large as is right and as there is room for.
+    /// Grants an instance its target share, or as much of it as is available, as an answer to its latest
+    /// request.
     fn send_grant(&mut self, now: Micros, incarnation: Incarnation, outgoing: &mut OutgoingMessages) {
         let (total_request_rate, total_in_use) =
             (self.total_request_rate(), self.members.values().map(Member::max_share_in_use).sum::<f64>());
         let Some(member) = self.members.get(&incarnation) else { return };
         let available = self.lease_config.leasable_share() - (total_in_use - member.max_share_in_use());
         let quota_share = self.target_share(member, total_request_rate).min(available).max(0.0);
-        // Within its own lease, and counted from a question that was asked before it was heard.
+        // The lease ends no later than the leader's own. It is counted here from the arrival of the
+        // request, and at the holder from when that sent the request, which is earlier.
         let duration =
             self.lease_config.duration.min(self.lease_expires_at.saturating_sub(member.requested_at));
         let expires_at = member.requested_at + self.lease_config.lengthen_by_drift(duration);
--- a/membership/src/lib.rs
+++ b/membership/src/lib.rs
@@ -1,9 +1,10 @@
-//! Which instances of the conductor there are, daemons and plug-ins, and what part of the budgets that they
-//! share each may take. `docs/membership.md` describes it, `docs/design/rpc.md` says why it is made this way.
+//! Membership of the conductor's instances (daemons and plug-ins), and the share of their common quota that
+//! each may use. `docs/membership.md` describes the protocol, `docs/design/rpc.md` why it was chosen.
 //!
-//! The rule is that the parts of all add up to at most 1 at every moment. [`ballot`] elects a keeper by
-//! lease, [`keeper`] leases parts, [`holder`] has one, [`instance`] puts the three together; none of them
-//! knows sockets or clocks. [`gossip`] finds who is there, [`service`] carries out.
+//! The invariant is that the shares of all instances add up to at most 1 at every moment. [`ballot`] elects a
+//! leader by lease, [`keeper`] is the leader's side of the leases on quota shares, [`holder`] the side of an
+//! instance that holds one, and [`instance`] combines the three; none of them uses sockets or reads clocks.
+//! [`gossip`] discovers the instances, and [`service`] runs the protocol on a UDP socket.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -16,28 +17,28 @@
 pub mod message;
 pub mod service;
 
-/// Microseconds on a monotonic clock whose zero is the process's own.
+/// Microseconds on a monotonic clock whose origin is specific to the process.
 pub type Micros = u64;
 
-/// Names a process: drawn anew at each start.
+/// Identifies one run of a process: a new value is chosen at each start.
 pub type Incarnation = u64;
 
-/// How long leases last, and how far clocks may run apart.
+/// Durations of the lease protocol, and the bounds on clock drift and on instances that it relies on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LeaseConfig {
-    /// Of a keeper's lease, and of the longest lease of a part.
+    /// Duration of the leader's lease, and the longest duration of a lease on a quota share.
     pub duration: Micros,
-    /// A part is asked for anew this often, and a keeper renews its own lease this often.
+    /// Interval at which an instance renews its quota share, and the leader its own lease.
     pub renewal_interval: Micros,
-    /// What is not answered is said again after this time.
+    /// Delay before an unanswered message is sent again.
     pub retry_interval: Micros,
-    /// By how much of itself a clock may run fast or slow.
+    /// Largest error of a clock's rate, in either direction, as a fraction of the elapsed time.
     pub max_clock_drift: f64,
-    /// The most instances that there will ever be at a time: each has a floor.
+    /// Largest number of instances at any one time. Each of them has a floor share.
     pub max_instances: u32,
 }
 
-/// Of the whole budget, what all floors together have.
+/// Share of the quota that is set aside for the floor shares of all instances together.
 pub const TOTAL_FLOOR_SHARE: f64 = 0.1;
 
 impl Default for LeaseConfig {
@@ -53,22 +54,24 @@
 }
 
 impl LeaseConfig {
-    /// What an instance has that nobody has granted anything.
+    /// Returns the share that an instance may use without a lease.
     pub fn floor_share(&self) -> f64 {
         TOTAL_FLOOR_SHARE / f64::from(self.max_instances.max(1))
     }
 
-    /// What a keeper can lease in all.
+    /// Returns the total share that the leader may lease out.
     pub fn leasable_share(&self) -> f64 {
         1.0 - TOTAL_FLOOR_SHARE
     }
 
-    /// A span on whoever must be early: over no later than it is by any other clock.
+    /// Shortens a duration for the side on which a lease must end first: measured by this clock, it ends no
+    /// later than the original duration does by any other clock.
     pub fn shorten_by_drift(&self, span: Micros) -> Micros {
         (span as f64 * (1.0 - self.max_clock_drift)) as Micros
     }
 
-    /// A span on whoever must be late: over no earlier than it is by any other clock.
+    /// Lengthens a duration for the side on which a lease must end last: measured by this clock, it ends no
+    /// earlier than the original duration does by any other clock.
     pub fn lengthen_by_drift(&self, span: Micros) -> Micros {
         (span as f64 * (1.0 + self.max_clock_drift)).ceil() as Micros
     }
--- a/membership/src/message.rs
+++ b/membership/src/message.rs
@@ -1,77 +1,78 @@
-//! What instances say to each other about parts.
+//! The messages that instances exchange to elect a leader and to lease quota shares. They are encoded by
+//! position, so the order of variants and fields is part of the protocol.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{Incarnation, Micros};
 
-/// The order of tries to become keeper: no two tries have the same, and a later one of an instance that has
-/// heard of the others is higher.
+/// Number of an attempt to become leader. No two attempts share one, and an instance that learns of a higher
+/// ballot uses a still higher one in its next attempt.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot {
-    /// Counts.
+    /// Counter that orders the attempts.
     pub round: u64,
-    /// Whose try.
+    /// The proposer, which breaks ties between equal rounds.
     pub incarnation: Incarnation,
 }
 
-/// What an instance has applied last: grants are numbered within a keeper's term.
+/// Identifies a grant, and orders the grants of all leaders.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct GrantId {
-    /// The keeper's.
+    /// The leader's term, which is the ballot that elected it, or a higher one.
     pub term: Ballot,
-    /// Its number.
+    /// Number of the grant within the term.
     pub number: u64,
 }
 
-/// One message.
+/// A message between instances.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// To a voter: will you hear this ballot out?
+    /// To an acceptor: asks it to promise to reject lower ballots.
     Prepare(Ballot),
-    /// From a voter: yes; and whether anybody else has a lease that has not ended.
+    /// From an acceptor: the promise, and whether another instance may still hold the lease.
     Prepared {
-        /// Of the question.
+        /// Ballot of the `Prepare` that this answers.
         ballot: Ballot,
-        /// Nobody else has.
+        /// True if no other instance holds an unexpired lease.
         is_lease_free: bool,
     },
-    /// To a voter: I am the keeper for this long.
+    /// To an acceptor: proposes the sender as leader for this duration.
     Propose(Ballot, Micros),
-    /// From a voter: so it is.
+    /// From an acceptor: the proposal with this ballot is accepted.
     Accepted(Ballot),
-    /// From a voter: a higher ballot has been heard.
+    /// From an acceptor: it has promised a higher ballot.
     Rejected {
-        /// Of the question.
+        /// Ballot of the message that this answers.
         ballot: Ballot,
-        /// The higher one.
+        /// Highest ballot that the acceptor has promised.
         highest_ballot: Ballot,
     },
-    /// To a keeper, or to a voter that may be it: my part, please.
+    /// To the leader, or to an acceptor that may be the leader: requests or renews a lease on a quota share.
     RequestShare {
-        /// Who asks.
+        /// The instance that asks.
         incarnation: Incarnation,
-        /// Counts.
+        /// Counter of the instance's requests.
         request_number: u64,
-        /// The traffic that comes to it, in requests a second.
+        /// Traffic that arrives at the instance, in requests per second.
         request_rate: f64,
-        /// The last grant that it has applied: none before it is in force any more.
+        /// The grant that the instance applied last. No earlier grant is in force any more.
         last_applied: GrantId,
     },
-    /// From a keeper: your part.
+    /// From the leader: a lease on a quota share.
     Grant {
-        /// To whom: an address may have changed hands.
+        /// The instance that it is for. Its address may since belong to another process.
         incarnation: Incarnation,
-        /// Which question it answers: the lease counts from when that was asked.
+        /// The request that this answers. The lease runs from the time at which that was sent.
         request_number: u64,
-        /// Its place among all grants to the process.
+        /// Position in the order of all grants to the instance.
         grant_id: GrantId,
-        /// The part.
+        /// The granted share of the quota.
         quota_share: f64,
-        /// For how long from the question on.
+        /// Duration of the lease.
         duration: Micros,
     },
-    /// From a voter that is no keeper: that one may be.
+    /// From an acceptor that is not the leader: the address of the instance that may be, if it knows one.
     Redirect(Option<std::net::SocketAddr>),
-    /// To a keeper: I take nothing from now on.
+    /// To the leader: the instance uses no quota from now on.
     Leave(Incarnation),
 }
--- a/membership/src/service.rs
+++ b/membership/src/service.rs
@@ -1,5 +1,5 @@
-//! An instance on a socket: one UDP port for gossip and for parts. Each packet carries a keyed hash, so that
-//! what comes from another site, or from nobody that should know the key, is passed over.
+//! Runs an instance on one UDP socket, for gossip and for quota leases. Each packet carries a keyed hash, so
+//! that packets of other clusters, and of senders that do not know the key, are dropped.
 
 use std::net::SocketAddr;
 use std::num::NonZeroU32;
@@ -18,62 +18,64 @@
 use crate::message::Message;
 use crate::{Incarnation, LeaseConfig, Micros};
 
-/// Longer packets are never sent.
+/// No instance sends longer packets.
 const MAX_PACKET_BYTES: usize = 1_500;
-/// Of the keyed hash.
+/// Length of the keyed hash.
 const TAG_BYTES: usize = 16;
-/// What a packet is.
+/// Packet kinds, in the first byte of a packet.
 const GOSSIP_PACKET: u8 = 1;
 const QUOTA_PACKET: u8 = 2;
-/// Names the use of the key.
+/// Context string of the key derivation.
 const KEY_CONTEXT: &str = "frosttrail membership 1 packets";
-/// Made known to the voters again, as long as nobody is there.
+/// Interval of announcements to the acceptors while no other instance is known.
 const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(1);
-/// Traffic is counted over this time.
+/// Period over which the request rate is measured.
 const TRAFFIC_INTERVAL: Duration = Duration::from_secs(2);
 
-/// How an instance takes part.
+/// The settings of an instance.
 #[derive(Clone, Debug)]
 pub struct MembershipConfig {
-    /// Its port; others reach it at this address.
+    /// Address to listen on, at which the others reach the instance.
     pub listen: SocketAddr,
-    /// Those that vote, on which all instances of the site must agree: an odd number of lasting ones.
+    /// The acceptors (`voters` in the settings file), an odd number of long-lived instances. All instances of
+    /// the cluster must have the same list.
     pub acceptors: Vec<SocketAddr>,
-    /// What the site shares, so that no other's packets count.
+    /// Secret that the instances of the cluster share. Packets that were made with another key are dropped.
     pub key: String,
-    /// What it is.
+    /// The kind of the instance.
     pub role: Role,
-    /// How long leases last.
+    /// Durations and bounds of the lease protocol.
     pub lease_config: LeaseConfig,
 }
 
-/// Settings that do not fit together.
+/// A reason why settings are rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConfigError {
-    /// No keeper could ever be elected.
-    #[error("voters: at least one is needed")]
+    /// Without acceptors, no leader can be elected.
+    #[error("voters: the list is empty; name at least one instance")]
     NoAcceptors,
-    /// One that is named twice would have two votes.
-    #[error("voters: one is named twice")]
+    /// An acceptor that is listed twice would have two votes.
+    #[error("voters: an address is listed twice; list each instance once")]
     DuplicateAcceptor,
-    /// Packets of anybody would count.
-    #[error("key: at least 16 characters are needed")]
+    /// Packets of any sender could be accepted.
+    #[error("key: at least 16 characters are required")]
     KeyTooShort,
-    /// Floors would add up to more than is set aside.
-    #[error("most: at least as many as there are voters")]
+    /// The floor shares would add up to more than is set aside for them.
+    #[error("most: must be at least the number of voters")]
     TooManyAcceptors,
-    /// The others could not reach it.
-    #[error("listen: an address at which the others reach this instance is needed")]
+    /// Other instances could not reach this one.
+    #[error("listen: must be an address at which the other instances can reach this one")]
     UnspecifiedListenAddress,
 }
 
 impl MembershipConfig {
-    /// Whether the settings fit together.
+    /// Checks that the settings are complete and consistent.
     pub fn validate(&self) -> Result<(), ConfigError> {
         let mut acceptors = self.acceptors.clone();
         acceptors.sort();
         acceptors.dedup();
-        // The others learn of a port that the system chose; a voter's stands in their files.
+        // Port 0 is allowed: the others learn the port that the system chose. An acceptor needs a fixed port,
+        // as the settings of the others name it.
         let is_reachable = !self.listen.ip().is_unspecified();
         let checks = [
             (!acceptors.is_empty(), ConfigError::NoAcceptors),
@@ -86,31 +88,32 @@
     }
 }
 
-/// What it may take, and who is there.
+/// The state of the cluster as an instance sees it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MembershipView {
-    /// Its part of the whole.
+    /// Share of the quota that the instance may use.
     pub quota_share: f64,
-    /// Whether it is the keeper.
+    /// Whether the instance is the leader.
     pub is_leader: bool,
-    /// The others.
+    /// The other instances.
     pub peers: Arc<[Peer]>,
 }
 
-/// Counts requests, from which an instance's share of the traffic is measured.
+/// Counts the requests that arrive, from which the request rate of the instance is measured.
 #[derive(Clone, Debug, Default)]
 pub struct RequestCounter(Arc<AtomicU64>);
 
 impl RequestCounter {
-    /// So many have come.
+    /// Adds requests that have arrived.
     pub fn add(&self, requests: u64) {
         self.0.fetch_add(requests, Ordering::Relaxed);
     }
 }
 
-/// An instance that takes part. Dropping it ends it as a kill would; [`Membership::leave`] is better.
+/// A running instance. Dropping it stops the instance as a kill would, and its share stays unused until the
+/// lease expires; [`Membership::leave`] frees the share at once.
 pub struct Membership {
-    /// Where it is.
+    /// The address of the socket.
     pub address: SocketAddr,
     view: watch::Receiver<MembershipView>,
     request_counter: RequestCounter,
@@ -119,7 +122,7 @@
 }
 
 impl Membership {
-    /// Takes part from now on. `process`: drawn anew at each start.
+    /// Starts an instance. `incarnation` must be a new value at each start of the process.
     pub async fn start(
         config: MembershipConfig,
         incarnation: Incarnation,
@@ -130,7 +133,7 @@
         Ok(Membership::with_socket(socket, address, config, incarnation, log))
     }
 
-    /// The same on a socket that is there already.
+    /// Starts an instance on a socket that is already bound.
     pub fn with_socket(
         socket: UdpSocket,
         address: SocketAddr,
@@ -165,17 +168,17 @@
         }
     }
 
-    /// What it may take; changes as it does. A part that ends is news too.
+    /// Returns a receiver of the instance's view. It is notified of each change, also when a lease expires.
     pub fn view(&self) -> watch::Receiver<MembershipView> {
         self.view.clone()
     }
 
-    /// Where to count requests.
+    /// Returns the counter of arriving requests.
     pub fn request_counter(&self) -> RequestCounter {
         self.request_counter.clone()
     }
 
-    /// Takes nothing from now on, and says so. What it had is the others' at once.
+    /// Gives up the instance's share, and tells the others, which can use it at once.
     pub async fn leave(self) {
         let (done_sender, done) = oneshot::channel();
         if self.leave_requests.send(done_sender).await.is_ok() {
@@ -184,6 +187,7 @@
     }
 }
 
+/// A UDP socket whose packets are authenticated with a keyed hash.
 struct PacketSocket {
     socket: UdpSocket,
     key: [u8; 32],
@@ -197,7 +201,7 @@
         tag
     }
 
-    /// Sends, and does not wait: what is lost is said again.
+    /// Sends a packet without waiting for the socket. If it is lost, the protocol sends the message again.
     fn send(&self, to: SocketAddr, kind: u8, body: &[u8]) {
         let mut packet = Vec::with_capacity(1 + body.len() + TAG_BYTES);
         packet.push(kind);
@@ -205,15 +209,15 @@
         let tag = self.tag(&packet);
         packet.extend_from_slice(&tag);
         if let Err(e) = self.socket.try_send_to(&packet, to) {
-            debug!(self.log, "a packet was not sent"; "to" => to, "why" => %e);
+            debug!(self.log, "packet not sent"; "to" => to, "why" => %e);
         }
     }
 
-    /// The kind and the body of a packet that is one of ours.
+    /// Returns the kind and the body of a packet if its tag is valid.
     fn verify<'a>(&self, packet: &'a [u8]) -> Option<(u8, &'a [u8])> {
         let (authenticated, tag) = packet.split_at_checked(packet.len().checked_sub(TAG_BYTES)?)?;
         let (kind, body) = authenticated.split_first()?;
-        // Of equal length, and compared in a time that does not depend on where they differ.
+        // The tags have the same length, and the time to compare them does not depend on where they differ.
         let difference = self.tag(authenticated).iter().zip(tag).fold(0, |d, (a, b)| d | (a ^ b));
         (difference == 0).then_some((*kind, body))
     }
@@ -269,10 +273,10 @@
         for change in output.changes {
             match change {
                 PeerChange::Up(peer) => {
-                    info!(log, "an instance has come"; "at" => peer.address, "role" => ?peer.role)
+                    info!(log, "instance is up"; "at" => peer.address, "role" => ?peer.role)
                 }
                 PeerChange::Down(peer) => {
-                    info!(log, "an instance has gone"; "at" => peer.address, "role" => ?peer.role)
+                    info!(log, "instance is down"; "at" => peer.address, "role" => ?peer.role)
                 }
             }
         }
@@ -293,10 +297,10 @@
                             next_tick = Instant::now();
                         }
                     }
-                    _ => debug!(log, "a packet was passed over"; "from" => from, "bytes" => length),
+                    _ => debug!(log, "invalid packet dropped"; "from" => from, "bytes" => length),
                 },
                 Err(e) => {
-                    warn!(log, "nothing can be received"; "why" => %e);
+                    warn!(log, "receiving from the socket failed"; "why" => %e);
                     sleep(Duration::from_millis(10)).await;
                 }
             },
@@ -345,7 +349,7 @@
     for (to, message) in outgoing {
         match postcard::to_stdvec(&message) {
             Ok(body) => packet_socket.send(to, QUOTA_PACKET, &body),
-            Err(e) => warn!(packet_socket.log, "a message can't be written"; "why" => %e),
+            Err(e) => warn!(packet_socket.log, "message can't be encoded"; "why" => %e),
         }
     }
 }
