--- a/membership/benches/settle.rs
+++ b/membership/benches/settle.rs
@@ -1,11 +1,12 @@
-//! How long parts take to settle, in simulated time: `cargo bench -p frosttrail-membership`.
+//! Measures in simulated time how long quota shares take to settle after an instance joins or is killed:
+//! `cargo bench -p frosttrail-membership`.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
 
 use support::Simulation;
 
-/// Instances with traffic alike, settled; one place is left for one that joins.
+/// Simulates instances until their shares have settled. One host is left for an instance that joins.
 fn settled_simulation(instances: usize) -> Simulation {
     let mut simulation = Simulation::new(1, instances + 1);
     for host in 0..instances {
@@ -20,7 +21,7 @@
     node.instance.quota_share(node.local_time(simulation.now))
 }
 
-/// Milliseconds until it is so.
+/// Returns the simulated time until a condition holds, in milliseconds.
 fn milliseconds_until(simulation: &mut Simulation, condition: impl Fn(&Simulation) -> bool) -> u64 {
     let started_at = simulation.now;
     while !condition(simulation) && simulation.now < started_at + 60_000_000 {
--- a/membership/tests/loopback.rs
+++ b/membership/tests/loopback.rs
@@ -1,4 +1,5 @@
-//! Instances on sockets: they find each other, share the whole, and pass over what is not theirs.
+//! Runs instances on loopback sockets: they discover each other, share the quota, and ignore packets that
+//! were made without their key.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,7 +20,7 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// Quicker than usual, so that the test is.
+/// Shorter durations than in production, to keep the tests fast.
 fn lease_config() -> LeaseConfig {
     LeaseConfig {
         duration: 500_000,
@@ -72,17 +73,17 @@
         self.instances.iter().map(|instance| instance.view().borrow().quota_share).collect()
     }
 
-    /// Waits until it is so; all the while the parts are at most the whole.
+    /// Waits until a condition holds, and checks meanwhile that the shares add up to at most 1.
     async fn wait_until(&self, condition: impl Fn(&Cluster) -> bool) {
         let polling = async {
             while !condition(self) {
-                // Read one after another: a reading is of one moment, as no task runs between.
+                // No other task runs while the shares are read, so they are all of the same moment.
                 let total_share: f64 = self.quota_shares().iter().sum();
-                assert!(total_share <= 1.0 + 1e-9, "all parts together are {total_share}");
+                assert!(total_share <= 1.0 + 1e-9, "the shares add up to {total_share}");
                 sleep(Duration::from_millis(5)).await;
             }
         };
-        timeout(TIMEOUT, polling).await.expect("it never comes to that");
+        timeout(TIMEOUT, polling).await.expect("the condition does not hold within the timeout");
     }
 }
 
@@ -106,13 +107,13 @@
     let plugins =
         cluster.instances[0].view().borrow().peers.iter().filter(|peer| peer.role == Role::Plugin).count();
     assert_eq!(plugins, 2);
-    // One leaves, one is killed.
+    // One instance leaves, and another is killed.
     cluster.instances.pop().unwrap().leave().await;
     cluster.wait_until(uses_whole_quota).await;
     drop(cluster.instances.pop());
     cluster.wait_until(uses_whole_quota).await;
     cluster.wait_until(|cluster| cluster.instances[0].view().borrow().peers.len() == 2).await;
-    // The keeper is killed: another takes its place.
+    // The leader is killed, and another instance replaces it.
     let leader = cluster.instances.iter().position(|instance| instance.view().borrow().is_leader).unwrap();
     drop(cluster.instances.remove(leader));
     cluster
--- a/membership/tests/model.rs
+++ b/membership/tests/model.rs
@@ -1,13 +1,13 @@
-//! Instances that join, leave, are killed and restarted, over a network that loses, delays and reorders, and
-//! that falls apart; their clocks run apart too. At every moment the parts of all add up to at most 1, and
-//! once it is quiet each has what it should.
+//! Simulates instances that join, leave, are killed and restart, with drifting clocks and over a network that
+//! loses, delays and reorders messages and is partitioned. At every moment the shares of all add up to at
+//! most 1, and after the faults end each instance gets its share.
 
 mod support;
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use support::*;
 
-/// Places at which an instance may run.
+/// Number of hosts, each of which runs at most one instance at a time.
 const HOSTS: usize = 8;
 
 #[derive(Clone, Copy, Debug)]
@@ -62,7 +62,7 @@
         }
         simulation.check_total_share();
     }
-    // Quiet, and a majority of voters is there: each gets what it should.
+    // The faults end, and a majority of acceptors runs: each instance must get its share.
     (simulation.loss_percent, simulation.max_delay, simulation.partition_side) =
         (0, 5_000, vec![false; HOSTS]);
     simulation.join(0);
@@ -70,11 +70,11 @@
     simulation.advance(15_000_000);
     assert_eq!(simulation.leader_count(), 1);
     let total_share = simulation.total_share();
-    assert!(total_share > 0.82, "only {total_share} of it is used");
+    assert!(total_share > 0.82, "only {total_share} of the quota is used");
     for node in simulation.nodes.values() {
         let share = node.instance.quota_share(node.local_time(simulation.now));
         let min_share = 0.4 * 0.9 / simulation.nodes.len() as f64;
-        assert!(share > min_share, "{} of life {} has {share}", node.host, node.start_count);
+        assert!(share > min_share, "start {} on host {} has {share}", node.start_count, node.host);
     }
 }
 
@@ -96,7 +96,8 @@
             simulation.nodes[host].instance.is_leader(simulation.nodes[host].local_time(simulation.now))
         });
         let leader = leader.unwrap();
-        // The keeper and one instance on one side; the other voters, one of them new, on the other.
+        // The leader and one other instance are on one side of the partition, and the other acceptors, one of
+        // them restarted, on the other.
         simulation.kill((leader + 1) % ACCEPTORS);
         simulation.join((leader + 1) % ACCEPTORS);
         simulation.partition_side[leader] = true;
@@ -141,12 +142,16 @@
 #[test]
 fn neither_side_of_a_partition_takes_the_whole_quota() {
     let mut simulation = settled_simulation(&[0, 1, 2, 3, 4, 5]);
-    // Place 2, a voter, and two without a vote are cut off.
+    // Host 2, an acceptor, and hosts 4 and 5, which are none, are cut off.
     simulation.partition_side = vec![false, false, true, false, true, true, false, false];
     simulation.advance(10_000_000);
     let floor_share = simulation.lease_config.floor_share();
     for host in [2, 4, 5] {
-        assert_eq!(quota_share(&simulation, host), floor_share, "on the side with fewer voters");
+        assert_eq!(
+            quota_share(&simulation, host),
+            floor_share,
+            "host {host}, on the side with fewer acceptors"
+        );
     }
     assert!([0, 1, 3].iter().map(|host| quota_share(&simulation, *host)).sum::<f64>() > 0.85);
     simulation.partition_side = vec![false; HOSTS];
@@ -187,7 +192,7 @@
     }
     assert_eq!((max_leaders, simulation.leader_count()), (1, 1));
     assert!(simulation.total_share() > 0.85);
-    // All voters at once: nobody grants anything that might still be out.
+    // All acceptors restart at once: no share is granted that a lease from before may still cover.
     for host in 0..ACCEPTORS {
         simulation.kill(host);
     }
--- a/membership/tests/support/mod.rs
+++ b/membership/tests/support/mod.rs
@@ -1,5 +1,6 @@
-//! Instances over a network in memory that loses, delays, reorders and falls apart, with clocks that run
-//! apart. At every moment the parts of all are checked to add up to at most 1.
+//! A simulation of instances on hosts whose clocks drift, over a network in memory that loses, delays and
+//! reorders messages and can be partitioned. It checks at every event that the shares of all instances add up
+//! to at most 1.
 #![allow(dead_code)]
 
 use std::collections::{BTreeMap, BinaryHeap};
@@ -11,17 +12,17 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// The first so many places vote.
+/// Number of acceptors, which run on the first hosts.
 pub const ACCEPTORS: usize = 3;
 
 pub struct Node {
     pub instance: Instance,
     pub host: usize,
-    /// Its clock against the true one.
+    /// Rate of its clock, as a multiple of simulated time.
     clock_rate: f64,
     clock_offset: Micros,
     wake_at: Micros,
-    /// So many have run at its place before.
+    /// How many instances have run on the host, including this one.
     pub start_count: u32,
 }
 
@@ -31,7 +32,7 @@
     }
 }
 
-/// In flight: when it arrives_at, its place in the order, from, to, what.
+/// A message on its way: arrival time, sequence number, sender, receiver and content.
 struct InFlightMessage(Micros, u64, usize, usize, Message);
 
 impl PartialEq for InFlightMessage {
@@ -61,10 +62,10 @@
     in_flight: BinaryHeap<InFlightMessage>,
     last_sequence: u64,
     rng: SmallRng,
-    /// Lost, in percent.
+    /// Share of messages that are lost, in percent.
     pub loss_percent: u32,
     pub max_delay: Micros,
-    /// Which side of a cut each place is on.
+    /// Side of the partition on which each host is. Messages between the sides are dropped.
     pub partition_side: Vec<bool>,
     start_counts: Vec<u32>,
     max_total_share: f64,
@@ -149,7 +150,7 @@
     pub fn check_total_share(&mut self) {
         let total_share = self.total_share();
         self.max_total_share = self.max_total_share.max(total_share);
-        assert!(total_share <= 1.0 + 1e-9, "all parts together are {total_share} at {}", self.now);
+        assert!(total_share <= 1.0 + 1e-9, "the shares add up to {total_share} at {}", self.now);
     }
 
     pub fn advance(&mut self, duration: Micros) {
@@ -158,7 +159,8 @@
             let wake_at = self.nodes.values().map(|n| n.wake_at).min().unwrap_or(Micros::MAX);
             let next_arrival = self.in_flight.peek().map_or(Micros::MAX, |message| message.0);
             let next = wake_at.min(next_arrival);
-            // Just before something happens is when leases that were thought ended would show.
+            // Checks just before each event, when a lease would show that another instance wrongly took for
+            // expired.
             self.now = next.min(end).max(self.now);
             self.check_total_share();
             if next > end {
