--- a/daemon/tests/processes.rs
+++ b/daemon/tests/processes.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use frosttrail_standins::ledger::{Ledger, Member};
+use frosttrail_standins::ledger::{Ledger, StubServer};
 use frosttrail_standins::link::Link;
 use serde_json::{json, Value};
 use support::*;
@@ -28,7 +28,7 @@
     ledger: Ledger,
     links: Vec<(&'static str, &'static str, Link)>,
     config: Value,
-    _members: Vec<Member>,
+    _members: Vec<StubServer>,
 }
 
 impl Fleet {
@@ -37,10 +37,10 @@
         for zone in ["a", "b"] {
             for (n, kind) in ["prefill", "prefill", "decode", "decode"].into_iter().enumerate() {
                 let member = match kind {
-                    "prefill" => Member::reader(&ledger, Duration::from_millis(20)).await.unwrap(),
-                    _ => Member::writer(&ledger, Duration::from_millis(60)).await.unwrap(),
+                    "prefill" => StubServer::start_prefill(&ledger, Duration::from_millis(20)).await.unwrap(),
+                    _ => StubServer::start_decode(&ledger, Duration::from_millis(60)).await.unwrap(),
                 };
-                let link = Link::start(member.http).await.unwrap();
+                let link = Link::start(member.http_address).await.unwrap();
                 targets.push(json!({"uid": format!("{zone}{n}"), "endpoint": link.address, "az": zone,
                     "model": kind, "pod_group": links.len() / 4, "state": "active", "capacity_hint": 1.0,
                     "boot_ms": 0}));
@@ -114,31 +114,31 @@
     sleep(step).await;
     // Writers are reset with answers under way, again and again.
     for _ in 0..5 {
-        fleet.each("decode", Link::cut);
+        fleet.each("decode", Link::reset_connections);
         sleep(step / 5).await;
     }
     // Readers go on where no writer can be reached.
-    fleet.each("decode", |link| (link.dark(true), link.cut()).1);
+    fleet.each("decode", |link| (link.set_unreachable(true), link.reset_connections()).1);
     sleep(step).await;
-    fleet.each("decode", |link| link.dark(false));
+    fleet.each("decode", |link| link.set_unreachable(false));
     sleep(step).await;
     // A zone is lost: what was open is reset, what is new is refused.
-    fleet.each("b", |link| (link.dark(true), link.cut()).1);
+    fleet.each("b", |link| (link.set_unreachable(true), link.reset_connections()).1);
     sleep(step).await;
     running[2].signal("-KILL");
     running[2] = fleet.process(2);
     *at[2].lock().unwrap() = running[2].listen;
     sleep(step).await;
-    fleet.each("b", |link| link.dark(false));
+    fleet.each("b", |link| link.set_unreachable(false));
     sleep(step).await;
     // It says nothing at all, and one process is paused meanwhile.
-    fleet.each("b", |link| link.stall(true));
+    fleet.each("b", |link| link.set_stalled(true));
     running[1].signal("-STOP");
     sleep(PAUSE).await;
     running[1].signal("-CONT");
     sleep(2 * step).await;
     // What was under way to it when it comes back is lost.
-    fleet.each("b", |link| (link.cut(), link.stall(false)).1);
+    fleet.each("b", |link| (link.reset_connections(), link.set_stalled(false)).1);
     let mut told = Vec::new();
     while let Some(done) = clients.join_next().await {
         told.extend(done.unwrap());
@@ -148,18 +148,18 @@
         process.ends_well().await;
     }
     let accounts: HashMap<String, _> =
-        fleet.ledger.accounts().into_iter().map(|(id, account)| (id.to_string(), account)).collect();
+        fleet.ledger.records().into_iter().map(|(id, account)| (id.to_string(), account)).collect();
     let served = told.iter().filter(|t| t.2 == Some(200)).count();
     assert!(served * 2 > told.len(), "{served} of {} served", told.len());
     for (id, class, status, after) in &told {
         let killed = id.starts_with("p2") && status.is_none();
         assert!(killed || matches!(status, Some(200 | 502 | 503)), "{id}: {status:?} after {after:?}");
         let Some(account) = accounts.get(id) else { continue };
-        assert!(*class == "ask" || account.runs <= 1, "{id} ran {} times", account.runs);
+        assert!(*class == "ask" || account.decode_runs <= 1, "{id} ran {} times", account.decode_runs);
         let refused = *status == Some(503);
-        assert!(!(refused && *class == "book" && account.runs > 0), "{id} had run, and was refused");
+        assert!(!(refused && *class == "book" && account.decode_runs > 0), "{id} had run, and was refused");
         let paused = if id.starts_with("p1") { PAUSE } else { Duration::ZERO };
-        let longest = account.longest.max(account.held.map_or(Duration::ZERO, |at| at.elapsed()));
+        let longest = account.longest_hold.max(account.held_since.map_or(Duration::ZERO, |at| at.elapsed()));
         assert!(killed || longest <= HELD_MOST + paused, "{id} held for {longest:?}, told {status:?}");
     }
 }
--- a/daemon/tests/whole_path.rs
+++ b/daemon/tests/whole_path.rs
@@ -7,8 +7,8 @@
 
 use frosttrail::{Health, ListForm};
 use frosttrail_core::News;
-use frosttrail_standins::link::{Event, Fault, Link, Way};
-use frosttrail_standins::split::{state_of, tokens_of, Reader, Writer};
+use frosttrail_standins::link::{Direction, Fault, Link, ScriptedFault};
+use frosttrail_standins::split::{kv_cache_of, tokens_from, DecodeServer, PrefillServer};
 use frosttrail_transfer::service::Config;
 use support::*;
 use tokio::time::{sleep, timeout, Instant};
@@ -24,8 +24,8 @@
 /// A conductor, two readers, a writer, and the links over which it fetches.
 struct Path {
     site: Open,
-    readers: Vec<Reader>,
-    writer: Writer,
+    readers: Vec<PrefillServer>,
+    writer: DecodeServer,
     links: Vec<Link>,
 }
 
@@ -34,16 +34,17 @@
         let config = Config { chunk: 16 << 10, ..Config::default() };
         let (mut servers, mut links) = (Vec::new(), Vec::new());
         for n in 0..readers {
-            let reader = Reader::start(config, 10 + n as u64, LENGTH, Duration::from_millis(20), log()).await;
+            let reader =
+                PrefillServer::start(config, 10 + n as u64, LENGTH, Duration::from_millis(20), log()).await;
             servers.push(reader.unwrap());
-            links.push(Link::start(servers[n].transfer).await.unwrap());
+            links.push(Link::start(servers[n].transfer_address).await.unwrap());
         }
         let from = links.iter().map(|l| l.address).collect();
-        let writer = Writer::start(config, 1, from, Duration::from_millis(5), log()).await.unwrap();
+        let writer = DecodeServer::start(config, 1, from, Duration::from_millis(5), log()).await.unwrap();
         let names: Vec<String> = (0..readers).map(|n| format!("reader-{n}")).collect();
         let mut members: Vec<_> =
-            names.iter().zip(&servers).map(|(name, b)| (name.as_str(), 0, b.http)).collect();
-        members.push(("writer", 1, writer.http));
+            names.iter().zip(&servers).map(|(name, b)| (name.as_str(), 0, b.http_address)).collect();
+        members.push(("writer", 1, writer.http_address));
         Path { site: Open::before(&members, CLIENT_TIMEOUTS), readers: servers, writer, links }
     }
 
@@ -63,7 +64,7 @@
     }
 
     fn reads(&self) -> u64 {
-        let total = |r: &Reader| r.node.status().total.given + r.node.status().total.freed;
+        let total = |r: &PrefillServer| r.node.status().total.given + r.node.status().total.freed;
         self.readers.iter().map(total).sum::<u64>()
             + self.readers.iter().map(|r| r.node.status().states as u64).sum::<u64>()
     }
@@ -84,7 +85,7 @@
 }
 
 fn right(body: &str) -> String {
-    tokens_of([&state_of(body.as_bytes(), LENGTH)]).concat()
+    tokens_from([&kv_cache_of(body.as_bytes(), LENGTH)]).concat()
 }
 
 #[tokio::test]
@@ -93,9 +94,13 @@
     let answer = path.ask("book", "t-0", "{\"n\":0}").await;
     assert_eq!((answer.status, answer.whole, told(&answer)), (200, true, right("{\"n\":0}")));
     for link in &path.links {
-        let at = |at| Event { way: Way::Down, at, fault: if at % 2 == 0 { Fault::Flip } else { Fault::Cut } };
-        let faults: Vec<Event> = (1..20).map(|n| at(n * 30_011 + link.carried().1)).collect();
-        link.script(&faults);
+        let at = |at| ScriptedFault {
+            direction: Direction::Downstream,
+            offset: at,
+            fault: if at % 2 == 0 { Fault::FlipBit } else { Fault::Reset },
+        };
+        let faults: Vec<ScriptedFault> = (1..20).map(|n| at(n * 30_011 + link.forwarded_bytes().1)).collect();
+        link.add_faults(&faults);
     }
     for n in 1..5 {
         let body = format!("{{\"n\":{n}}}");
@@ -111,14 +116,18 @@
 async fn a_state_that_is_lost_is_read_anew_and_the_book_written_once() {
     let path = Path::start(1).await;
     // Cut in its midst, and no connection for longer than a state is held.
-    path.links[0].script(&[Event { way: Way::Down, at: 200_000, fault: Fault::Cut }]);
+    path.links[0].add_faults(&[ScriptedFault {
+        direction: Direction::Downstream,
+        offset: 200_000,
+        fault: Fault::Reset,
+    }]);
     let (answer, ()) = tokio::join!(path.ask("book", "t-1", "{}"), async {
-        while path.links[0].carried().1 < 200_000 {
+        while path.links[0].forwarded_bytes().1 < 200_000 {
             sleep(Duration::from_millis(1)).await;
         }
-        path.links[0].dark(true);
+        path.links[0].set_unreachable(true);
         sleep(Duration::from_millis(1_300)).await;
-        path.links[0].dark(false);
+        path.links[0].set_unreachable(false);
     });
     assert_eq!((answer.status, answer.whole, told(&answer)), (200, true, right("{}")));
     assert!(path.reads() >= 2, "read anew");
@@ -129,7 +138,7 @@
 #[tokio::test]
 async fn a_client_that_goes_in_the_midst_of_the_move_frees_both_ends() {
     let path = Path::start(2).await;
-    path.links.iter().for_each(|l| l.rate(200_000));
+    path.links.iter().for_each(|l| l.set_rate(200_000));
     let client = send(path.site.platform, &request("book", "t-1", "{}")).await;
     let moving = || path.readers.iter().any(|r| r.node.status().sending > 0);
     while !moving() {
@@ -143,9 +152,9 @@
 #[tokio::test]
 async fn a_reader_that_drains_in_the_midst_of_a_move_costs_a_read_and_no_request() {
     let path = Path::start(2).await;
-    path.links.iter().for_each(|l| l.rate(200_000));
+    path.links.iter().for_each(|l| l.set_rate(200_000));
     let (answer, ()) = tokio::join!(path.ask("ask", "t-1", "{}"), async {
-        let sends = |r: &Reader| r.node.status().sending > 0;
+        let sends = |r: &PrefillServer| r.node.status().sending > 0;
         let n = loop {
             if let Some(n) = path.readers.iter().position(sends) {
                 break n;
@@ -159,7 +168,7 @@
         reader.node.drain(Duration::from_millis(200));
         reader.node.settled().await;
         assert_eq!(reader.node.status().total.freed, 1);
-        path.links.iter().for_each(|l| l.rate(0));
+        path.links.iter().for_each(|l| l.set_rate(0));
     });
     assert_eq!((answer.status, answer.whole, told(&answer)), (200, true, right("{}")));
     path.free_in_time().await;
--- a/soak/src/strike.rs
+++ b/soak/src/strike.rs
@@ -66,9 +66,15 @@
                 let half: Vec<usize> = (0..self.servers.len()).step_by(2).collect();
                 self.silence_servers(&half, event.lasts).await
             }
-            Trouble::ResetServer => self.links(server, Link::cut, Duration::ZERO, |_| {}).await,
+            Trouble::ResetServer => self.links(server, Link::reset_connections, Duration::ZERO, |_| {}).await,
             Trouble::DarkServer => {
-                self.links(server, |link| link.dark(true), event.lasts, |link| link.dark(false)).await
+                self.links(
+                    server,
+                    |link| link.set_unreachable(true),
+                    event.lasts,
+                    |link| link.set_unreachable(false),
+                )
+                .await
             }
             Trouble::HangingServer => self.mode(server, Mode::Hangs, event.lasts).await,
             Trouble::FullServer => self.mode(server, Mode::Full, event.lasts).await,
@@ -205,12 +211,12 @@
     /// What is sent on their connections, open or new, does not arrive, and nothing says so.
     async fn silence_servers(&self, servers: &[usize], lasts: Duration) {
         let all = || self.conductors.iter().flat_map(|c| servers.iter().map(|server| &c.links[*server]));
-        all().for_each(|link| link.stall(true));
+        all().for_each(|link| link.set_stalled(true));
         servers.iter().for_each(|server| self.oracle.silent(*server, true));
         sleep(lasts).await;
         all().for_each(|link| {
-            link.cut();
-            link.stall(false);
+            link.reset_connections();
+            link.set_stalled(false);
         });
         servers.iter().for_each(|server| self.oracle.silent(*server, false));
     }
--- a/standins/src/ledger.rs
+++ b/standins/src/ledger.rs
@@ -18,63 +18,63 @@
 
 /// What one request has come to.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Account {
+pub struct RequestRecord {
     /// Since when a state waits that nobody has taken.
-    pub held: Option<Instant>,
+    pub held_since: Option<Instant>,
     /// The longest that one waited.
-    pub longest: Duration,
+    pub longest_hold: Duration,
     /// How often a writer ran it.
-    pub runs: u32,
+    pub decode_runs: u32,
 }
 
-impl Account {
+impl RequestRecord {
     /// The state is taken or let go of; false where none was held.
     fn ends(&mut self) -> bool {
-        let since = self.held.take();
-        self.longest = self.longest.max(since.map_or(Duration::ZERO, |at| at.elapsed()));
+        let since = self.held_since.take();
+        self.longest_hold = self.longest_hold.max(since.map_or(Duration::ZERO, |at| at.elapsed()));
         since.is_some()
     }
 }
 
 /// The account of a fleet; clones share it.
 #[derive(Clone, Debug, Default)]
-pub struct Ledger(Arc<Mutex<HashMap<Id, Account>>>);
+pub struct Ledger(Arc<Mutex<HashMap<Id, RequestRecord>>>);
 
 impl Ledger {
-    fn with<T>(&self, id: &Id, f: impl FnOnce(&mut Account) -> T) -> T {
+    fn with<T>(&self, id: &Id, f: impl FnOnce(&mut RequestRecord) -> T) -> T {
         f(self.0.lock().unwrap_or_else(|e| e.into_inner()).entry(id.clone()).or_default())
     }
 
     /// All requests that reached a server.
-    pub fn accounts(&self) -> HashMap<Id, Account> {
+    pub fn records(&self) -> HashMap<Id, RequestRecord> {
         self.0.lock().unwrap_or_else(|e| e.into_inner()).clone()
     }
 }
 
 /// A server of the fleet. Dropping it ends it, as a crash would.
-pub struct Member {
+pub struct StubServer {
     /// Where conductors send requests.
-    pub http: SocketAddr,
+    pub http_address: SocketAddr,
     _serving: AbortOnDropHandle<()>,
 }
 
-impl Member {
+impl StubServer {
     /// A reader that takes so long for a prompt.
-    pub async fn reader(ledger: &Ledger, takes: Duration) -> io::Result<Self> {
+    pub async fn start_prefill(ledger: &Ledger, takes: Duration) -> io::Result<Self> {
         Self::start(ledger, move |ledger, id| async move {
             sleep(takes).await;
-            ledger.with(&id, |account| account.held = Some(Instant::now()));
+            ledger.with(&id, |account| account.held_since = Some(Instant::now()));
             answer(202, false, "{\"cached_tokens\":0}")
         })
         .await
     }
 
     /// A writer that takes so long to its first token; one without the state turns the request away.
-    pub async fn writer(ledger: &Ledger, takes: Duration) -> io::Result<Self> {
+    pub async fn start_decode(ledger: &Ledger, takes: Duration) -> io::Result<Self> {
         Self::start(ledger, move |ledger, id| async move {
             let there = ledger.with(&id, |account| {
                 let there = account.ends();
-                account.runs += u32::from(there);
+                account.decode_runs += u32::from(there);
                 there
             });
             if !there {
@@ -96,9 +96,9 @@
     {
         let (here, books) = (ledger.clone(), ledger.clone());
         let lets_go = move |id: &Id| {
-            here.with(id, Account::ends);
+            here.with(id, RequestRecord::ends);
         };
-        let (http, serving) = serve(lets_go, move |id, _: Bytes| does(books.clone(), id)).await?;
-        Ok(Member { http, _serving: serving })
+        let (http_address, serving) = serve(lets_go, move |id, _: Bytes| does(books.clone(), id)).await?;
+        Ok(StubServer { http_address, _serving: serving })
     }
 }
--- a/standins/src/link.rs
+++ b/standins/src/link.rs
@@ -21,58 +21,58 @@
 
 /// Which way bytes go.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum Direction {
     /// From whoever connected.
-    Up,
+    Upstream,
     /// Back to it.
-    Down,
+    Downstream,
 }
 
 /// What happens at a byte.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// One bit of it is flipped.
-    Flip,
+    FlipBit,
     /// All connections are reset before it.
-    Cut,
+    Reset,
     /// Nothing more is carried, and nothing is closed, from before it on.
     Stall,
 }
 
 /// A fault at a byte, counted over all connections of the link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Event {
+pub struct ScriptedFault {
     /// In which direction.
-    pub way: Way,
+    pub direction: Direction,
     /// Before or at which byte.
-    pub at: u64,
+    pub offset: u64,
     /// What happens.
     pub fault: Fault,
 }
 
 #[derive(Debug, Default)]
 struct Script {
-    events: Vec<Event>,
+    events: Vec<ScriptedFault>,
     carried: [u64; 2],
 }
 
 impl Script {
     /// How many of so many bytes may be carried, with what happens behind them.
-    fn next(&mut self, way: Way, bytes: &mut [u8]) -> (usize, Option<Fault>) {
-        let from = self.carried[way as usize];
-        let due = |e: &Event| e.way == way && e.at < from + bytes.len() as u64;
-        let first = self.events.iter().enumerate().filter(|(_, e)| due(e)).min_by_key(|(_, e)| e.at);
+    fn next(&mut self, direction: Direction, bytes: &mut [u8]) -> (usize, Option<Fault>) {
+        let from = self.carried[direction as usize];
+        let due = |e: &ScriptedFault| e.direction == direction && e.offset < from + bytes.len() as u64;
+        let first = self.events.iter().enumerate().filter(|(_, e)| due(e)).min_by_key(|(_, e)| e.offset);
         let Some((index, event)) = first.map(|(i, e)| (i, *e)) else {
-            self.carried[way as usize] += bytes.len() as u64;
+            self.carried[direction as usize] += bytes.len() as u64;
             return (bytes.len(), None);
         };
         self.events.swap_remove(index);
-        let mut length = event.at.saturating_sub(from) as usize;
-        if event.fault == Fault::Flip {
-            bytes[length] ^= 1 << (event.at % 8);
+        let mut length = event.offset.saturating_sub(from) as usize;
+        if event.fault == Fault::FlipBit {
+            bytes[length] ^= 1 << (event.offset % 8);
             length += 1;
         }
-        self.carried[way as usize] += length as u64;
+        self.carried[direction as usize] += length as u64;
         (length, Some(event.fault))
     }
 }
@@ -120,22 +120,22 @@
     }
 
     /// Carries at most so many bytes a second, each way for itself being no rate of its own: all share one.
-    pub fn rate(&self, bytes_per_second: u64) {
+    pub fn set_rate(&self, bytes_per_second: u64) {
         self.shared.rate.store(bytes_per_second, Ordering::Relaxed);
     }
 
     /// Everything comes this much later.
-    pub fn delay(&self, delay: Duration) {
+    pub fn set_delay(&self, delay: Duration) {
         *lock(&self.shared.delay) = delay;
     }
 
     /// Adds faults to the script.
-    pub fn script(&self, events: &[Event]) {
+    pub fn add_faults(&self, events: &[ScriptedFault]) {
         lock(&self.shared.script).events.extend(events);
     }
 
     /// Bytes carried so far, up and down.
-    pub fn carried(&self) -> (u64, u64) {
+    pub fn forwarded_bytes(&self) -> (u64, u64) {
         let [up, down] = lock(&self.shared.script).carried;
         (up, down)
     }
@@ -146,23 +146,23 @@
     }
 
     /// New connections lead elsewhere.
-    pub fn forward_to(&self, to: SocketAddr) {
+    pub fn set_target(&self, to: SocketAddr) {
         *lock(&self.shared.to) = to;
     }
 
     /// Resets all connections.
-    pub fn cut(&self) {
+    pub fn reset_connections(&self) {
         self.shared.cut();
     }
 
     /// Carries nothing, or goes on.
-    pub fn stall(&self, stalled: bool) {
+    pub fn set_stalled(&self, stalled: bool) {
         self.shared.stalled.send_replace(stalled);
     }
 
     /// Takes no connections, or takes them again.
-    pub fn dark(&self, dark: bool) {
-        self.shared.dark.store(dark, Ordering::Relaxed);
+    pub fn set_unreachable(&self, unreachable: bool) {
+        self.shared.dark.store(unreachable, Ordering::Relaxed);
     }
 }
 
@@ -210,8 +210,8 @@
                     stream.set_linger(Some(Duration::ZERO))?;
                 }
                 let ((near_read, near_write), (far_read, far_write)) = (near.into_split(), far.into_split());
-                let up = carry(&shared, Way::Up, near_read, far_write);
-                let down = carry(&shared, Way::Down, far_read, near_write);
+                let up = carry(&shared, Direction::Upstream, near_read, far_write);
+                let down = carry(&shared, Direction::Downstream, far_read, near_write);
                 tokio::select! {
                     r = up => r,
                     r = down => r,
@@ -228,7 +228,7 @@
 /// One direction of one connection: a task that reads and waits its turn, one that writes after the delay.
 async fn carry(
     shared: &Shared,
-    way: Way,
+    direction: Direction,
     mut read: impl tokio::io::AsyncRead + Unpin,
     mut write: impl tokio::io::AsyncWrite + Unpin,
 ) -> io::Result<()> {
@@ -245,7 +245,7 @@
             while !rest.is_empty() {
                 let _ = stalled.wait_for(|s| !s).await;
                 let fault;
-                (length, fault) = lock(&shared.script).next(way, rest);
+                (length, fault) = lock(&shared.script).next(direction, rest);
                 if let Some(end) = shared.through(length) {
                     sleep_until(end).await;
                 }
@@ -254,7 +254,7 @@
                     return Ok(());
                 }
                 match fault {
-                    Some(Fault::Cut) => {
+                    Some(Fault::Reset) => {
                         // What went before it arrives.
                         tokio::task::yield_now().await;
                         while tell.capacity() < tell.max_capacity() {
@@ -266,7 +266,7 @@
                     Some(Fault::Stall) => {
                         shared.stalled.send_replace(true);
                     }
-                    Some(Fault::Flip) | None => {}
+                    Some(Fault::FlipBit) | None => {}
                 }
                 rest = &mut rest[length..];
             }
--- a/standins/src/split.rs
+++ b/standins/src/split.rs
@@ -22,14 +22,14 @@
 use crate::http::{answer, any, serve, turned_away, Body};
 
 /// The state that a reader makes of a prompt: so many bytes, which depend on all of it.
-pub fn state_of(prompt: &[u8], length: usize) -> Bytes {
+pub fn kv_cache_of(prompt: &[u8], length: usize) -> Bytes {
     let mut state = vec![0; length];
     blake3::Hasher::new().update(prompt).finalize_xof().fill(&mut state);
     state.into()
 }
 
 /// The tokens that a writer finds in a state: they depend on all of its bytes.
-pub fn tokens_of<'a>(chunks: impl IntoIterator<Item = &'a Bytes>) -> Vec<String> {
+pub fn tokens_from<'a>(chunks: impl IntoIterator<Item = &'a Bytes>) -> Vec<String> {
     let mut hasher = blake3::Hasher::new();
     for chunk in chunks {
         hasher.update(chunk);
@@ -39,17 +39,17 @@
 }
 
 /// A stand-in reader. Dropping it ends it, as a crash would.
-pub struct Reader {
+pub struct PrefillServer {
     /// Where conductors send prompts.
-    pub http: SocketAddr,
+    pub http_address: SocketAddr,
     /// Where writers fetch states.
-    pub transfer: SocketAddr,
+    pub transfer_address: SocketAddr,
     /// What holds them.
     pub node: Arc<Node>,
     _serving: AbortOnDropHandle<()>,
 }
 
-impl Reader {
+impl PrefillServer {
     /// Makes states of so many bytes, and takes so long for it.
     pub async fn start(
         config: Config,
@@ -59,35 +59,35 @@
         log: Logger,
     ) -> io::Result<Self> {
         let node = Arc::new(Node::new(config, incarnation, log));
-        let transfer = node.listen(any()).await?;
+        let transfer_address = node.listen(any()).await?;
         let read = {
             let node = node.clone();
             move |id, prompt| read(node.clone(), id, prompt, length, takes)
         };
-        let (http, serving) = serve(releases(&node), read).await?;
-        Ok(Reader { http, transfer, node, _serving: serving })
+        let (http_address, serving) = serve(releases(&node), read).await?;
+        Ok(PrefillServer { http_address, transfer_address, node, _serving: serving })
     }
 }
 
 async fn read(node: Arc<Node>, id: Id, prompt: Bytes, length: usize, takes: Duration) -> Response<Body> {
     let Ok(reading) = node.begin(id) else { return turned_away(503) };
     sleep(takes).await;
-    match reading.put(state_of(&prompt, length)).await {
+    match reading.put(kv_cache_of(&prompt, length)).await {
         Ok(()) => answer(202, false, "{\"cached_tokens\":0}"),
         Err(_) => answer(500, false, ""),
     }
 }
 
 /// A stand-in writer. Dropping it ends it.
-pub struct Writer {
+pub struct DecodeServer {
     /// Where conductors send requests.
-    pub http: SocketAddr,
+    pub http_address: SocketAddr,
     /// What fetches their states.
     pub node: Arc<Node>,
     _serving: AbortOnDropHandle<()>,
 }
 
-impl Writer {
+impl DecodeServer {
     /// Fetches states from these nodes, and says a token so often.
     pub async fn start(
         config: Config,
@@ -110,14 +110,14 @@
                 }
             }
         };
-        let (http, serving) = serve(releases(&node), write).await?;
-        Ok(Writer { http, node, _serving: serving })
+        let (http_address, serving) = serve(releases(&node), write).await?;
+        Ok(DecodeServer { http_address, node, _serving: serving })
     }
 }
 
 /// The stream of an answer; the state is held until its end.
 fn stream_of(state: Whole, every: Duration) -> Response<Body> {
-    let tokens = tokens_of(state.chunks());
+    let tokens = tokens_from(state.chunks());
     let events = tokens.iter().map(|token| {
         let choice = format!("{{\"index\":0,\"delta\":{{\"content\":\"{token}\"}},\"finish_reason\":null}}");
         format!("data: {{\"choices\":[{choice}]}}\n\n")
--- a/transfer/benches/transfer.rs
+++ b/transfer/benches/transfer.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use cap::Cap;
-use frosttrail_standins::link::{Event, Fault, Link, Way};
+use frosttrail_standins::link::{Direction, Fault, Link, ScriptedFault};
 use frosttrail_transfer::proof::Proof;
 use frosttrail_transfer::service::{Config, Node, Whole};
 use frosttrail_transfer::wire::Id;
@@ -91,7 +91,7 @@
 fn slow_link(to: SocketAddr, rate: usize) -> (SocketAddr, tokio::sync::oneshot::Sender<()>) {
     beside(move || async move {
         let link = Link::start(to).await.unwrap();
-        link.rate(rate as u64);
+        link.set_rate(rate as u64);
         (link.address, Box::new(link) as Box<dyn std::any::Any>)
     })
 }
@@ -238,7 +238,11 @@
         for _ in 0..5 {
             let holder = Node::new(config, 7, log());
             let link = Link::start(holder.listen(any()).await.unwrap()).await.unwrap();
-            link.script(&[Event { way: Way::Down, at: 32 * MB as u64, fault: Fault::Cut }]);
+            link.add_faults(&[ScriptedFault {
+                direction: Direction::Downstream,
+                offset: 32 * MB as u64,
+                fault: Fault::Reset,
+            }]);
             holder.begin(id("r")).unwrap().put(state.clone()).await.unwrap();
             let node = Node::new(config, 8, log());
             drop(node.fetch(&id("r"), &[link.address], None).await.unwrap());
@@ -276,7 +280,7 @@
     let mut rng = SmallRng::seed_from_u64(seed);
     let holder = Node::new(config, 1, log());
     let link = Link::start(holder.listen(any()).await.unwrap()).await.unwrap();
-    link.rate(8 * MB as u64);
+    link.set_rate(8 * MB as u64);
     holder.begin(id("r")).unwrap().put(content(seed, 4 * MB)).await.unwrap();
     let node = Node::new(config, 2, log());
     let (name, from) = (id("r"), [link.address]);
@@ -291,12 +295,12 @@
     let kind = rng.random_range(0..6);
     match kind {
         0 => {
-            link.dark(true);
-            link.cut();
+            link.set_unreachable(true);
+            link.reset_connections();
         }
         1 => {
-            link.dark(true);
-            link.stall(true);
+            link.set_unreachable(true);
+            link.set_stalled(true);
         }
         2 => holder.release(&name),
         3 => node.release(&name),
@@ -339,7 +343,7 @@
         // Warm, then stalled with all moves begun.
         drop(node.fetch(&id("none"), &[link.address], None).await);
         let base = ALLOCATED.allocated();
-        link.stall(true);
+        link.set_stalled(true);
         let from = [link.address];
         let moves: Vec<_> = names.iter().map(|n| node.fetch(n, &from, None)).collect();
         // Counted while they are there.
@@ -369,7 +373,11 @@
         let node = Node::new(config, 2, log());
         drop(node.fetch(&id("none"), &[link.address], None).await);
         let base = ALLOCATED.allocated();
-        link.script(&[Event { way: Way::Down, at: 50 * MB as u64, fault: Fault::Stall }]);
+        link.add_faults(&[ScriptedFault {
+            direction: Direction::Downstream,
+            offset: 50 * MB as u64,
+            fault: Fault::Stall,
+        }]);
         let from = [link.address];
         let moves: Vec<_> = names.iter().map(|n| node.fetch(n, &from, None)).collect();
         let count = async {
--- a/transfer/tests/service.rs
+++ b/transfer/tests/service.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use frosttrail_standins::link::{Event, Fault, Link, Way};
+use frosttrail_standins::link::{Direction, Fault, Link, ScriptedFault};
 use frosttrail_transfer::cause::Cause;
 use frosttrail_transfer::service::{ask, Config, FetchError, Inbox, Node, Whole};
 use frosttrail_transfer::wire::Id;
@@ -146,9 +146,13 @@
             0..20 => round * 24,
             _ => rng.random_range(0..state.len() as u64),
         };
-        let up = Event { way: Way::Up, at: rng.random_range(0..200), fault: Fault::Flip };
-        let down = Event { way: Way::Down, at, fault: Fault::Flip };
-        pair.link.script(&[down, up][..if round % 4 == 0 { 2 } else { 1 }]);
+        let up = ScriptedFault {
+            direction: Direction::Upstream,
+            offset: rng.random_range(0..200),
+            fault: Fault::FlipBit,
+        };
+        let down = ScriptedFault { direction: Direction::Downstream, offset: at, fault: Fault::FlipBit };
+        pair.link.add_faults(&[down, up][..if round % 4 == 0 { 2 } else { 1 }]);
         pair.put("r1", &state).await;
         let whole = pair.fetch("r1").await.unwrap();
         assert!(same(&whole, &state), "flipped at {at}");
@@ -164,8 +168,12 @@
     let pair = Pair::start().await;
     let state = content(4, CHUNK as usize);
     // In each copy of the only chunk, one bit.
-    let flips = (0..40).map(|n| Event { way: Way::Down, at: 4_000 + n * 8_000, fault: Fault::Flip });
-    pair.link.script(&flips.collect::<Vec<_>>());
+    let flips = (0..40).map(|n| ScriptedFault {
+        direction: Direction::Downstream,
+        offset: 4_000 + n * 8_000,
+        fault: Fault::FlipBit,
+    });
+    pair.link.add_faults(&flips.collect::<Vec<_>>());
     let mut reports = pair.holder.freed();
     pair.put("r1", &state).await;
     assert_eq!(pair.fetch("r1").await.unwrap_err(), FetchError::Failed(Cause::Corrupt));
@@ -185,7 +193,11 @@
         [0, 20, 54, 80].into_iter().chain(headers).chain((0..20).map(|_| rng.random_range(0..190_000)));
     for at in places {
         let pair = Pair::start().await;
-        pair.link.script(&[Event { way: Way::Down, at, fault: Fault::Cut }]);
+        pair.link.add_faults(&[ScriptedFault {
+            direction: Direction::Downstream,
+            offset: at,
+            fault: Fault::Reset,
+        }]);
         pair.put("r1", &state).await;
         assert!(same(&pair.fetch("r1").await.unwrap(), &state), "cut at {at}");
         let window = u64::from(config().taker.window);
@@ -195,7 +207,11 @@
     }
     for at in (0..400).step_by(13) {
         let pair = Pair::start().await;
-        pair.link.script(&[Event { way: Way::Up, at, fault: Fault::Cut }]);
+        pair.link.add_faults(&[ScriptedFault {
+            direction: Direction::Upstream,
+            offset: at,
+            fault: Fault::Reset,
+        }]);
         pair.put("r1", &state).await;
         assert!(same(&pair.fetch("r1").await.unwrap(), &state), "cut upwards at {at}");
     }
@@ -204,34 +220,34 @@
 #[tokio::test]
 async fn a_link_that_is_gone_or_silent_for_half_a_second_is_waited_for_and_for_more_is_not() {
     let state = content(6, 40 * CHUNK as usize);
-    for fault in [Fault::Cut, Fault::Stall] {
+    for fault in [Fault::Reset, Fault::Stall] {
         let pair = Pair::start().await;
-        pair.link.script(&[Event { way: Way::Down, at: 200_000, fault }]);
+        pair.link.add_faults(&[ScriptedFault { direction: Direction::Downstream, offset: 200_000, fault }]);
         pair.put("r1", &state).await;
         let back = async {
-            while pair.link.carried().1 < 200_000 {
+            while pair.link.forwarded_bytes().1 < 200_000 {
                 sleep(Duration::from_millis(1)).await;
             }
-            pair.link.dark(true);
-            pair.link.cut();
+            pair.link.set_unreachable(true);
+            pair.link.reset_connections();
             sleep(Duration::from_millis(500)).await;
-            pair.link.stall(false);
-            pair.link.dark(false);
+            pair.link.set_stalled(false);
+            pair.link.set_unreachable(false);
         };
         let (whole, ()) = tokio::join!(pair.fetch("r1"), back);
         assert!(same(&whole.unwrap(), &state), "{fault:?}");
         assert!(pair.resent(&state) <= u64::from(config().taker.window));
 
         let pair = Pair::start().await;
-        pair.link.script(&[Event { way: Way::Down, at: 200_000, fault }]);
+        pair.link.add_faults(&[ScriptedFault { direction: Direction::Downstream, offset: 200_000, fault }]);
         pair.put("r1", &state).await;
         let gone = async {
-            while pair.link.carried().1 < 200_000 {
+            while pair.link.forwarded_bytes().1 < 200_000 {
                 sleep(Duration::from_millis(1)).await;
             }
-            pair.link.dark(true);
-            if fault == Fault::Cut {
-                pair.link.cut();
+            pair.link.set_unreachable(true);
+            if fault == Fault::Reset {
+                pair.link.reset_connections();
             }
             pair.free_in_time().await;
         };
@@ -245,7 +261,7 @@
     let state = content(7, 2_000_000);
     for end in 0..3 {
         let pair = Pair::start().await;
-        pair.link.rate(4_000_000);
+        pair.link.set_rate(4_000_000);
         pair.put("r1", &state).await;
         let fetch = pair.fetch("r1");
         if end == 0 {
@@ -254,7 +270,7 @@
             assert_eq!((status.fetching, status.memory), (0, 0), "given up with the future");
             // Nobody else comes for it; or somebody does, and it is there.
             sleep(Duration::from_millis(300)).await;
-            pair.link.rate(0);
+            pair.link.set_rate(0);
             assert!(same(&pair.fetch("r1").await.unwrap(), &state));
         } else {
             let release = async {
@@ -285,10 +301,14 @@
 async fn a_restarted_holder_is_not_taken_for_the_one_before() {
     let state = content(8, 2_000_000);
     let mut pair = Pair::start().await;
-    pair.link.script(&[Event { way: Way::Down, at: 1_000_000, fault: Fault::Stall }]);
+    pair.link.add_faults(&[ScriptedFault {
+        direction: Direction::Downstream,
+        offset: 1_000_000,
+        fault: Fault::Stall,
+    }]);
     pair.put("r1", &state).await;
     let again = async {
-        while pair.link.carried().1 < 1_000_000 {
+        while pair.link.forwarded_bytes().1 < 1_000_000 {
             sleep(Duration::from_millis(1)).await;
         }
     };
@@ -304,9 +324,9 @@
     other.begin(id("r1")).unwrap().put(content(9, 2_000_000)).await.unwrap();
     let link = Link::start(other.listen(any()).await.unwrap()).await.unwrap();
     pair.holder = other;
-    pair.link.forward_to(link.address);
-    pair.link.cut();
-    pair.link.stall(false);
+    pair.link.set_target(link.address);
+    pair.link.reset_connections();
+    pair.link.set_stalled(false);
     assert_eq!(timeout(LATEST, fetch).await.unwrap().unwrap_err(), FetchError::Failed(Cause::Gone));
 }
 
@@ -315,7 +335,7 @@
     let mut config = config();
     config.taker.memory = 20 * 100_000;
     let pair = Pair::with(config).await;
-    pair.link.rate(20_000_000);
+    pair.link.set_rate(20_000_000);
     let states: Vec<Bytes> = (0..64).map(|n| content(n, 100_000)).collect();
     let moves = states.iter().enumerate().map(|(n, state)| {
         let (pair, name) = (&pair, format!("r{n}"));
@@ -337,7 +357,7 @@
     let pair = Pair::with(config).await;
     let stuck = Node::new(config, 3, log());
     let slow = Link::start(pair.link.target()).await.unwrap();
-    slow.rate(20_000);
+    slow.set_rate(20_000);
     let state = content(1, 1_000_000);
     pair.put("slow", &state).await;
     pair.put("r1", &state).await;
@@ -366,7 +386,7 @@
     for name in ["r1", "r2"] {
         pair.put(name, &state).await;
     }
-    pair.link.rate(4_000_000);
+    pair.link.set_rate(4_000_000);
     let drain = async {
         while pair.holder.status().sending == 0 {
             sleep(Duration::from_millis(1)).await;
@@ -389,7 +409,11 @@
     let service = Node::new(Config { inbox: Inbox::Hand, ..config() }, 2, log());
     let mut arrived = service.arrived();
     let link = Link::start(service.listen(any()).await.unwrap()).await.unwrap();
-    link.script(&[300_000, 700_000].map(|at| Event { way: Way::Up, at, fault: Fault::Cut }));
+    link.add_faults(&[300_000, 700_000].map(|at| ScriptedFault {
+        direction: Direction::Upstream,
+        offset: at,
+        fault: Fault::Reset,
+    }));
     let from = Node::new(config(), 1, log());
     from.begin(id("r1")).unwrap().put(state.clone()).await.unwrap();
     timeout(LATEST, from.push(&id("r1"), link.address)).await.unwrap().unwrap();
@@ -455,7 +479,7 @@
     sleep(Duration::from_millis(50)).await;
     let taker = Node::new(config(), 2, self::log());
     let link = Link::start(at).await.unwrap();
-    link.rate(2_000_000);
+    link.set_rate(2_000_000);
     let (r1, from) = (id("r1"), [link.address]);
     let fetch = taker.fetch(&r1, &from, None);
     let bad = async {
