--- a/daemon/src/command/transfer.rs
+++ b/daemon/src/command/transfer.rs
@@ -7,8 +7,10 @@
 use clap::{Args, Subcommand};
 use frosttrail_daemon::config::TransferConfig;
 use frosttrail_transfer::cause::Cause;
-use frosttrail_transfer::service::{ask, Arrived, Config, FetchError, Node, PutError, StatusError, Whole};
-use frosttrail_transfer::wire::{Id, IdError};
+use frosttrail_transfer::service::{
+    query_status, Config, FetchError, Node, PushedCache, ReceivedCache, StatusError, StoreError,
+};
+use frosttrail_transfer::wire::{RequestId, RequestIdError};
 use percent_encoding::{utf8_percent_encode, AsciiSet, NON_ALPHANUMERIC};
 use slog::{error, info, Logger};
 use tokio::io::AsyncWriteExt;
@@ -28,13 +30,13 @@
     #[error("{0}: {1}")]
     File(PathBuf, std::io::Error),
     #[error("{0} holds no state: {1}")]
-    Put(PathBuf, PutError),
+    Put(PathBuf, StoreError),
     #[error("{0} was not taken: {1}")]
-    Push(Id, Cause),
+    Push(RequestId, Cause),
     #[error("{0} was not had: {1}")]
-    Fetch(Id, FetchError),
+    Fetch(RequestId, FetchError),
     #[error("{0} was not moved within {1} s")]
-    Time(Id, u64),
+    Time(RequestId, u64),
     #[error("{0}: {1}")]
     Status(SocketAddr, StatusError),
 }
@@ -64,7 +66,7 @@
     file: PathBuf,
     /// The request's id, which names the state.
     #[arg(long, value_parser = id)]
-    id: Id,
+    id: RequestId,
     /// The node that is to have it.
     #[arg(long, value_name = "ADDRESS")]
     to: SocketAddr,
@@ -80,7 +82,7 @@
 pub struct Fetch {
     /// The request's id, which names the state.
     #[arg(long, value_parser = id)]
-    id: Id,
+    id: RequestId,
     /// A node that may have it; may be given several times.
     #[arg(long, value_name = "ADDRESS", required = true)]
     from: Vec<SocketAddr>,
@@ -99,8 +101,8 @@
     at: SocketAddr,
 }
 
-fn id(text: &str) -> Result<Id, IdError> {
-    Id::new(text)
+fn id(text: &str) -> Result<RequestId, RequestIdError> {
+    RequestId::new(text)
 }
 
 /// Runs one of them.
@@ -128,7 +130,7 @@
     log: Logger,
 ) -> Result<(), ServeError> {
     let node = Node::new(config.node, incarnation()?, log.clone());
-    let mut arrived = node.arrived();
+    let mut arrived = node.subscribe_pushed();
     let at = node.listen(config.listen).await.map_err(|e| ServeError::Bind(config.listen, e))?;
     info!(log, "listening"; "at" => at);
     loop {
@@ -143,7 +145,7 @@
     let rest = async {
         loop {
             tokio::select! {
-                () = node.settled() => break,
+                () = node.wait_until_idle() => break,
                 Some(state) = arrived.recv() => take(&node, state, config.store.as_deref(), &log).await,
             }
         }
@@ -158,7 +160,12 @@
 }
 
 /// Keeps in the folder what has arrived. Where that fails, or there is no folder, it is held for a taker.
-async fn take(node: &Node, Arrived { id, state }: Arrived, store: Option<&Path>, log: &Logger) {
+async fn take(
+    node: &Node,
+    PushedCache { id, cache: state }: PushedCache,
+    store: Option<&Path>,
+    log: &Logger,
+) {
     let bytes = state.length();
     if let Some(folder) = store {
         let file = folder.join(file_name(&id));
@@ -167,8 +174,8 @@
             Err(e) => error!(log, "not stored"; "request" => %id, "file" => ?file, "why" => %e),
         }
     }
-    let held = match node.begin(id.clone()) {
-        Ok(reading) => reading.put(state.chunks().concat().into()).await,
+    let held = match node.begin_prefill(id.clone()) {
+        Ok(reading) => reading.store(state.chunks().concat().into()).await,
         Err(cause) => Err(cause.into()),
     };
     match held {
@@ -178,7 +185,7 @@
 }
 
 /// A name that stays in its folder, whatever the id.
-fn file_name(id: &Id) -> String {
+fn file_name(id: &RequestId) -> String {
     let name = utf8_percent_encode(id.as_str(), PLAIN).to_string();
     match name.len() {
         0..=LONGEST_NAME => name,
@@ -187,7 +194,7 @@
 }
 
 /// Writes a state beside the file, then gives it its name: whoever looks sees all of it or nothing.
-async fn write(file: &Path, state: &Whole) -> std::io::Result<()> {
+async fn write(file: &Path, state: &ReceivedCache) -> std::io::Result<()> {
     let mut part = file.as_os_str().to_owned();
     part.push(format!(".{}.part", std::process::id()));
     let written = async {
@@ -209,12 +216,12 @@
     let Send { file, id, to, chunk, within } = args;
     let state = std::fs::read(&file).map_err(|e| TransferError::File(file.clone(), e))?;
     let (log, _guard) = logger("send");
-    let node = Node::new(Config { chunk, ..Config::default() }, incarnation()?, log);
+    let node = Node::new(Config { chunk_bytes: chunk, ..Config::default() }, incarnation()?, log);
     let bytes = state.len();
     let moved = async {
         let put = |e| TransferError::Put(file.clone(), e);
-        let reading = node.begin(id.clone()).map_err(|e| put(e.into()))?;
-        reading.put(state.into()).await.map_err(put)?;
+        let reading = node.begin_prefill(id.clone()).map_err(|e| put(e.into()))?;
+        reading.store(state.into()).await.map_err(put)?;
         node.push(&id, to).await.map_err(|e| TransferError::Push(id.clone(), e))
     };
     let end = timeout(Duration::from_secs(within), moved).await;
@@ -237,7 +244,8 @@
 }
 
 async fn status(args: Status) -> Result<(), ServeError> {
-    let status = ask(args.at, Duration::from_secs(2)).await.map_err(|e| TransferError::Status(args.at, e))?;
+    let status =
+        query_status(args.at, Duration::from_secs(2)).await.map_err(|e| TransferError::Status(args.at, e))?;
     println!("{}", serde_json::to_string_pretty(&status).map_err(std::io::Error::other)?);
     Ok(())
 }
--- a/daemon/src/config.rs
+++ b/daemon/src/config.rs
@@ -9,7 +9,7 @@
 use frosttrail_membership::gossip::Role;
 use frosttrail_membership::service::Config as Membership;
 use frosttrail_membership::Terms;
-use frosttrail_transfer::service::{Config as Node, Inbox};
+use frosttrail_transfer::service::{Config as Node, PushPolicy};
 use serde::de::DeserializeOwned;
 use serde::Deserialize;
 use serde_json::Value;
@@ -360,8 +360,8 @@
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
         let wrong = |what: &str| ConfigError::Deploy(path.to_path_buf(), what.to_string());
         let file: TransferFile = json_file(path)?;
-        let inbox = if file.store.is_some() { Inbox::Hand } else { Inbox::Hold };
-        let mut node = Node { inbox, ..Default::default() };
+        let push_policy = if file.store.is_some() { PushPolicy::Deliver } else { PushPolicy::Store };
+        let mut node = Node { push_policy, ..Default::default() };
         let set = |slot: &mut u64, value: Option<u64>, unit: u64| {
             if let Some(value) = value {
                 *slot = value.saturating_mul(unit);
@@ -369,18 +369,18 @@
         };
         let kib = |value: u32, name| value.checked_mul(1 << 10).ok_or_else(|| wrong(name));
         if let Some(chunk) = file.chunk_kib {
-            node.chunk = kib(chunk, "chunk_kib is too large")?;
+            node.chunk_bytes = kib(chunk, "chunk_kib is too large")?;
         }
         if let Some(window) = file.window_kib {
-            node.taker.window = kib(window, "window_kib is too large")?;
+            node.receiver.window_bytes = kib(window, "window_kib is too large")?;
         }
-        set(&mut node.holder.in_flight, file.in_flight_kib, 1 << 10);
-        set(&mut node.taker.memory, file.memory_mib, 1 << 20);
-        set(&mut node.holder.bytes, file.held_mib, 1 << 20);
-        set(&mut node.times.hold, file.hold_ms, 1_000);
-        set(&mut node.times.limit, file.limit_ms, 1_000);
-        set(&mut node.times.silence, file.silence_ms, 1_000);
-        node.connections = file.connections.unwrap_or(node.connections);
+        set(&mut node.sender.max_in_flight_bytes, file.in_flight_kib, 1 << 10);
+        set(&mut node.receiver.max_memory_bytes, file.memory_mib, 1 << 20);
+        set(&mut node.sender.max_bytes, file.held_mib, 1 << 20);
+        set(&mut node.timeouts.hold_ttl, file.hold_ms, 1_000);
+        set(&mut node.timeouts.transfer_timeout, file.limit_ms, 1_000);
+        set(&mut node.timeouts.silence_timeout, file.silence_ms, 1_000);
+        node.max_connections = file.connections.unwrap_or(node.max_connections);
         if let Some(store) = file.store.as_ref().filter(|s| !s.is_dir()) {
             return Err(wrong(&format!("store: {} is no folder", store.display())));
         }
--- a/daemon/tests/whole_path.rs
+++ b/daemon/tests/whole_path.rs
@@ -31,7 +31,7 @@
 
 impl Path {
     async fn start(readers: usize) -> Self {
-        let config = Config { chunk: 16 << 10, ..Config::default() };
+        let config = Config { chunk_bytes: 16 << 10, ..Config::default() };
         let (mut servers, mut links) = (Vec::new(), Vec::new());
         for n in 0..readers {
             let reader = Reader::start(config, 10 + n as u64, LENGTH, Duration::from_millis(20), log()).await;
@@ -57,7 +57,7 @@
         let begin = Instant::now();
         self.site.conductor.released().await;
         for node in self.readers.iter().map(|r| &r.node).chain([&self.writer.node]) {
-            timeout(LATEST, node.settled()).await.unwrap();
+            timeout(LATEST, node.wait_until_idle()).await.unwrap();
         }
         assert!(begin.elapsed() <= RULE, "free after {:?}", begin.elapsed());
     }
@@ -157,7 +157,7 @@
         path.site.news.send(News { form: ListForm::Changes, entries }).unwrap();
         // Too short for what is left: it is freed and read at the other.
         reader.node.drain(Duration::from_millis(200));
-        reader.node.settled().await;
+        reader.node.wait_until_idle().await;
         assert_eq!(reader.node.status().total.freed, 1);
         path.links.iter().for_each(|l| l.rate(0));
     });
--- a/standins/src/http.rs
+++ b/standins/src/http.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 use bytes::Bytes;
-use frosttrail_transfer::wire::Id;
+use frosttrail_transfer::wire::RequestId;
 use http_body_util::combinators::BoxBody;
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
@@ -20,8 +20,8 @@
 /// Serves the protocol: requests by what this server does, and the call that lets go of a state.
 pub(crate) async fn serve<L, F, R>(lets_go: L, does: F) -> io::Result<(SocketAddr, AbortOnDropHandle<()>)>
 where
-    L: Fn(&Id) + Clone + Send + Sync + 'static,
-    F: Fn(Id, Bytes) -> R + Clone + Send + Sync + 'static,
+    L: Fn(&RequestId) + Clone + Send + Sync + 'static,
+    F: Fn(RequestId, Bytes) -> R + Clone + Send + Sync + 'static,
     R: std::future::Future<Output = Response<Body>> + Send + 'static,
 {
     let listener = TcpListener::bind(any()).await?;
@@ -42,13 +42,13 @@
 
 async fn one<L, F, R>(lets_go: L, does: F, request: Request<Incoming>) -> Result<Response<Body>, hyper::Error>
 where
-    L: Fn(&Id),
-    F: Fn(Id, Bytes) -> R,
+    L: Fn(&RequestId),
+    F: Fn(RequestId, Bytes) -> R,
     R: std::future::Future<Output = Response<Body>>,
 {
     let (head, body) = request.into_parts();
     if head.method == Method::DELETE {
-        let id = head.uri.path().strip_prefix("/state/").and_then(|id| Id::new(id).ok());
+        let id = head.uri.path().strip_prefix("/state/").and_then(|id| RequestId::new(id).ok());
         return Ok(match id {
             Some(id) => {
                 lets_go(&id);
@@ -57,7 +57,7 @@
             None => answer(400, false, ""),
         });
     }
-    let id = head.headers.get("x-txn").and_then(|id| id.to_str().ok()).and_then(|id| Id::new(id).ok());
+    let id = head.headers.get("x-txn").and_then(|id| id.to_str().ok()).and_then(|id| RequestId::new(id).ok());
     let prompt = body.collect().await?.to_bytes();
     Ok(match id {
         Some(id) => does(id, prompt).await,
--- a/standins/src/ledger.rs
+++ b/standins/src/ledger.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use frosttrail_transfer::wire::Id;
+use frosttrail_transfer::wire::RequestId;
 use hyper::Response;
 use tokio::time::{sleep, Instant};
 use tokio_util::task::AbortOnDropHandle;
@@ -38,15 +38,15 @@
 
 /// The account of a fleet; clones share it.
 #[derive(Clone, Debug, Default)]
-pub struct Ledger(Arc<Mutex<HashMap<Id, Account>>>);
+pub struct Ledger(Arc<Mutex<HashMap<RequestId, Account>>>);
 
 impl Ledger {
-    fn with<T>(&self, id: &Id, f: impl FnOnce(&mut Account) -> T) -> T {
+    fn with<T>(&self, id: &RequestId, f: impl FnOnce(&mut Account) -> T) -> T {
         f(self.0.lock().unwrap_or_else(|e| e.into_inner()).entry(id.clone()).or_default())
     }
 
     /// All requests that reached a server.
-    pub fn accounts(&self) -> HashMap<Id, Account> {
+    pub fn accounts(&self) -> HashMap<RequestId, Account> {
         self.0.lock().unwrap_or_else(|e| e.into_inner()).clone()
     }
 }
@@ -91,11 +91,11 @@
 
     async fn start<F, R>(ledger: &Ledger, does: F) -> io::Result<Self>
     where
-        F: Fn(Ledger, Id) -> R + Clone + Send + Sync + 'static,
+        F: Fn(Ledger, RequestId) -> R + Clone + Send + Sync + 'static,
         R: std::future::Future<Output = Response<Body>> + Send + 'static,
     {
         let (here, books) = (ledger.clone(), ledger.clone());
-        let lets_go = move |id: &Id| {
+        let lets_go = move |id: &RequestId| {
             here.with(id, Account::ends);
         };
         let (http, serving) = serve(lets_go, move |id, _: Bytes| does(books.clone(), id)).await?;
--- a/standins/src/split.rs
+++ b/standins/src/split.rs
@@ -9,8 +9,8 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use frosttrail_transfer::service::{Config, Node, Whole};
-use frosttrail_transfer::wire::Id;
+use frosttrail_transfer::service::{Config, Node, ReceivedCache};
+use frosttrail_transfer::wire::RequestId;
 use futures_util::{stream, Stream};
 use http_body_util::{BodyExt, StreamBody};
 use hyper::body::Frame;
@@ -69,10 +69,16 @@
     }
 }
 
-async fn read(node: Arc<Node>, id: Id, prompt: Bytes, length: usize, takes: Duration) -> Response<Body> {
-    let Ok(reading) = node.begin(id) else { return turned_away(503) };
+async fn read(
+    node: Arc<Node>,
+    id: RequestId,
+    prompt: Bytes,
+    length: usize,
+    takes: Duration,
+) -> Response<Body> {
+    let Ok(reading) = node.begin_prefill(id) else { return turned_away(503) };
     sleep(takes).await;
-    match reading.put(state_of(&prompt, length)).await {
+    match reading.store(state_of(&prompt, length)).await {
         Ok(()) => answer(202, false, "{\"cached_tokens\":0}"),
         Err(_) => answer(500, false, ""),
     }
@@ -116,7 +122,7 @@
 }
 
 /// The stream of an answer; the state is held until its end.
-fn stream_of(state: Whole, every: Duration) -> Response<Body> {
+fn stream_of(state: ReceivedCache, every: Duration) -> Response<Body> {
     let tokens = tokens_of(state.chunks());
     let events = tokens.iter().map(|token| {
         let choice = format!("{{\"index\":0,\"delta\":{{\"content\":\"{token}\"}},\"finish_reason\":null}}");
@@ -135,7 +141,7 @@
 fn paced(
     events: Vec<String>,
     every: Duration,
-    state: Whole,
+    state: ReceivedCache,
 ) -> impl Stream<Item = Result<Frame<Bytes>, Infallible>> + Send + Sync {
     stream::unfold((events.into_iter(), false, state), move |(mut events, begun, state)| async move {
         let event = events.next()?;
@@ -147,7 +153,7 @@
 }
 
 /// What the call that lets go of a state does at a server with this node.
-fn releases(node: &Arc<Node>) -> impl Fn(&Id) + Clone + Send + Sync + 'static {
+fn releases(node: &Arc<Node>) -> impl Fn(&RequestId) + Clone + Send + Sync + 'static {
     let node = node.clone();
     move |id| node.release_unclaimed(id)
 }
--- a/transfer/benches/transfer.rs
+++ b/transfer/benches/transfer.rs
@@ -9,8 +9,8 @@
 use cap::Cap;
 use frosttrail_standins::link::{Event, Fault, Link, Way};
 use frosttrail_transfer::proof::Proof;
-use frosttrail_transfer::service::{Config, Node, Whole};
-use frosttrail_transfer::wire::Id;
+use frosttrail_transfer::service::{Config, Node, ReceivedCache};
+use frosttrail_transfer::wire::RequestId;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -35,8 +35,8 @@
     slog::Logger::root(slog::Discard, slog::o!())
 }
 
-fn id(name: impl std::fmt::Display) -> Id {
-    Id::new(&name.to_string()).unwrap()
+fn id(name: impl std::fmt::Display) -> RequestId {
+    RequestId::new(&name.to_string()).unwrap()
 }
 
 fn content(seed: u64, length: usize) -> Bytes {
@@ -71,19 +71,19 @@
     (told.recv().unwrap(), end)
 }
 
-async fn holder(config: Config, states: Vec<(Id, Bytes)>) -> (SocketAddr, Box<dyn std::any::Any>) {
+async fn holder(config: Config, states: Vec<(RequestId, Bytes)>) -> (SocketAddr, Box<dyn std::any::Any>) {
     let node = Node::new(config, 7, log());
     let at = node.listen(any()).await.unwrap();
     for (id, state) in states {
-        node.begin(id).unwrap().put(state).await.unwrap();
+        node.begin_prefill(id).unwrap().store(state).await.unwrap();
     }
     (at, Box::new(node))
 }
 
 /// States that wait here for longer than a second, as the measurement wants all of them to be there first.
 fn patient(mut config: Config) -> Config {
-    config.times.hold = 60_000_000;
-    config.times.limit = 600_000_000;
+    config.timeouts.hold_ttl = 60_000_000;
+    config.timeouts.transfer_timeout = 600_000_000;
     config
 }
 
@@ -185,7 +185,7 @@
 fn fairness() {
     const MOVES: usize = 256;
     let rate = 50 * MB;
-    let config = Config { chunk: 16 << 10, ..patient(Config::default()) };
+    let config = Config { chunk_bytes: 16 << 10, ..patient(Config::default()) };
     let states = (0..MOVES).map(|n| (id(n), content(n as u64, MB / 2))).collect();
     let (at, _end) = beside(move || holder(config, states));
     let (link, _link) = slow_link(at, rate);
@@ -194,12 +194,12 @@
         let begin = Instant::now();
         // Sixteen are due: together they need 160 ms of the link, and have 400.
         let from = [link];
-        let names: Vec<Id> = (0..MOVES).map(id).collect();
+        let names: Vec<RequestId> = (0..MOVES).map(id).collect();
         let moves = names.iter().enumerate().map(|(n, name)| {
             let (node, from) = (&node, &from);
             async move {
                 let due = (n % 16 == 5).then_some(Duration::from_millis(400));
-                let whole: Whole = node.fetch(name, from, due).await.unwrap();
+                let whole: ReceivedCache = node.fetch(name, from, due).await.unwrap();
                 (due.is_some(), begin.elapsed(), whole)
             }
         });
@@ -239,12 +239,12 @@
             let holder = Node::new(config, 7, log());
             let link = Link::start(holder.listen(any()).await.unwrap()).await.unwrap();
             link.script(&[Event { way: Way::Down, at: 32 * MB as u64, fault: Fault::Cut }]);
-            holder.begin(id("r")).unwrap().put(state.clone()).await.unwrap();
+            holder.begin_prefill(id("r")).unwrap().store(state.clone()).await.unwrap();
             let node = Node::new(config, 8, log());
             drop(node.fetch(&id("r"), &[link.address], None).await.unwrap());
             again.push((holder.status().total.bytes_sent - state.len() as u64) as f64 / MB as f64);
         }
-        let window = f64::from(config.taker.window) / MB as f64;
+        let window = f64::from(config.receiver.window_bytes) / MB as f64;
         let most = again.iter().copied().fold(0.0, f64::max);
         println!(
             "cut at half of 64 MiB: {:.2} MiB sent again (most {most:.2}); window {window}, starting over 32",
@@ -255,7 +255,7 @@
 
 fn freed() {
     runtime().block_on(async {
-        let config = Config { chunk: 16 << 10, ..Config::default() };
+        let config = Config { chunk_bytes: 16 << 10, ..Config::default() };
         let mut times = Vec::new();
         for batch in 0..20u64 {
             let runs = (0..50).map(|n| fault(config, batch * 50 + n));
@@ -277,7 +277,7 @@
     let holder = Node::new(config, 1, log());
     let link = Link::start(holder.listen(any()).await.unwrap()).await.unwrap();
     link.rate(8 * MB as u64);
-    holder.begin(id("r")).unwrap().put(content(seed, 4 * MB)).await.unwrap();
+    holder.begin_prefill(id("r")).unwrap().store(content(seed, 4 * MB)).await.unwrap();
     let node = Node::new(config, 2, log());
     let (name, from) = (id("r"), [link.address]);
     let fetch = node.fetch(&name, &from, None);
@@ -314,8 +314,8 @@
         }
         node.release(&name);
     }
-    holder.settled().await;
-    node.settled().await;
+    holder.wait_until_idle().await;
+    node.wait_until_idle().await;
     begin.elapsed()
 }
 
@@ -323,12 +323,17 @@
     const MOVES: usize = 1_000;
     runtime().block_on(async {
         let config = patient(Config::default());
-        let names: Vec<Id> = (0..MOVES).map(id).collect();
+        let names: Vec<RequestId> = (0..MOVES).map(id).collect();
         let holder = Node::new(config, 1, log());
         let link = Link::start(holder.listen(any()).await.unwrap()).await.unwrap();
         let before = ALLOCATED.allocated();
         for name in &names {
-            holder.begin(name.clone()).unwrap().put(Bytes::from_static(&[7; 1 << 20])).await.unwrap();
+            holder
+                .begin_prefill(name.clone())
+                .unwrap()
+                .store(Bytes::from_static(&[7; 1 << 20]))
+                .await
+                .unwrap();
         }
         let held = ALLOCATED.allocated();
         println!(
@@ -359,12 +364,17 @@
 fn busy_memory() {
     const MOVES: usize = 100;
     runtime().block_on(async {
-        let config = Config { chunk: 16 << 10, ..patient(Config::default()) };
-        let names: Vec<Id> = (0..MOVES).map(id).collect();
+        let config = Config { chunk_bytes: 16 << 10, ..patient(Config::default()) };
+        let names: Vec<RequestId> = (0..MOVES).map(id).collect();
         let holder = Node::new(config, 1, log());
         let link = Link::start(holder.listen(any()).await.unwrap()).await.unwrap();
         for name in &names {
-            holder.begin(name.clone()).unwrap().put(Bytes::from_static(&[7; 1 << 20])).await.unwrap();
+            holder
+                .begin_prefill(name.clone())
+                .unwrap()
+                .store(Bytes::from_static(&[7; 1 << 20]))
+                .await
+                .unwrap();
         }
         let node = Node::new(config, 2, log());
         drop(node.fetch(&id("none"), &[link.address], None).await);
--- a/transfer/src/lease.rs
+++ b/transfer/src/lease.rs
@@ -2,7 +2,7 @@
 //! has said that the whole is there and proven, that taker from then on. No I/O, no clock.
 
 use crate::cause::Cause;
-use crate::{Incarnation, Micros, Times, Token};
+use crate::{Incarnation, Micros, Timeouts, Token};
 
 /// One taker's move, as the holder knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -107,13 +107,13 @@
     }
 
     /// When it ends by itself, if nothing more is heard.
-    pub fn ends(&self, times: &Times) -> Micros {
-        let limit = self.first_claim.map_or(Micros::MAX, |at| at + times.limit);
+    pub fn ends(&self, timeouts: &Timeouts) -> Micros {
+        let limit = self.first_claim.map_or(Micros::MAX, |at| at + timeouts.transfer_timeout);
         match self.owner {
-            Owner::Unclaimed { since } => limit.min(since + times.hold),
-            Owner::Claimed { cut: Some(heard), .. } => limit.min(heard + times.hold),
+            Owner::Unclaimed { since } => limit.min(since + timeouts.hold_ttl),
+            Owner::Claimed { cut: Some(heard), .. } => limit.min(heard + timeouts.hold_ttl),
             Owner::Claimed { cut: None, .. } => limit,
-            Owner::Given { at, .. } => at + times.hold,
+            Owner::Given { at, .. } => at + timeouts.hold_ttl,
         }
     }
 }
--- a/transfer/src/lib.rs
+++ b/transfer/src/lib.rs
@@ -32,20 +32,25 @@
 
 /// How long things may last, in microseconds. Both ends of a link should be set alike.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Times {
+pub struct Timeouts {
     /// A state that nobody takes, or whose taker has not been heard of, is kept this long: under a second
     /// by the time that timers and the last frames may take.
-    pub hold: Micros,
+    pub hold_ttl: Micros,
     /// A move has this long in all, from the taker's first word on.
-    pub limit: Micros,
+    pub transfer_timeout: Micros,
     /// Between signs of life on a connection that carries moves.
-    pub beat: Micros,
+    pub heartbeat_interval: Micros,
     /// A connection that carries moves and on which nothing has come for so long counts as cut.
-    pub silence: Micros,
+    pub silence_timeout: Micros,
 }
 
-impl Default for Times {
+impl Default for Timeouts {
     fn default() -> Self {
-        Times { hold: 900_000, limit: 30_000_000, beat: 100_000, silence: 400_000 }
+        Timeouts {
+            hold_ttl: 900_000,
+            transfer_timeout: 30_000_000,
+            heartbeat_interval: 100_000,
+            silence_timeout: 400_000,
+        }
     }
 }
--- a/transfer/src/receiver.rs
+++ b/transfer/src/receiver.rs
@@ -12,30 +12,36 @@
 use crate::memory::{Memory, Room};
 use crate::proof::Proof;
 use crate::sender::Fault;
-use crate::wire::{Frame, Id, Offer, Want};
-use crate::{Conn, Micros, Times, Token};
+use crate::wire::{Frame, Offer, RequestId, Want};
+use crate::{Conn, Micros, Timeouts, Token};
 
 /// Names a holder that can be connected to; the shell knows its address.
 pub type Route = u64;
 
-/// Bounds of a taker.
+/// Limits of a taker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bounds {
+pub struct Limits {
     /// Bytes of all states that arrive or have arrived and are not yet dropped.
-    pub memory: u64,
+    pub max_memory_bytes: u64,
     /// Moves at once, those that wait for memory too.
-    pub moves: usize,
+    pub max_transfers: usize,
     /// Bytes of chunks on their way from one holder, or not yet proven.
-    pub window: u32,
+    pub window_bytes: u32,
     /// How often one chunk may fail to be proven, before the move is given up.
-    pub tries: u8,
+    pub max_chunk_attempts: u8,
     /// How many connections in a row may break without a chunk proven in between.
-    pub cuts: u8,
+    pub max_connection_losses: u8,
 }
 
-impl Default for Bounds {
+impl Default for Limits {
     fn default() -> Self {
-        Bounds { memory: 4 << 30, moves: 4_096, window: 4 << 20, tries: 4, cuts: 16 }
+        Limits {
+            max_memory_bytes: 4 << 30,
+            max_transfers: 4_096,
+            window_bytes: 4 << 20,
+            max_chunk_attempts: 4,
+            max_connection_losses: 16,
+        }
     }
 }
 
@@ -49,7 +55,7 @@
     /// Prove this chunk and tell with [`Receiver::proved`].
     Prove(Chunk),
     /// The state is here and is this process's own. Its memory is given back with [`Receiver::give_back`].
-    Done(Token, Id, State),
+    Done(Token, RequestId, State),
     /// It will not come.
     Failed(Token, Cause),
 }
@@ -107,7 +113,7 @@
 
 #[derive(Debug)]
 struct Fetch {
-    id: Id,
+    id: RequestId,
     route: Route,
     conn: Option<Conn>,
     due: Option<Micros>,
@@ -132,8 +138,8 @@
 /// The taker's side of a process.
 #[derive(Debug)]
 pub struct Receiver {
-    times: Times,
-    bounds: Bounds,
+    timeouts: Timeouts,
+    limits: Limits,
     memory: Memory,
     fetches: BTreeMap<Token, Fetch>,
     peers: HashMap<Conn, Peer>,
@@ -143,11 +149,11 @@
 
 impl Receiver {
     /// A taker with nothing under way.
-    pub fn new(times: Times, bounds: Bounds) -> Self {
+    pub fn new(timeouts: Timeouts, limits: Limits) -> Self {
         Receiver {
-            times,
-            bounds,
-            memory: Memory::new(bounds.memory),
+            timeouts,
+            limits,
+            memory: Memory::new(limits.max_memory_bytes),
             fetches: BTreeMap::new(),
             peers: HashMap::new(),
             serial: 0,
@@ -156,8 +162,14 @@
     }
 
     /// A state is wanted from a holder, by a time if it is needed by one.
-    pub fn fetch(&mut self, now: Micros, id: Id, route: Route, due: Option<Micros>) -> Result<Token, Cause> {
-        if self.fetches.len() >= self.bounds.moves {
+    pub fn fetch(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        route: Route,
+        due: Option<Micros>,
+    ) -> Result<Token, Cause> {
+        if self.fetches.len() >= self.limits.max_transfers {
             return Err(Cause::Full);
         }
         self.serial += 1;
@@ -169,7 +181,7 @@
             conn: None,
             due,
             contact: now,
-            end: now + self.times.limit,
+            end: now + self.timeouts.transfer_timeout,
             offer: None,
             cuts: 0,
             stage: Stage::Sought,
@@ -184,12 +196,12 @@
 
     /// The greeting's window.
     pub fn window(&self) -> u32 {
-        self.bounds.window
+        self.limits.window_bytes
     }
 
     /// A connection is there, greetings exchanged. `route`: whose it is, where it was opened from here.
     pub fn up(&mut self, now: Micros, conn: Conn, route: Option<Route>) {
-        let may_come = u64::from(self.bounds.window);
+        let may_come = u64::from(self.limits.window_bytes);
         self.peers.insert(conn, Peer { route, heard: now, may_come, moves: Vec::new() });
         let Some(route) = route else { return };
         let waiting = self.fetches.iter().filter(|(_, f)| f.route == route && f.conn.is_none());
@@ -232,7 +244,7 @@
             if let Stage::Moves(parts) = &mut fetch.stage {
                 parts.asked.clear();
             }
-            if fetch.cuts > self.bounds.cuts {
+            if fetch.cuts > self.limits.max_connection_losses {
                 hopeless.push(token);
             } else {
                 self.out.push_back(Out::Connect(fetch.route));
@@ -260,7 +272,7 @@
         match fetch.stage {
             Stage::Sought => {
                 fetch.stage = Stage::Waits;
-                let fits = u64::from(shape.chunk()) * 2 <= u64::from(self.bounds.window);
+                let fits = u64::from(shape.chunk()) * 2 <= u64::from(self.limits.window_bytes);
                 match self.memory.want(token, shape.length(), due) {
                     Room::Now if fits => self.begin(token),
                     Room::Now => {
@@ -346,7 +358,7 @@
         if !good {
             let tries = parts.tries.entry(index).or_default();
             *tries += 1;
-            if *tries >= self.bounds.tries {
+            if *tries >= self.limits.max_chunk_attempts {
                 self.end(token, Cause::Corrupt);
             } else {
                 self.ask(token);
@@ -394,7 +406,7 @@
     }
 
     /// Lets go of all moves for the request, and passes the word on to their holders.
-    pub fn release(&mut self, id: &Id) {
+    pub fn release(&mut self, id: &RequestId) {
         let of = self.fetches.iter().filter(|(_, f)| f.id == *id);
         let of: Vec<(Token, Option<Conn>)> = of.map(|(token, f)| (*token, f.conn)).collect();
         for (token, conn) in of {
@@ -413,7 +425,7 @@
 
     /// Ends what is out of time. Returns when to call again, if anything is left.
     pub fn tick(&mut self, now: Micros) -> Option<Micros> {
-        let hold = self.times.hold;
+        let hold = self.timeouts.hold_ttl;
         let ends = |f: &Fetch| if f.conn.is_some() { f.end } else { f.end.min(f.contact + hold) };
         let late = self.fetches.iter().filter(|(_, f)| ends(f) <= now);
         let late: Vec<(Token, bool)> = late.map(|(token, f)| (*token, f.end <= now)).collect();
@@ -477,12 +489,12 @@
     }
 
     /// Whether a move for the request is under way.
-    pub fn seeks(&self, id: &Id) -> bool {
+    pub fn seeks(&self, id: &RequestId) -> bool {
         self.fetches.values().any(|f| f.id == *id)
     }
 
     /// Each move under way: whose, bytes that are here and proven, bytes in all once they are known.
-    pub fn progress(&self) -> impl Iterator<Item = (&Id, u64, Option<u64>)> {
+    pub fn progress(&self) -> impl Iterator<Item = (&RequestId, u64, Option<u64>)> {
         self.fetches.values().map(|f| {
             let shape = f.offer.as_ref().map(|o| o.proof.shape());
             let here = match (&f.stage, shape) {
--- a/transfer/src/sender.rs
+++ b/transfer/src/sender.rs
@@ -11,25 +11,30 @@
 use crate::lease::{Claim, Lease, Taker};
 use crate::link::{Flow, Link};
 use crate::proof::Proof;
-use crate::wire::{Frame, Hello, Id, Offer, Want};
-use crate::{Conn, Incarnation, Micros, Times, Token};
+use crate::wire::{Frame, Hello, Offer, RequestId, Want};
+use crate::{Conn, Incarnation, Micros, Timeouts, Token};
 
-/// Bounds of a holder.
+/// Limits of a holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bounds {
+pub struct Limits {
     /// States held, and notes of those given away.
-    pub states: usize,
+    pub max_caches: usize,
     /// Bytes of all states held.
-    pub bytes: u64,
+    pub max_bytes: u64,
     /// Moves of one connection.
-    pub moves: usize,
+    pub max_transfers_per_connection: usize,
     /// Bytes on their way in all.
-    pub in_flight: u64,
+    pub max_in_flight_bytes: u64,
 }
 
-impl Default for Bounds {
+impl Default for Limits {
     fn default() -> Self {
-        Bounds { states: 4_096, bytes: 4 << 30, moves: 1_024, in_flight: 16 << 20 }
+        Limits {
+            max_caches: 4_096,
+            max_bytes: 4 << 30,
+            max_transfers_per_connection: 1_024,
+            max_in_flight_bytes: 16 << 20,
+        }
     }
 }
 
@@ -53,9 +58,9 @@
     /// Say this.
     Say(Conn, Frame),
     /// A state has gone from here for this reason. Where nobody else has it, its prompt must be read anew.
-    Freed(Id, Cause),
+    Freed(RequestId, Cause),
     /// A state has gone from here as its taker owns it.
-    Given(Id),
+    Given(RequestId),
 }
 
 /// A read that has begun. What it brings is freed at once if it is released meanwhile.
@@ -74,7 +79,7 @@
 
 #[derive(Debug)]
 struct Move {
-    id: Id,
+    id: RequestId,
     taker: Taker,
     conn: Conn,
     todo: RoaringBitmap,
@@ -90,11 +95,11 @@
 /// The holder's side of a process.
 #[derive(Debug)]
 pub struct Sender {
-    times: Times,
-    bounds: Bounds,
+    timeouts: Timeouts,
+    limits: Limits,
     process: Incarnation,
-    reading: BTreeMap<Ticket, Id>,
-    states: HashMap<Id, Held>,
+    reading: BTreeMap<Ticket, RequestId>,
+    states: HashMap<RequestId, Held>,
     bytes: u64,
     peers: HashMap<Conn, Peer>,
     moves: HashMap<Flow, Move>,
@@ -106,17 +111,17 @@
 
 impl Sender {
     /// A holder with nothing in it.
-    pub fn new(process: Incarnation, times: Times, bounds: Bounds) -> Self {
+    pub fn new(process: Incarnation, timeouts: Timeouts, limits: Limits) -> Self {
         Sender {
-            times,
-            bounds,
+            timeouts,
+            limits,
             process,
             reading: BTreeMap::new(),
             states: HashMap::new(),
             bytes: 0,
             peers: HashMap::new(),
             moves: HashMap::new(),
-            link: Link::new(bounds.in_flight),
+            link: Link::new(limits.max_in_flight_bytes),
             drained: None,
             serial: 0,
             out: VecDeque::new(),
@@ -129,11 +134,11 @@
     }
 
     /// A read begins here. None does after a drain.
-    pub fn begin(&mut self, id: Id) -> Result<Ticket, Cause> {
+    pub fn begin(&mut self, id: RequestId) -> Result<Ticket, Cause> {
         if self.drained.is_some() {
             return Err(Cause::Drained);
         }
-        if self.reading.len() >= self.bounds.states {
+        if self.reading.len() >= self.limits.max_caches {
             return Err(Cause::Full);
         }
         let ticket = Ticket(self.serial());
@@ -159,7 +164,13 @@
     }
 
     /// Holds a state that has come from elsewhere, whole and proven.
-    pub fn hold(&mut self, now: Micros, id: Id, chunks: Vec<Bytes>, proof: Arc<Proof>) -> Result<(), Cause> {
+    pub fn hold(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        chunks: Vec<Bytes>,
+        proof: Arc<Proof>,
+    ) -> Result<(), Cause> {
         if self.drained.is_some() {
             return Err(Cause::Drained);
         }
@@ -175,7 +186,7 @@
 
     /// Whether one more state of so many bytes may be held.
     pub fn room(&self, bytes: u64) -> bool {
-        self.states.len() < self.bounds.states && self.bytes + bytes <= self.bounds.bytes
+        self.states.len() < self.limits.max_caches && self.bytes + bytes <= self.limits.max_bytes
     }
 
     /// A connection is there, greetings exchanged.
@@ -215,7 +226,7 @@
         if peer.moves.contains_key(&token) {
             return Err(Fault::Token);
         }
-        let full = peer.moves.len() >= self.bounds.moves;
+        let full = peer.moves.len() >= self.limits.max_transfers_per_connection;
         let taker = Taker { process: peer.process, token };
         let claim = match self.states.get_mut(&id) {
             _ if resume != 0 && resume != self.process => Err(Cause::Gone),
@@ -239,11 +250,11 @@
         Ok(())
     }
 
-    fn take_up(&mut self, now: Micros, conn: Conn, taker: Taker, id: Id, due: Option<Micros>) {
+    fn take_up(&mut self, now: Micros, conn: Conn, taker: Taker, id: RequestId, due: Option<Micros>) {
         let flow = self.serial();
         let Some(held) = self.states.get_mut(&id) else { return };
         let before = held.moving.replace(flow);
-        let (proof, ends) = (held.proof.clone(), held.lease.ends(&self.times));
+        let (proof, ends) = (held.proof.clone(), held.lease.ends(&self.timeouts));
         if let Some(old) = before.and_then(|f| self.end_move(f)) {
             // Where it is the same taker, on a connection that is not yet known to have gone, it has heard.
             if old.taker != taker {
@@ -338,7 +349,7 @@
     }
 
     /// Lets go of all that is held for the request, and of what a read that is under way will bring.
-    pub fn release(&mut self, id: &Id) {
+    pub fn release(&mut self, id: &RequestId) {
         self.reading.retain(|_, reading| reading != id);
         self.free(id, Cause::Released);
     }
@@ -346,7 +357,7 @@
     /// Lets go of what is held for the request and no attempt waits for: a read that is under way goes on,
     /// and a state that a taker is at goes once that gives it up. A taker that asks for it on its own
     /// connection, `by`, gives it up with that.
-    pub fn release_unclaimed(&mut self, id: &Id, by: Option<Conn>) {
+    pub fn release_unclaimed(&mut self, id: &RequestId, by: Option<Conn>) {
         let Some(held) = self.states.get_mut(id) else { return };
         let taken_by = held.moving.and_then(|flow| self.moves.get(&flow)).map(|moving| moving.conn);
         if held.lease.is_claimed() && (by.is_none() || taken_by != by) {
@@ -356,7 +367,7 @@
         }
     }
 
-    fn free(&mut self, id: &Id, cause: Cause) {
+    fn free(&mut self, id: &RequestId, cause: Cause) {
         let Some(held) = self.states.remove(id) else { return };
         if let Some(moving) = held.moving.and_then(|flow| self.end_move(flow)) {
             self.out.push_back(Out::Say(moving.conn, Frame::Abort(moving.taker.token, cause)));
@@ -379,13 +390,13 @@
     /// Ends what is out of time. Returns when to call again, if anything is left.
     pub fn tick(&mut self, now: Micros) -> Option<Micros> {
         let over = self.drained.is_some_and(|end| end <= now);
-        let ended = |h: &Held| h.lease.ends(&self.times) <= now;
-        let ended: Vec<Id> =
+        let ended = |h: &Held| h.lease.ends(&self.timeouts) <= now;
+        let ended: Vec<RequestId> =
             self.states.iter().filter(|(_, h)| over || ended(h)).map(|(id, _)| id.clone()).collect();
         for id in ended {
             self.free(&id, if over { Cause::Drained } else { Cause::Expired });
         }
-        let leases = self.states.values().map(|h| h.lease.ends(&self.times));
+        let leases = self.states.values().map(|h| h.lease.ends(&self.timeouts));
         leases.chain(self.drained.filter(|_| !self.states.is_empty())).min()
     }
 
@@ -413,7 +424,7 @@
     }
 
     /// Whether a state of this name is here.
-    pub fn holds(&self, id: &Id) -> bool {
+    pub fn holds(&self, id: &RequestId) -> bool {
         self.states.get(id).is_some_and(|h| h.lease.holds())
     }
 
--- a/transfer/src/service/connection.rs
+++ b/transfer/src/service/connection.rs
@@ -66,7 +66,7 @@
     let (read, mut write) = stream.into_split();
     let (ear, heard) = Ear::new(read, hub.clock);
     let mut frames = FramedRead::with_capacity(ear, Codec::default(), READ);
-    let hello = match timeout(hub.config.greet, greet(&hub, &mut frames, &mut write)).await {
+    let hello = match timeout(hub.config.handshake_timeout, greet(&hub, &mut frames, &mut write)).await {
         Ok(Ok(hello)) => hello,
         Ok(Err(e)) => {
             note(&log, &End::Wire(e));
@@ -84,7 +84,11 @@
     let reading = async {
         loop {
             let busy = hub.busy(conn);
-            let most = if busy { Duration::from_micros(hub.config.times.silence) } else { hub.config.idle };
+            let most = if busy {
+                Duration::from_micros(hub.config.timeouts.silence_timeout)
+            } else {
+                hub.config.idle_timeout
+            };
             let silent = silence(&hub, &heard, most);
             tokio::select! {
                 frame = frames.next() => match frame {
@@ -122,7 +126,7 @@
     frames: &mut FramedRead<R, Codec>,
     write: &mut (impl AsyncWrite + Unpin),
 ) -> Result<Hello, WireError> {
-    let (incarnation, window) = (hub.process, hub.config.taker.window);
+    let (incarnation, window) = (hub.process, hub.config.receiver.window_bytes);
     let hello = Frame::Hello(Hello { version: VERSION, features: 0, incarnation, window });
     let mut bytes = BytesMut::new();
     Codec::default().encode(&hello, &mut bytes)?;
@@ -155,7 +159,7 @@
     gone: CancellationToken,
 ) {
     let _gone = gone.drop_guard();
-    let beat = Duration::from_micros(hub.config.times.beat);
+    let beat = Duration::from_micros(hub.config.timeouts.heartbeat_interval);
     let mut codec = Codec::default();
     let mut bytes = BytesMut::new();
     loop {
--- a/transfer/src/service/dial.rs
+++ b/transfer/src/service/dial.rs
@@ -18,7 +18,7 @@
 pub(crate) async fn keep(hub: Arc<Hub>, route: Route, to: SocketAddr) {
     let mut pause = PAUSE.0;
     while !hub.closing.is_cancelled() && hub.still_needed(route) {
-        let greeted = match timeout(hub.config.greet, TcpStream::connect(to)).await {
+        let greeted = match timeout(hub.config.handshake_timeout, TcpStream::connect(to)).await {
             Ok(Ok(stream)) => serve(hub.clone(), stream, to, Some(route)).await,
             Ok(Err(e)) => {
                 debug!(hub.log, "no connection"; "to" => to, "why" => %e);
--- a/transfer/src/service/hub.rs
+++ b/transfer/src/service/hub.rs
@@ -13,13 +13,13 @@
 use tokio_util::task::AbortOnDropHandle;
 
 use super::ear::Clock;
-use super::node::{Arrived, Whole};
+use super::node::{PushedCache, ReceivedCache};
 use super::status::{Status, Totals};
-use super::{Config, Inbox};
+use super::{Config, PushPolicy};
 use crate::cause::Cause;
 use crate::receiver::{self, Chunk, Receiver, Route, State};
 use crate::sender::{self, Fault, Sender, Ticket};
-use crate::wire::{Frame, Hello, Id};
+use crate::wire::{Frame, Hello, RequestId};
 use crate::{Conn, Incarnation, Micros, Token};
 
 /// Chunks of at least this size are proven beside the connections' own work.
@@ -60,12 +60,12 @@
     /// and the processes that have dialled us.
     processes: HashMap<Incarnation, Route>,
     dialers: HashMap<Route, AbortOnDropHandle<()>>,
-    fetches: HashMap<Token, oneshot::Sender<Result<Whole, Cause>>>,
+    fetches: HashMap<Token, oneshot::Sender<Result<ReceivedCache, Cause>>>,
     /// Moves that others have announced.
     announced: HashSet<Token>,
-    pushes: HashMap<Id, (Route, Pushed)>,
-    inbox: Option<mpsc::UnboundedSender<Arrived>>,
-    reports: Option<mpsc::Sender<(Id, Cause)>>,
+    pushes: HashMap<RequestId, (Route, Pushed)>,
+    inbox: Option<mpsc::UnboundedSender<PushedCache>>,
+    reports: Option<mpsc::Sender<(RequestId, Cause)>>,
     totals: Totals,
 }
 
@@ -86,8 +86,8 @@
 impl Hub {
     pub(crate) fn new(config: Config, process: Incarnation, log: Logger) -> Self {
         let inner = Inner {
-            sender: Sender::new(process, config.times, config.holder),
-            receiver: Receiver::new(config.times, config.taker),
+            sender: Sender::new(process, config.timeouts, config.sender),
+            receiver: Receiver::new(config.timeouts, config.receiver),
             lines: HashMap::new(),
             serial: 0,
             addresses: HashMap::new(),
@@ -206,9 +206,9 @@
         }
     }
 
-    fn done(self: &Arc<Self>, inner: &mut Inner, token: Token, id: Id, state: State) {
+    fn done(self: &Arc<Self>, inner: &mut Inner, token: Token, id: RequestId, state: State) {
         inner.totals.arrived += 1;
-        if inner.announced.remove(&token) && self.config.inbox == Inbox::Hold {
+        if inner.announced.remove(&token) && self.config.push_policy == PushPolicy::Store {
             // In one step: whoever comes for it next finds it.
             let State { chunks, length, proof } = state;
             inner.receiver.give_back(length);
@@ -218,10 +218,10 @@
             }
             return;
         }
-        let whole = Whole::new(state, self.clone());
+        let whole = ReceivedCache::new(state, self.clone());
         let unclaimed = match (inner.fetches.remove(&token), &inner.inbox) {
             (Some(waits), _) => waits.send(Ok(whole)).err().and_then(Result::ok),
-            (None, Some(inbox)) => inbox.send(Arrived { id, state: whole }).err().map(|e| e.0.state),
+            (None, Some(inbox)) => inbox.send(PushedCache { id, cache: whole }).err().map(|e| e.0.cache),
             (None, None) => Some(whole),
         };
         if let Some(whole) = unclaimed {
@@ -322,17 +322,17 @@
         Ok(())
     }
 
-    fn announce(&self, inner: &mut Inner, now: Micros, conn: Conn, id: Id) {
+    fn announce(&self, inner: &mut Inner, now: Micros, conn: Conn, id: RequestId) {
         let Some(route) = inner.lines.get(&conn).map(|l| l.route) else { return };
         // Said again after a cut: the move is under way.
         if inner.receiver.seeks(&id) {
             return;
         }
-        let fetch = match self.config.inbox {
-            Inbox::Closed => Err(Cause::Unwanted),
+        let fetch = match self.config.push_policy {
+            PushPolicy::Reject => Err(Cause::Unwanted),
             _ if inner.sender.draining() => Err(Cause::Drained),
-            Inbox::Hold if !inner.sender.room(inner.receiver.moves().2) => Err(Cause::Full),
-            Inbox::Hold | Inbox::Hand => inner.receiver.fetch(now, id.clone(), route, None),
+            PushPolicy::Store if !inner.sender.room(inner.receiver.moves().2) => Err(Cause::Full),
+            PushPolicy::Store | PushPolicy::Deliver => inner.receiver.fetch(now, id.clone(), route, None),
         };
         match fetch {
             Ok(token) => {
@@ -342,7 +342,7 @@
         }
     }
 
-    pub(crate) fn begin(&self, id: Id) -> Result<Ticket, Cause> {
+    pub(crate) fn begin(&self, id: RequestId) -> Result<Ticket, Cause> {
         self.lock().sender.begin(id)
     }
 
@@ -361,10 +361,10 @@
 
     pub(crate) fn fetch(
         self: &Arc<Self>,
-        id: Id,
+        id: RequestId,
         from: SocketAddr,
         due: Option<Micros>,
-    ) -> Result<(Token, oneshot::Receiver<Result<Whole, Cause>>), Cause> {
+    ) -> Result<(Token, oneshot::Receiver<Result<ReceivedCache, Cause>>), Cause> {
         let (tell, told) = oneshot::channel();
         self.feed(|inner, now| {
             let route = inner.route_to(from);
@@ -382,7 +382,7 @@
     /// Tells the node at an address of a state that is held here, until it has taken it.
     pub(crate) fn push(
         self: &Arc<Self>,
-        id: Id,
+        id: RequestId,
         to: SocketAddr,
     ) -> Result<oneshot::Receiver<Result<(), Cause>>, Cause> {
         let (tell, told) = oneshot::channel();
@@ -402,7 +402,7 @@
 
     /// Lets go of all that is held for the request, here and at the other end of its moves. What is not
     /// known here may be known to whom we are connected with.
-    pub(crate) fn release(self: &Arc<Self>, id: &Id) {
+    pub(crate) fn release(self: &Arc<Self>, id: &RequestId) {
         self.feed(|inner, _| {
             let known = inner.sender.holds(id) || inner.receiver.seeks(id);
             inner.sender.release(id);
@@ -415,7 +415,7 @@
 
     /// Lets go of what is held for the request and no attempt waits for, here or at whom we are connected
     /// with.
-    pub(crate) fn release_unclaimed(self: &Arc<Self>, id: &Id) {
+    pub(crate) fn release_unclaimed(self: &Arc<Self>, id: &RequestId) {
         self.feed(|inner, _| {
             let known = inner.sender.holds(id) || inner.receiver.seeks(id);
             inner.sender.release_unclaimed(id, None);
@@ -457,14 +457,14 @@
         drop(dialers);
     }
 
-    pub(crate) fn inbox(&self) -> mpsc::UnboundedReceiver<Arrived> {
+    pub(crate) fn inbox(&self) -> mpsc::UnboundedReceiver<PushedCache> {
         // Bounded by the taker's memory and number of moves.
         let (tell, told) = mpsc::unbounded_channel();
         self.lock().inbox = Some(tell);
         told
     }
 
-    pub(crate) fn reports(&self, room: usize) -> mpsc::Receiver<(Id, Cause)> {
+    pub(crate) fn reports(&self, room: usize) -> mpsc::Receiver<(RequestId, Cause)> {
         let (tell, told) = mpsc::channel(room);
         self.lock().reports = Some(tell);
         told
@@ -474,7 +474,7 @@
         self.status_of(&self.lock())
     }
 
-    pub(crate) fn progress(&self) -> Vec<(Id, u64, Option<u64>)> {
+    pub(crate) fn progress(&self) -> Vec<(RequestId, u64, Option<u64>)> {
         self.lock().receiver.progress().map(|(id, here, length)| (id.clone(), here, length)).collect()
     }
 
@@ -504,7 +504,7 @@
                 ends.into_iter().flatten().min()
             });
             // What is fed meanwhile ends a hold from then at the earliest, which is many beats away.
-            let beat = self.clock.now() + self.config.times.beat;
+            let beat = self.clock.now() + self.config.timeouts.heartbeat_interval;
             match next {
                 Some(at) => sleep_until(self.clock.at(at.min(beat))).await,
                 None => self.wake.notified().await,
@@ -549,13 +549,13 @@
         self.lines.values().filter(|l| l.route == route).for_each(|l| l.changed.notify_one());
     }
 
-    fn pass_release_on(&mut self, id: &Id) {
+    fn pass_release_on(&mut self, id: &RequestId) {
         for conn in self.lines.keys().copied().collect::<Vec<_>>() {
             self.say(conn, Frame::Release(id.clone()));
         }
     }
 
-    fn push_ends(&mut self, id: &Id, end: Result<(), Cause>) {
+    fn push_ends(&mut self, id: &RequestId, end: Result<(), Cause>) {
         if let Some((_, tell)) = self.pushes.remove(id) {
             let _ = tell.send(end);
         }
--- a/transfer/src/service/mod.rs
+++ b/transfer/src/service/mod.rs
@@ -10,41 +10,41 @@
 
 use std::time::Duration;
 
-use crate::{receiver, sender, Times};
+use crate::{receiver, sender, Timeouts};
 
-pub use node::{Arrived, FetchError, Node, PutError, Reading, Whole};
-pub use status::{ask, Status, StatusError};
+pub use node::{ActivePrefill, FetchError, Node, PushedCache, ReceivedCache, StoreError};
+pub use status::{query_status, Status, StatusError};
 
 /// How a node is set up.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
     /// How long things may last.
-    pub times: Times,
-    /// Bounds of what is held here.
-    pub holder: sender::Bounds,
-    /// Bounds of what is fetched.
-    pub taker: receiver::Bounds,
+    pub timeouts: Timeouts,
+    /// Limits of what is held here.
+    pub sender: sender::Limits,
+    /// Limits of what is fetched.
+    pub receiver: receiver::Limits,
     /// Bytes of a chunk of states that are read here.
-    pub chunk: u32,
+    pub chunk_bytes: u32,
     /// Connections at once, in each direction.
-    pub connections: usize,
+    pub max_connections: usize,
     /// For a connection to come up, and for each side's greeting.
-    pub greet: Duration,
+    pub handshake_timeout: Duration,
     /// After which a connection without moves is closed.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// What becomes of states that others announce.
-    pub inbox: Inbox,
+    pub push_policy: PushPolicy,
 }
 
 /// What becomes of states that others announce.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Inbox {
+pub enum PushPolicy {
     /// They are refused.
-    Closed,
-    /// They come out of [`Node::arrived`].
-    Hand,
+    Reject,
+    /// They come out of [`Node::subscribe_pushed`].
+    Deliver,
     /// They are held for whoever fetches them, like those that were read here.
-    Hold,
+    Store,
 }
 
 /// Settings that do not fit together.
@@ -52,35 +52,39 @@
 pub enum ConfigError {
     /// The chunk size.
     #[error("a chunk is a power of two from 4 KiB to 1 MiB")]
-    Chunk,
+    ChunkSize,
     /// A window that holds no two chunks.
     #[error("the window must hold two chunks")]
     Window,
     /// Nothing could ever be sent.
     #[error("as much must be allowed in flight as one chunk has")]
-    InFlight,
+    MaxInFlight,
     /// A link that stalls could not be told from one that is gone before the state is freed.
     #[error("silence must be at least three beats, and less than hold")]
-    Silence,
+    SilenceTimeout,
     /// A state that is held longer than allowed in all.
     #[error("hold must be at most the limit")]
-    Hold,
+    HoldTtl,
     /// No connection.
     #[error("at least one connection must be allowed")]
-    Connections,
+    MaxConnections,
 }
 
 impl Config {
     /// Whether the settings fit together.
     pub fn check(&self) -> Result<(), ConfigError> {
-        let (chunk, times) = (self.chunk, &self.times);
+        let (chunk, timeouts) = (self.chunk_bytes, &self.timeouts);
         let checks = [
-            (crate::proof::Shape::new(1, chunk).is_ok(), ConfigError::Chunk),
-            (self.taker.window / 2 >= chunk, ConfigError::Window),
-            (self.holder.in_flight >= u64::from(chunk), ConfigError::InFlight),
-            (times.silence >= 3 * times.beat && times.silence < times.hold, ConfigError::Silence),
-            (times.hold <= times.limit, ConfigError::Hold),
-            (self.connections > 0, ConfigError::Connections),
+            (crate::proof::Shape::new(1, chunk).is_ok(), ConfigError::ChunkSize),
+            (self.receiver.window_bytes / 2 >= chunk, ConfigError::Window),
+            (self.sender.max_in_flight_bytes >= u64::from(chunk), ConfigError::MaxInFlight),
+            (
+                timeouts.silence_timeout >= 3 * timeouts.heartbeat_interval
+                    && timeouts.silence_timeout < timeouts.hold_ttl,
+                ConfigError::SilenceTimeout,
+            ),
+            (timeouts.hold_ttl <= timeouts.transfer_timeout, ConfigError::HoldTtl),
+            (self.max_connections > 0, ConfigError::MaxConnections),
         ];
         checks.into_iter().find(|(fits, _)| !fits).map_or(Ok(()), |(_, error)| Err(error))
     }
@@ -89,14 +93,14 @@
 impl Default for Config {
     fn default() -> Self {
         Config {
-            times: Times::default(),
-            holder: sender::Bounds::default(),
-            taker: receiver::Bounds::default(),
-            chunk: 256 << 10,
-            connections: 256,
-            greet: Duration::from_millis(500),
-            idle: Duration::from_secs(30),
-            inbox: Inbox::Closed,
+            timeouts: Timeouts::default(),
+            sender: sender::Limits::default(),
+            receiver: receiver::Limits::default(),
+            chunk_bytes: 256 << 10,
+            max_connections: 256,
+            handshake_timeout: Duration::from_millis(500),
+            idle_timeout: Duration::from_secs(30),
+            push_policy: PushPolicy::Reject,
         }
     }
 }
--- a/transfer/src/service/node.rs
+++ b/transfer/src/service/node.rs
@@ -23,7 +23,7 @@
 use crate::proof::{Proof, ShapeError};
 use crate::receiver::State;
 use crate::sender::Ticket;
-use crate::wire::Id;
+use crate::wire::RequestId;
 use crate::Token;
 
 /// After a failed accept, as with no descriptor left.
@@ -33,10 +33,10 @@
 
 /// Why a state could not be put.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum PutError {
+pub enum StoreError {
     /// Its measures.
     #[error("{0}")]
-    Shape(#[from] ShapeError),
+    Layout(#[from] ShapeError),
     /// Released meanwhile, drained, or no room.
     #[error("{0}")]
     Refused(#[from] Cause),
@@ -47,7 +47,7 @@
 pub enum FetchError {
     /// No holder was named.
     #[error("no holder to fetch it from")]
-    Nowhere,
+    NoSender,
     /// It could not be had.
     #[error("{0}")]
     Failed(#[from] Cause),
@@ -55,22 +55,22 @@
 
 /// A state that others announced and that has arrived.
 #[derive(Debug)]
-pub struct Arrived {
+pub struct PushedCache {
     /// Whose state.
-    pub id: Id,
+    pub id: RequestId,
     /// The state.
-    pub state: Whole,
+    pub cache: ReceivedCache,
 }
 
 /// A state that is whole, proven and this process's own. Its memory is given back when it is dropped.
-pub struct Whole {
+pub struct ReceivedCache {
     state: State,
     hub: Option<Arc<Hub>>,
 }
 
-impl Whole {
+impl ReceivedCache {
     pub(crate) fn new(state: State, hub: Arc<Hub>) -> Self {
-        Whole { state, hub: Some(hub) }
+        ReceivedCache { state, hub: Some(hub) }
     }
 
     /// Its length, which whoever calls gives back.
@@ -90,13 +90,13 @@
     }
 }
 
-impl std::fmt::Debug for Whole {
+impl std::fmt::Debug for ReceivedCache {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "Whole({} bytes)", self.state.length)
+        write!(f, "ReceivedCache({} bytes)", self.state.length)
     }
 }
 
-impl Drop for Whole {
+impl Drop for ReceivedCache {
     fn drop(&mut self) {
         if let Some(hub) = self.hub.take() {
             hub.give_back(self.state.length);
@@ -105,15 +105,15 @@
 }
 
 /// A read that is under way. Dropping it gives the read up.
-pub struct Reading {
+pub struct ActivePrefill {
     hub: Arc<Hub>,
     ticket: Option<Ticket>,
 }
 
-impl Reading {
+impl ActivePrefill {
     /// The prompt is read: this is its state. It is held until it is taken, released, or out of time.
-    pub async fn put(mut self, state: Bytes) -> Result<(), PutError> {
-        let chunk = self.hub.config.chunk;
+    pub async fn store(mut self, state: Bytes) -> Result<(), StoreError> {
+        let chunk = self.hub.config.chunk_bytes;
         let hashing = {
             let state = state.clone();
             tokio::task::spawn_blocking(move || Proof::of(&state, chunk))
@@ -127,7 +127,7 @@
     }
 }
 
-impl Drop for Reading {
+impl Drop for ActivePrefill {
     fn drop(&mut self) {
         if let Some(ticket) = self.ticket.take() {
             self.hub.cancel(ticket);
@@ -177,18 +177,18 @@
     }
 
     /// A read begins here.
-    pub fn begin(&self, id: Id) -> Result<Reading, Cause> {
+    pub fn begin_prefill(&self, id: RequestId) -> Result<ActivePrefill, Cause> {
         let ticket = self.hub.begin(id)?;
-        Ok(Reading { hub: self.hub.clone(), ticket: Some(ticket) })
+        Ok(ActivePrefill { hub: self.hub.clone(), ticket: Some(ticket) })
     }
 
     /// Fetches a state from whichever of these holders has it. Dropping the future gives it up.
     pub async fn fetch(
         &self,
-        id: &Id,
+        id: &RequestId,
         from: &[SocketAddr],
         due: Option<Duration>,
-    ) -> Result<Whole, FetchError> {
+    ) -> Result<ReceivedCache, FetchError> {
         let mut tries: FuturesUnordered<_> =
             from.iter().map(|at| self.fetch_from(id.clone(), *at, due)).collect();
         let mut failed = None;
@@ -200,15 +200,15 @@
                 Err(_) => {}
             }
         }
-        Err(failed.map_or(FetchError::Nowhere, FetchError::Failed))
+        Err(failed.map_or(FetchError::NoSender, FetchError::Failed))
     }
 
     fn fetch_from(
         &self,
-        id: Id,
+        id: RequestId,
         from: SocketAddr,
         due: Option<Duration>,
-    ) -> impl Future<Output = Result<Whole, Cause>> + use<> {
+    ) -> impl Future<Output = Result<ReceivedCache, Cause>> + use<> {
         let hub = self.hub.clone();
         async move {
             let due = due.map(|d| hub.clock.now() + d.as_micros() as u64);
@@ -221,20 +221,20 @@
     }
 
     /// Announces a state that is held here to the node at an address; resolves once that owns it.
-    pub async fn push(&self, id: &Id, to: SocketAddr) -> Result<(), Cause> {
+    pub async fn push(&self, id: &RequestId, to: SocketAddr) -> Result<(), Cause> {
         self.hub.push(id.clone(), to)?.await.unwrap_or(Err(Cause::Lost))
     }
 
     /// Lets go of all that is held for the request, at both ends of its moves, and of what a read brings.
     /// For a request that has ended.
-    pub fn release(&self, id: &Id) {
+    pub fn release(&self, id: &RequestId) {
         self.hub.release(id);
     }
 
     /// Lets go of what is held for the request and no attempt waits for: a read that is under way goes on,
     /// and so does a move until its taker gives it up. What `DELETE /state/{id}` of the platform's protocol
     /// means, as the request's next attempt may be under way beside it.
-    pub fn release_unclaimed(&self, id: &Id) {
+    pub fn release_unclaimed(&self, id: &RequestId) {
         self.hub.release_unclaimed(id);
     }
 
@@ -245,7 +245,7 @@
     }
 
     /// Resolves once nothing is held and nothing moves.
-    pub async fn settled(&self) {
+    pub async fn wait_until_idle(&self) {
         loop {
             let ended = self.hub.ended.notified();
             if self.hub.empty() {
@@ -256,18 +256,18 @@
     }
 
     /// The states that others have announced, once they are here. One caller gets them: the last.
-    pub fn arrived(&self) -> mpsc::UnboundedReceiver<Arrived> {
+    pub fn subscribe_pushed(&self) -> mpsc::UnboundedReceiver<PushedCache> {
         self.hub.inbox()
     }
 
     /// The states that were freed here without a taker, and why: their prompts are to be read anew, if they
     /// are still wanted. One caller gets them: the last. What finds no room is not waited for.
-    pub fn freed(&self) -> mpsc::Receiver<(Id, Cause)> {
+    pub fn subscribe_freed(&self) -> mpsc::Receiver<(RequestId, Cause)> {
         self.hub.reports(REPORTS)
     }
 
     /// Each move to here: whose, bytes that are here and proven, bytes in all once they are known.
-    pub fn progress(&self) -> Vec<(Id, u64, Option<u64>)> {
+    pub fn progress(&self) -> Vec<(RequestId, u64, Option<u64>)> {
         self.hub.progress()
     }
 
@@ -278,7 +278,7 @@
 }
 
 async fn accept(hub: Arc<Hub>, listener: TcpListener) {
-    let room = Arc::new(Semaphore::new(hub.config.connections));
+    let room = Arc::new(Semaphore::new(hub.config.max_connections));
     loop {
         match listener.accept().await {
             Ok((stream, peer)) => match room.clone().try_acquire_owned() {
--- a/transfer/src/service/status.rs
+++ b/transfer/src/service/status.rs
@@ -70,14 +70,14 @@
     Wire(#[from] WireError),
     /// Nothing came in time.
     #[error("no answer in time")]
-    Silent,
+    TimedOut,
     /// What came is no status.
     #[error("not a status: {0}")]
     Malformed(#[from] serde_json::Error),
 }
 
 /// Asks the node at an address.
-pub async fn ask(at: SocketAddr, within: Duration) -> Result<Status, StatusError> {
+pub async fn query_status(at: SocketAddr, within: Duration) -> Result<Status, StatusError> {
     let asking = async {
         let stream = TcpStream::connect(at).await.map_err(WireError::Io)?;
         let mut frames = Framed::new(stream, Codec::default());
@@ -93,5 +93,5 @@
             }
         }
     };
-    timeout(within, asking).await.unwrap_or(Err(StatusError::Silent))
+    timeout(within, asking).await.unwrap_or(Err(StatusError::TimedOut))
 }
--- a/transfer/src/wire/codec.rs
+++ b/transfer/src/wire/codec.rs
@@ -6,7 +6,9 @@
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use tokio_util::codec::{Decoder, Encoder};
 
-use super::frame::{Frame, Hello, Id, Offer, Want, MAX_ID, MAX_RANGES, MAX_STATUS, VERSION};
+use super::frame::{
+    Frame, Hello, Offer, RequestId, Want, MAX_RANGES, MAX_REQUEST_ID_BYTES, MAX_STATUS, VERSION,
+};
 use crate::cause::Cause;
 use crate::proof::{Proof, Shape, ShapeError, MAX_CHUNK, MAX_CHUNKS};
 
@@ -93,12 +95,12 @@
 fn most(kind: u8) -> Option<usize> {
     Some(match kind {
         kind::HELLO => 8 + 2 + 4 + 8 + 4,
-        kind::WANT => 4 + 8 + MAX_ID,
+        kind::WANT => 4 + 8 + MAX_REQUEST_ID_BYTES,
         kind::OFFER => OFFER_FIXED + 32 * MAX_CHUNKS as usize,
         kind::ASK => 8 * MAX_RANGES,
         kind::CHUNK => MAX_CHUNK as usize,
-        kind::RELEASE | kind::ANNOUNCE => MAX_ID,
-        kind::REFUSE => 1 + MAX_ID,
+        kind::RELEASE | kind::ANNOUNCE => MAX_REQUEST_ID_BYTES,
+        kind::REFUSE => 1 + MAX_REQUEST_ID_BYTES,
         kind::ABORT | kind::GIVE_UP => 1,
         kind::CREDIT | kind::DRAIN => 4,
         kind::COMPLETE | kind::GRANT | kind::BEAT | kind::STATUS_ASK => 0,
@@ -269,10 +271,10 @@
     Ok(Offer { token, incarnation, limit_ms, proof: Arc::new(proof) })
 }
 
-fn id(kind: u8, body: &mut Bytes) -> Result<Id, WireError> {
+fn id(kind: u8, body: &mut Bytes) -> Result<RequestId, WireError> {
     let text = std::mem::take(body);
     let text = std::str::from_utf8(&text).map_err(|_| WireError::Malformed(kind))?;
-    Id::new(text).map_err(|_| WireError::Malformed(kind))
+    RequestId::new(text).map_err(|_| WireError::Malformed(kind))
 }
 
 fn cause(kind: u8, body: &mut Bytes) -> Result<Cause, WireError> {
--- a/transfer/src/wire/frame.rs
+++ b/transfer/src/wire/frame.rs
@@ -12,7 +12,7 @@
 /// The version spoken here.
 pub const VERSION: u16 = 1;
 /// The longest request id, in bytes.
-pub const MAX_ID: usize = 128;
+pub const MAX_REQUEST_ID_BYTES: usize = 128;
 /// The most ranges in one frame: every other chunk of the largest state.
 pub const MAX_RANGES: usize = 1 << 15;
 /// The longest status text, in bytes.
@@ -20,18 +20,19 @@
 
 /// A request's id: the name of its state.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Id(Arc<str>);
+pub struct RequestId(Arc<str>);
 
 /// A text is no id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("an id has 1 to {MAX_ID} bytes, all of them visible ASCII")]
-pub struct IdError;
+#[error("an id has 1 to {MAX_REQUEST_ID_BYTES} bytes, all of them visible ASCII")]
+pub struct RequestIdError;
 
-impl Id {
+impl RequestId {
     /// Checks the bounds.
-    pub fn new(text: &str) -> Result<Self, IdError> {
-        let fits = (1..=MAX_ID).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_graphic());
-        fits.then(|| Id(text.into())).ok_or(IdError)
+    pub fn new(text: &str) -> Result<Self, RequestIdError> {
+        let fits =
+            (1..=MAX_REQUEST_ID_BYTES).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_graphic());
+        fits.then(|| RequestId(text.into())).ok_or(RequestIdError)
     }
 
     /// The text.
@@ -40,7 +41,7 @@
     }
 }
 
-impl std::fmt::Display for Id {
+impl std::fmt::Display for RequestId {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(&self.0)
     }
@@ -65,7 +66,7 @@
     /// The taker's name for the move.
     pub token: Token,
     /// Whose state.
-    pub id: Id,
+    pub id: RequestId,
     /// How soon it is needed, in milliseconds from now; 0: at no certain time.
     pub due_ms: u32,
     /// The holder's process, where the move has begun before; 0 for a new one.
@@ -111,11 +112,11 @@
     /// Holder to taker: what has not moved within so many milliseconds is freed.
     Drain(u32),
     /// Either way: let go of all that is held for the request.
-    Release(Id),
+    Release(RequestId),
     /// A holder has a state for whoever it says this to.
-    Announce(Id),
+    Announce(RequestId),
     /// To whom has announced: refused.
-    Refuse(Id, Cause),
+    Refuse(RequestId, Cause),
     /// A sign of life.
     Beat,
     /// Asks for a status.
--- a/transfer/src/wire/mod.rs
+++ b/transfer/src/wire/mod.rs
@@ -5,4 +5,7 @@
 
 pub(crate) use codec::chunk_header;
 pub use codec::{Codec, WireError, HEADER};
-pub use frame::{Frame, Hello, Id, IdError, Offer, Want, MAX_ID, MAX_RANGES, MAX_STATUS, VERSION};
+pub use frame::{
+    Frame, Hello, Offer, RequestId, RequestIdError, Want, MAX_RANGES, MAX_REQUEST_ID_BYTES, MAX_STATUS,
+    VERSION,
+};
--- a/transfer/tests/hard_cases.rs
+++ b/transfer/tests/hard_cases.rs
@@ -12,8 +12,9 @@
 const LENGTH: usize = 20 * CHUNK as usize;
 
 fn world(takers: usize) -> World {
-    let sender = sender::Bounds { in_flight: 16 * u64::from(CHUNK), ..Default::default() };
-    let receiver = receiver::Bounds { memory: 1 << 20, window: 4 * CHUNK, ..Default::default() };
+    let sender = sender::Limits { max_in_flight_bytes: 16 * u64::from(CHUNK), ..Default::default() };
+    let receiver =
+        receiver::Limits { max_memory_bytes: 1 << 20, window_bytes: 4 * CHUNK, ..Default::default() };
     World::new(takers, sender, receiver)
 }
 
@@ -88,7 +89,7 @@
 
 #[test]
 fn a_chunk_is_asked_for_again_so_many_times_and_no_more() {
-    let tries = u32::from(receiver::Bounds::default().tries);
+    let tries = u32::from(receiver::Limits::default().max_chunk_attempts);
     for flips in [1, tries - 1] {
         let mut world = world(1);
         world.put(1, CHUNK as usize).unwrap();
@@ -113,7 +114,7 @@
 #[test]
 fn connections_that_break_again_and_again_bring_a_move_to_an_end() {
     let (mut world, token) = under_way(0);
-    for _ in 0..=receiver::Bounds::default().cuts {
+    for _ in 0..=receiver::Limits::default().max_connection_losses {
         assert!(end(&world, 0, token).is_none());
         // Far enough for the greeting and the offer, and for no chunk.
         world.frames(2);
@@ -315,8 +316,12 @@
 
 #[test]
 fn a_full_taker_lets_moves_wait_and_drops_none() {
-    let receiver = receiver::Bounds { memory: LENGTH as u64 * 2, window: 4 * CHUNK, ..Default::default() };
-    let mut world = World::new(1, sender::Bounds::default(), receiver);
+    let receiver = receiver::Limits {
+        max_memory_bytes: LENGTH as u64 * 2,
+        window_bytes: 4 * CHUNK,
+        ..Default::default()
+    };
+    let mut world = World::new(1, sender::Limits::default(), receiver);
     for name in 1..7 {
         world.put(name, LENGTH).unwrap();
     }
--- a/transfer/tests/model.rs
+++ b/transfer/tests/model.rs
@@ -50,9 +50,10 @@
 /// Room for about two of the larger states.
 const MEMORY: u64 = 100_000;
 
-fn small() -> (sender::Bounds, receiver::Bounds) {
-    let sender = sender::Bounds { in_flight: 6 * u64::from(CHUNK), ..Default::default() };
-    let receiver = receiver::Bounds { memory: MEMORY, window: 4 * CHUNK, ..Default::default() };
+fn small() -> (sender::Limits, receiver::Limits) {
+    let sender = sender::Limits { max_in_flight_bytes: 6 * u64::from(CHUNK), ..Default::default() };
+    let receiver =
+        receiver::Limits { max_memory_bytes: MEMORY, window_bytes: 4 * CHUNK, ..Default::default() };
     (sender, receiver)
 }
 
--- a/transfer/tests/service.rs
+++ b/transfer/tests/service.rs
@@ -7,8 +7,8 @@
 use bytes::Bytes;
 use frosttrail_standins::link::{Event, Fault, Link, Way};
 use frosttrail_transfer::cause::Cause;
-use frosttrail_transfer::service::{ask, Config, FetchError, Inbox, Node, Whole};
-use frosttrail_transfer::wire::Id;
+use frosttrail_transfer::service::{query_status, Config, FetchError, Node, PushPolicy, ReceivedCache};
+use frosttrail_transfer::wire::RequestId;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -22,8 +22,9 @@
 const RULE: Duration = Duration::from_millis(1_000);
 
 fn config() -> Config {
-    let mut config = Config { chunk: CHUNK, greet: Duration::from_millis(300), ..Config::default() };
-    config.taker.window = 8 * CHUNK;
+    let mut config =
+        Config { chunk_bytes: CHUNK, handshake_timeout: Duration::from_millis(300), ..Config::default() };
+    config.receiver.window_bytes = 8 * CHUNK;
     config
 }
 
@@ -51,8 +52,8 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-fn id(name: &str) -> Id {
-    Id::new(name).unwrap()
+fn id(name: &str) -> RequestId {
+    RequestId::new(name).unwrap()
 }
 
 fn content(seed: u64, length: usize) -> Bytes {
@@ -61,7 +62,7 @@
     bytes.into()
 }
 
-fn same(whole: &Whole, state: &Bytes) -> bool {
+fn same(whole: &ReceivedCache, state: &Bytes) -> bool {
     whole.chunks().concat() == state[..]
 }
 
@@ -85,17 +86,17 @@
     }
 
     async fn put(&self, name: &str, state: &Bytes) {
-        self.holder.begin(id(name)).unwrap().put(state.clone()).await.unwrap();
+        self.holder.begin_prefill(id(name)).unwrap().store(state.clone()).await.unwrap();
     }
 
-    async fn fetch(&self, name: &str) -> Result<Whole, FetchError> {
+    async fn fetch(&self, name: &str) -> Result<ReceivedCache, FetchError> {
         timeout(LATEST, self.taker.fetch(&id(name), &[self.link.address], None)).await.unwrap()
     }
 
     /// Both ends are free within the rule from now on.
     async fn free_in_time(&self) {
         let begin = Instant::now();
-        let both = async { tokio::join!(self.holder.settled(), self.taker.settled()) };
+        let both = async { tokio::join!(self.holder.wait_until_idle(), self.taker.wait_until_idle()) };
         timeout(LATEST, both).await.unwrap();
         assert!(begin.elapsed() <= RULE, "free after {:?}", begin.elapsed());
         assert_eq!(self.taker.status().memory, 0);
@@ -120,7 +121,7 @@
     }
     assert_eq!(pair.fetch("r1").await.unwrap_err(), FetchError::Failed(Cause::Taken));
     assert_eq!(pair.fetch("r2").await.unwrap_err(), FetchError::Failed(Cause::Gone));
-    assert_eq!(pair.taker.fetch(&id("r1"), &[], None).await.unwrap_err(), FetchError::Nowhere);
+    assert_eq!(pair.taker.fetch(&id("r1"), &[], None).await.unwrap_err(), FetchError::NoSender);
 }
 
 #[tokio::test]
@@ -166,12 +167,12 @@
     // In each copy of the only chunk, one bit.
     let flips = (0..40).map(|n| Event { way: Way::Down, at: 4_000 + n * 8_000, fault: Fault::Flip });
     pair.link.script(&flips.collect::<Vec<_>>());
-    let mut reports = pair.holder.freed();
+    let mut reports = pair.holder.subscribe_freed();
     pair.put("r1", &state).await;
     assert_eq!(pair.fetch("r1").await.unwrap_err(), FetchError::Failed(Cause::Corrupt));
     pair.free_in_time().await;
     assert_eq!(reports.recv().await, Some((id("r1"), Cause::Corrupt)));
-    assert_eq!(u32::from(config().taker.tries), pair.taker.status().total.chunks_bad as u32);
+    assert_eq!(u32::from(config().receiver.max_chunk_attempts), pair.taker.status().total.chunks_bad as u32);
 }
 
 #[tokio::test]
@@ -188,10 +189,10 @@
         pair.link.script(&[Event { way: Way::Down, at, fault: Fault::Cut }]);
         pair.put("r1", &state).await;
         assert!(same(&pair.fetch("r1").await.unwrap(), &state), "cut at {at}");
-        let window = u64::from(config().taker.window);
+        let window = u64::from(config().receiver.window_bytes);
         assert!(pair.resent(&state) <= window, "{} bytes sent again, cut at {at}", pair.resent(&state));
         // The grant may have been lost, and said again.
-        timeout(LATEST, pair.holder.settled()).await.unwrap();
+        timeout(LATEST, pair.holder.wait_until_idle()).await.unwrap();
     }
     for at in (0..400).step_by(13) {
         let pair = Pair::start().await;
@@ -220,7 +221,7 @@
         };
         let (whole, ()) = tokio::join!(pair.fetch("r1"), back);
         assert!(same(&whole.unwrap(), &state), "{fault:?}");
-        assert!(pair.resent(&state) <= u64::from(config().taker.window));
+        assert!(pair.resent(&state) <= u64::from(config().receiver.window_bytes));
 
         let pair = Pair::start().await;
         pair.link.script(&[Event { way: Way::Down, at: 200_000, fault }]);
@@ -275,7 +276,7 @@
     pair.put("r1", &state).await;
     let third = Node::new(config(), 3, log());
     assert!(third.fetch(&id("other"), &[pair.link.address], None).await.is_err());
-    let mut reports = pair.holder.freed();
+    let mut reports = pair.holder.subscribe_freed();
     third.release(&id("r1"));
     pair.free_in_time().await;
     assert_eq!(reports.recv().await, Some((id("r1"), Cause::Released)));
@@ -301,7 +302,7 @@
     }
     // Another process at the same address, which has read the same request anew.
     let other = Node::new(config(), 9, log());
-    other.begin(id("r1")).unwrap().put(content(9, 2_000_000)).await.unwrap();
+    other.begin_prefill(id("r1")).unwrap().store(content(9, 2_000_000)).await.unwrap();
     let link = Link::start(other.listen(any()).await.unwrap()).await.unwrap();
     pair.holder = other;
     pair.link.forward_to(link.address);
@@ -313,7 +314,7 @@
 #[tokio::test]
 async fn many_moves_over_one_slow_link_all_arrive_and_nothing_is_lost() {
     let mut config = config();
-    config.taker.memory = 20 * 100_000;
+    config.receiver.max_memory_bytes = 20 * 100_000;
     let pair = Pair::with(config).await;
     pair.link.rate(20_000_000);
     let states: Vec<Bytes> = (0..64).map(|n| content(n, 100_000)).collect();
@@ -333,7 +334,7 @@
 #[tokio::test]
 async fn a_taker_that_reads_nothing_holds_up_no_other() {
     let mut config = config();
-    config.holder.in_flight = 4 * u64::from(CHUNK);
+    config.sender.max_in_flight_bytes = 4 * u64::from(CHUNK);
     let pair = Pair::with(config).await;
     let stuck = Node::new(config, 3, log());
     let slow = Link::start(pair.link.target()).await.unwrap();
@@ -361,7 +362,7 @@
 #[tokio::test]
 async fn a_drain_ends_in_time_with_what_could_move_moved() {
     let pair = Pair::start().await;
-    let mut reports = pair.holder.freed();
+    let mut reports = pair.holder.subscribe_freed();
     let state = content(1, 1_000_000);
     for name in ["r1", "r2"] {
         pair.put(name, &state).await;
@@ -372,9 +373,9 @@
             sleep(Duration::from_millis(1)).await;
         }
         pair.holder.drain(Duration::from_millis(600));
-        assert!(pair.holder.begin(id("r3")).is_err());
+        assert!(pair.holder.begin_prefill(id("r3")).is_err());
         let begin = Instant::now();
-        pair.holder.settled().await;
+        pair.holder.wait_until_idle().await;
         begin.elapsed()
     };
     let (moved, took) = tokio::join!(pair.fetch("r1"), drain);
@@ -386,22 +387,22 @@
 #[tokio::test]
 async fn a_pushed_state_arrives_over_a_link_that_is_cut() {
     let state = content(1, 1_000_000);
-    let service = Node::new(Config { inbox: Inbox::Hand, ..config() }, 2, log());
-    let mut arrived = service.arrived();
+    let service = Node::new(Config { push_policy: PushPolicy::Deliver, ..config() }, 2, log());
+    let mut arrived = service.subscribe_pushed();
     let link = Link::start(service.listen(any()).await.unwrap()).await.unwrap();
     link.script(&[300_000, 700_000].map(|at| Event { way: Way::Up, at, fault: Fault::Cut }));
     let from = Node::new(config(), 1, log());
-    from.begin(id("r1")).unwrap().put(state.clone()).await.unwrap();
+    from.begin_prefill(id("r1")).unwrap().store(state.clone()).await.unwrap();
     timeout(LATEST, from.push(&id("r1"), link.address)).await.unwrap().unwrap();
     let got = arrived.recv().await.unwrap();
-    assert!(got.id == id("r1") && same(&got.state, &state));
-    assert!(from.status().total.bytes_sent <= 1_000_000 + 2 * u64::from(config().taker.window));
+    assert!(got.id == id("r1") && same(&got.cache, &state));
+    assert!(from.status().total.bytes_sent <= 1_000_000 + 2 * u64::from(config().receiver.window_bytes));
     // One that takes nothing says so, and one that is not there is not waited for.
     let closed = Node::new(config(), 3, log());
     let at = closed.listen(any()).await.unwrap();
-    from.begin(id("r2")).unwrap().put(state.clone()).await.unwrap();
+    from.begin_prefill(id("r2")).unwrap().store(state.clone()).await.unwrap();
     assert_eq!(from.push(&id("r2"), at).await, Err(Cause::Unwanted));
-    from.begin(id("r3")).unwrap().put(state).await.unwrap();
+    from.begin_prefill(id("r3")).unwrap().store(state).await.unwrap();
     drop(link);
     let begin = Instant::now();
     assert_eq!(from.push(&id("r3"), any()).await, Err(Cause::Expired));
@@ -411,15 +412,15 @@
 #[tokio::test]
 async fn a_node_beside_a_box_holds_what_it_was_handed_for_whoever_fetches_it() {
     let state = content(1, 1_000_000);
-    let pair = Pair::with(Config { inbox: Inbox::Hold, ..config() }).await;
+    let pair = Pair::with(Config { push_policy: PushPolicy::Store, ..config() }).await;
     let from = Node::new(config(), 9, log());
-    from.begin(id("r1")).unwrap().put(state.clone()).await.unwrap();
+    from.begin_prefill(id("r1")).unwrap().store(state.clone()).await.unwrap();
     from.push(&id("r1"), pair.link.address).await.unwrap();
     assert!(same(&pair.fetch("r1").await.unwrap(), &state));
     assert_eq!((pair.holder.status().memory, pair.holder.status().state_bytes), (0, 0));
     // Told to drain, it takes no more.
     pair.holder.drain(RULE);
-    from.begin(id("r2")).unwrap().put(state).await.unwrap();
+    from.begin_prefill(id("r2")).unwrap().store(state).await.unwrap();
     assert_eq!(from.push(&id("r2"), pair.link.address).await, Err(Cause::Drained));
 }
 
@@ -430,7 +431,7 @@
     let holder = Node::new(config(), 1, log);
     let at = holder.listen(any()).await.unwrap();
     let state = content(1, 1_000_000);
-    holder.begin(id("r1")).unwrap().put(state.clone()).await.unwrap();
+    holder.begin_prefill(id("r1")).unwrap().store(state.clone()).await.unwrap();
     let greeting = {
         // A node's own greeting, for those that go wrong behind it.
         let mut stream = TcpStream::connect(at).await.unwrap();
@@ -478,7 +479,7 @@
 async fn a_node_tells_how_it_is() {
     let pair = Pair::start().await;
     pair.put("r1", &content(1, 5_000)).await;
-    let status = ask(pair.link.address, LATEST).await.unwrap();
+    let status = query_status(pair.link.address, LATEST).await.unwrap();
     assert_eq!((status.incarnation, status.states, status.state_bytes), (1, 1, 5_000));
-    assert!(ask(any(), LATEST).await.is_err());
+    assert!(query_status(any(), LATEST).await.is_err());
 }
--- a/transfer/tests/support/mod.rs
+++ b/transfer/tests/support/mod.rs
@@ -10,8 +10,8 @@
 use frosttrail_transfer::proof::Proof;
 use frosttrail_transfer::receiver::{self, Receiver, State};
 use frosttrail_transfer::sender::{self, Sender};
-use frosttrail_transfer::wire::{Frame, Hello, Id, VERSION};
-use frosttrail_transfer::{Conn, Incarnation, Micros, Times, Token};
+use frosttrail_transfer::wire::{Frame, Hello, RequestId, VERSION};
+use frosttrail_transfer::{Conn, Incarnation, Micros, Timeouts, Token};
 
 pub const CHUNK: u32 = 4_096;
 /// The rule: with no attempt out, a state is taken or freed within this time.
@@ -19,8 +19,8 @@
 /// Time moves on by this much at a time.
 pub const SLICE: Micros = 20_000;
 
-pub fn id(name: u8) -> Id {
-    Id::new(&format!("r{name}")).unwrap()
+pub fn id(name: u8) -> RequestId {
+    RequestId::new(&format!("r{name}")).unwrap()
 }
 
 /// Bytes that no other state has.
@@ -36,7 +36,7 @@
 pub struct Taker {
     pub machine: Receiver,
     pub ends: HashMap<Token, End>,
-    pub open: HashMap<Token, Id>,
+    pub open: HashMap<Token, RequestId>,
     process: Incarnation,
     connects: bool,
 }
@@ -51,7 +51,7 @@
 
 pub struct World {
     pub now: Micros,
-    pub times: Times,
+    pub timeouts: Timeouts,
     pub holder: Sender,
     pub takers: Vec<Taker>,
     wires: HashMap<Conn, Wire>,
@@ -62,20 +62,20 @@
     pub flips: u32,
     pub sent: HashMap<(usize, Token, u32), u32>,
     /// Content of each state by id, as it was put last.
-    pub content: HashMap<Id, Bytes>,
+    pub content: HashMap<RequestId, Bytes>,
     /// All that was ever put under an id.
-    all: HashMap<Id, Vec<Bytes>>,
+    all: HashMap<RequestId, Vec<Bytes>>,
     /// Since when a state has been held with no fetch for it open.
-    pinned: HashMap<Id, Micros>,
-    pub freed: Vec<(Id, Cause)>,
-    bounds: sender::Bounds,
+    pinned: HashMap<RequestId, Micros>,
+    pub freed: Vec<(RequestId, Cause)>,
+    limits: sender::Limits,
 }
 
 impl World {
-    pub fn new(takers: usize, sender: sender::Bounds, receiver: receiver::Bounds) -> Self {
-        let times = Times::default();
+    pub fn new(takers: usize, sender: sender::Limits, receiver: receiver::Limits) -> Self {
+        let timeouts = Timeouts::default();
         let taker = |process: usize| Taker {
-            machine: Receiver::new(times, receiver),
+            machine: Receiver::new(timeouts, receiver),
             ends: HashMap::new(),
             open: HashMap::new(),
             process: process as Incarnation + 1,
@@ -83,8 +83,8 @@
         };
         World {
             now: 0,
-            times,
-            holder: Sender::new(100, times, sender),
+            timeouts,
+            holder: Sender::new(100, timeouts, sender),
             takers: (0..takers).map(taker).collect(),
             wires: HashMap::new(),
             serial: 0,
@@ -95,7 +95,7 @@
             all: HashMap::new(),
             pinned: HashMap::new(),
             freed: Vec::new(),
-            bounds: sender,
+            limits: sender,
         }
     }
 
@@ -139,7 +139,7 @@
     pub fn restart_holder(&mut self) {
         self.cut_all();
         self.serial += 1;
-        self.holder = Sender::new(100 + self.serial, self.times, self.bounds);
+        self.holder = Sender::new(100 + self.serial, self.timeouts, self.limits);
         self.content.clear();
     }
 
@@ -245,7 +245,7 @@
             let owned = taker.ends.values().flatten().map(|s| s.length).sum::<u64>();
             assert!(taker.machine.moves().2 >= owned, "what is handed out stays counted");
         }
-        let held: Vec<Id> = self.content.keys().filter(|id| self.holder.holds(id)).cloned().collect();
+        let held: Vec<RequestId> = self.content.keys().filter(|id| self.holder.holds(id)).cloned().collect();
         self.pinned.retain(|id, _| held.contains(id));
         for id in held {
             if self.takers.iter().any(|t| t.open.values().any(|open| *open == id)) {
@@ -330,7 +330,7 @@
                     self.takers[wire.taker].machine.heard(self.now, *conn);
                 }
             }
-            let (now, silence) = (self.now, self.times.silence);
+            let (now, silence) = (self.now, self.timeouts.silence_timeout);
             let silent: Vec<Conn> =
                 self.wires.iter().filter(|(_, w)| now - w.heard[0] > silence).map(|(c, _)| *c).collect();
             for conn in silent {
--- a/transfer/tests/wire.rs
+++ b/transfer/tests/wire.rs
@@ -6,7 +6,7 @@
 use bytes::{Bytes, BytesMut};
 use frosttrail_transfer::cause::Cause;
 use frosttrail_transfer::proof::{Proof, Shape, MAX_CHUNK};
-use frosttrail_transfer::wire::{Codec, Frame, Hello, Id, Offer, Want, WireError, HEADER, VERSION};
+use frosttrail_transfer::wire::{Codec, Frame, Hello, Offer, RequestId, Want, WireError, HEADER, VERSION};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use tokio_util::codec::{Decoder, Encoder};
 
@@ -17,7 +17,7 @@
     fn arbitrary(g: &mut Gen) -> Self {
         let (token, number) = (u64::arbitrary(g), u32::arbitrary(g));
         let text: String = (0..1 + number % 128).map(|i| char::from(b'!' + (i % 90) as u8)).collect();
-        let id = Id::new(&text).unwrap();
+        let id = RequestId::new(&text).unwrap();
         let cause = Cause::from_wire(1 + (number % 11) as u8).unwrap();
         let data: Bytes = Vec::<u8>::arbitrary(g).into();
         Any(match u8::arbitrary(g) % 16 {
