--- a/daemon/tests/platform.rs
+++ b/daemon/tests/platform.rs
@@ -6,8 +6,8 @@
 
 use frosttrail_daemon::front::ClientTimeouts;
 use frosttrail_membership::gossip::Role;
-use frosttrail_membership::service::{Config as Shared, Membership, View};
-use frosttrail_membership::Terms;
+use frosttrail_membership::service::{Membership, MembershipConfig, MembershipView};
+use frosttrail_membership::LeaseConfig;
 use serde_json::{json, Value};
 use support::*;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -294,10 +294,22 @@
     let socket = tokio::net::UdpSocket::bind("127.0.0.1:0").await.unwrap();
     let voter = socket.local_addr().unwrap();
     let key = "what this test shares".to_string();
-    let terms = Terms { lease: 600_000, renew: 200_000, again: 50_000, drift: 0.02, most: 64 };
-    let shared = Shared { listen: voter, voters: vec![voter], key: key.clone(), role: Role::Plugin, terms };
+    let lease_config = LeaseConfig {
+        duration: 600_000,
+        renewal_interval: 200_000,
+        retry_interval: 50_000,
+        max_clock_drift: 0.02,
+        max_instances: 64,
+    };
+    let shared = MembershipConfig {
+        listen: voter,
+        acceptors: vec![voter],
+        key: key.clone(),
+        role: Role::Plugin,
+        lease_config,
+    };
     let log = slog::Logger::root(slog::Discard, slog::o!());
-    let here = Membership::on(socket, voter, shared, 1, log);
+    let here = Membership::with_socket(socket, voter, shared, 1, log);
     let mut view = here.view();
     let file = std::env::temp_dir().join(format!("frosttrail-membership-{}.json", std::process::id()));
     let text = json!({"listen": "127.0.0.1:0", "voters": [voter], "key": key, "most": 64});
@@ -305,11 +317,12 @@
     let mut command = program("member", &config("127.0.0.1:0", "127.0.0.1:9").to_string());
     command.arg("--membership").arg(&file);
     let running = Running::start(command);
-    let both =
-        |v: &View| v.peers.len() == 1 && v.peers[0].role == Role::Daemon && (0.2..0.8).contains(&v.part);
+    let both = |v: &MembershipView| {
+        v.peers.len() == 1 && v.peers[0].role == Role::Daemon && (0.2..0.8).contains(&v.quota_share)
+    };
     timeout(LATEST, view.wait_for(both)).await.unwrap().unwrap();
     running.signal("-TERM");
-    timeout(LATEST, view.wait_for(|v| v.peers.is_empty() && v.part > 0.85)).await.unwrap().unwrap();
+    timeout(LATEST, view.wait_for(|v| v.peers.is_empty() && v.quota_share > 0.85)).await.unwrap().unwrap();
     running.ends_well().await;
     // What is wrong with the file is said on one line.
     for (key, value) in
--- a/membership/tests/loopback.rs
+++ b/membership/tests/loopback.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use frosttrail_membership::gossip::Role;
-use frosttrail_membership::service::{Config, Membership};
-use frosttrail_membership::Terms;
+use frosttrail_membership::service::{Membership, MembershipConfig};
+use frosttrail_membership::LeaseConfig;
 use tokio::net::UdpSocket;
 use tokio::time::{sleep, timeout};
 
@@ -20,8 +20,14 @@
 }
 
 /// Quicker than usual, so that the test is.
-fn terms() -> Terms {
-    Terms { lease: 500_000, renew: 150_000, again: 40_000, drift: 0.02, most: 8 }
+fn lease_config() -> LeaseConfig {
+    LeaseConfig {
+        duration: 500_000,
+        renewal_interval: 150_000,
+        retry_interval: 40_000,
+        max_clock_drift: 0.02,
+        max_instances: 8,
+    }
 }
 
 struct Site {
@@ -46,9 +52,14 @@
 
     fn on(&mut self, socket: UdpSocket, role: Role, key: &str) {
         let at = socket.local_addr().unwrap();
-        let config =
-            Config { listen: at, voters: self.voters.clone(), key: key.into(), role, terms: terms() };
-        self.here.push(Membership::on(socket, at, config, self.next, log()));
+        let config = MembershipConfig {
+            listen: at,
+            acceptors: self.voters.clone(),
+            key: key.into(),
+            role,
+            lease_config: lease_config(),
+        };
+        self.here.push(Membership::with_socket(socket, at, config, self.next, log()));
         self.next += 1;
     }
 
@@ -58,7 +69,7 @@
     }
 
     fn parts(&self) -> Vec<f64> {
-        self.here.iter().map(|m| m.view().borrow().part).collect()
+        self.here.iter().map(|m| m.view().borrow().quota_share).collect()
     }
 
     /// Waits until it is so; all the while the parts are at most the whole.
@@ -96,9 +107,9 @@
     site.until(all).await;
     site.until(|s| s.here[0].view().borrow().peers.len() == 2).await;
     // The keeper is killed: another takes its place.
-    let keeper = site.here.iter().position(|m| m.view().borrow().keeper).unwrap();
+    let keeper = site.here.iter().position(|m| m.view().borrow().is_leader).unwrap();
     drop(site.here.remove(keeper));
-    site.until(|s| s.here.iter().any(|m| m.view().borrow().keeper)).await;
+    site.until(|s| s.here.iter().any(|m| m.view().borrow().is_leader)).await;
     site.until(all).await;
 }
 
@@ -119,6 +130,6 @@
     }
     sleep(Duration::from_millis(300)).await;
     site.until(|s| s.parts()[..3].iter().sum::<f64>() > 0.85).await;
-    assert_eq!(site.parts()[3], terms().floor());
+    assert_eq!(site.parts()[3], lease_config().floor_share());
     assert!(site.here[3].view().borrow().peers.is_empty());
 }
