--- a/core/src/cache_clock.rs
+++ b/core/src/cache_clock.rs
@@ -29,7 +29,7 @@
     /// held until then; else the time goes on. A prefill that broke off may have left something.
     pub(crate) fn attempt_ended(&mut self, outcome: Outcome, prefill: bool, now: Instant) {
         let again = std::mem::take(&mut self.released_beside);
-        if again || (outcome == Outcome::TurnedAway && self.since.is_some()) {
+        if again || (outcome == Outcome::Rejected && self.since.is_some()) {
             self.since = Some(now);
         }
         if prefill && !outcome.never_ran() {
--- a/core/src/command.rs
+++ b/core/src/command.rs
@@ -4,7 +4,8 @@
 use std::sync::{Arc, Mutex};
 
 use frosttrail::{
-    Entry, Id, ListForm, Load, Micros, OpenWork, Outcome, Query, Report, Settings, Snapshot, Verdict,
+    Decision, Id, ListUpdateKind, LoadReport, Micros, OpenWork, Outcome, Query, Report, ServerEntry,
+    Settings, Snapshot,
 };
 use tokio::sync::{mpsc, oneshot};
 
@@ -18,7 +19,7 @@
 /// A verdict as its request gets it.
 #[derive(Debug)]
 pub(crate) struct Order {
-    pub(crate) verdict: Verdict,
+    pub(crate) verdict: Decision,
     /// Resolves once the release before it has ended.
     pub(crate) after: Option<oneshot::Receiver<()>>,
     /// Leave for the attempt, where it is one.
@@ -52,8 +53,8 @@
     /// Something became of a request.
     Report(Id, Ticket, Report),
     /// News of the list, as exclusions have it. What must not wait for the decisions follows it already.
-    Members(ListForm, Vec<Entry>),
-    Probed(Id, Outcome, Option<Load>),
+    Members(ListUpdateKind, Vec<ServerEntry>),
+    Probed(Id, Outcome, Option<LoadReport>),
     /// The conductor is about to stop.
     Close,
     /// This conductor's part of what all conductors share.
--- a/core/src/conductor.rs
+++ b/core/src/conductor.rs
@@ -15,7 +15,7 @@
 use crate::command_queue::CommandSender;
 use crate::entry::OpenIds;
 use crate::exclusion::{ExclusionError, Exclusions};
-use crate::figures::Figures;
+use crate::metrics::Metrics;
 use crate::permit::Admissions;
 use crate::release::{lock, Releases};
 use crate::traits::Upstream;
@@ -25,7 +25,7 @@
 
 /// What a conductor has learned, for the process that takes its place.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Learned {
+pub struct InheritedState {
     /// The decisions' part.
     pub(crate) decisions: Snapshot,
     /// Instances that were put back by hand, and how many microseconds before.
@@ -33,7 +33,7 @@
 }
 
 /// What a conductor is made of.
-pub struct Parts<B, M> {
+pub struct ConductorParts<B, M> {
     /// The settings.
     pub settings: Settings,
     /// For random numbers, new with each start.
@@ -47,9 +47,9 @@
     /// Instances that operators have taken out of use before.
     pub excluded: Vec<Id>,
     /// What is counted.
-    pub figures: Figures,
+    pub figures: Metrics,
     /// What the process before has learned, and how long ago it said so.
-    pub learned: Option<(Learned, Duration)>,
+    pub inherited: Option<(InheritedState, Duration)>,
     /// The log.
     pub log: Logger,
 }
@@ -67,7 +67,7 @@
     pub(crate) releases: Arc<Releases<B>>,
     pub(crate) exclusions: Arc<Mutex<Exclusions>>,
     pub(crate) admissions: Admissions,
-    pub(crate) figures: Figures,
+    pub(crate) figures: Metrics,
 }
 
 impl<B> Clone for Conductor<B> {
@@ -94,17 +94,17 @@
     }
 
     /// How many requests have come since the start.
-    pub fn calls(&self) -> u64 {
+    pub fn call_count(&self) -> u64 {
         self.tickets.load(Ordering::Relaxed)
     }
 
     /// A front has refused a request of this class by itself.
-    pub fn note_refused(&self, class: &str) {
+    pub fn count_refused(&self, class: &str) {
         self.figures.open(class).deferred();
     }
 
     /// Whether there is a member to send to.
-    pub fn able(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         *self.able.borrow()
     }
 
@@ -115,7 +115,7 @@
 
     /// This conductor's part of what all that send to the same servers share: of 1. Until it is told, that is
     /// one of the number in the settings.
-    pub fn share(&self, part: f64) {
+    pub fn set_quota_share(&self, part: f64) {
         self.commands.send(Command::Share(part));
     }
 
@@ -134,7 +134,7 @@
 
     /// How long an attempt waits for the release before it.
     pub(crate) fn release_wait(&self) -> Duration {
-        Duration::from_micros(self.settings.borrow().release) / RELEASE_WAIT
+        Duration::from_micros(self.settings.borrow().cache_release_timeout) / RELEASE_WAIT
     }
 
     /// Fails for an id that no instance has, in the list or among those taken out.
@@ -159,12 +159,12 @@
     }
 
     /// What it has learned up to now; `None` once it has ended.
-    pub async fn learned(&self) -> Option<Learned> {
+    pub async fn export_state(&self) -> Option<InheritedState> {
         let (to, snapshot) = oneshot::channel();
         self.commands.send(Command::Snapshot(to));
         let decisions = snapshot.await.ok()?;
         let included = lock(&self.exclusions).included_before(self.clock.now());
-        Some(Learned { decisions, included })
+        Some(InheritedState { decisions, included })
     }
 
     /// What is open at instances; `None` once it has ended.
@@ -189,7 +189,7 @@
 
     /// Resolves once every release that was asked for has arrived or been given up. Requests must have
     /// ended before.
-    pub async fn released(&self) {
+    pub async fn wait_for_releases(&self) {
         // What the last requests reported lies before this in the queue.
         let (seen, all_seen) = oneshot::channel();
         self.commands.send(Command::Seen(seen));
--- a/core/src/dispatcher.rs
+++ b/core/src/dispatcher.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use frosttrail::{
-    Entry, Facade, Id, ListForm, Micros, Outcome, Report, Settings, Snapshot, Verdict, Verdicts,
+    Decision, Decisions, Facade, Id, ListUpdateKind, Micros, Outcome, Report, ServerEntry, Settings, Snapshot,
 };
 use slog::{debug, info, warn, Logger};
 use tokio::sync::{mpsc, watch};
@@ -17,12 +17,12 @@
 use crate::clock::Clock;
 use crate::command::{Command, NewRequest, Order, Ticket};
 use crate::command_queue::{commands, CommandReceiver, Taken, WeakCommandSender};
-use crate::conductor::{Conductor, Parts};
+use crate::conductor::{Conductor, ConductorParts};
 use crate::exclusion::Exclusions;
-use crate::figures::Figures;
+use crate::metrics::Metrics;
 use crate::permit::{Admissions, Conditions, SendPermit};
 use crate::release::{lock, Cleanup, Releaser, Releases};
-use crate::traits::{MemberList, Upstream};
+use crate::traits::{MembershipSource, Upstream};
 
 /// What the process before has learned is of use for this long.
 const INHERIT_WITHIN: Micros = 10_000_000;
@@ -44,16 +44,26 @@
 }
 
 /// Starts a conductor on the current runtime. It runs until every handle has gone.
-pub fn start<B: Upstream, M: MemberList>(parts: Parts<B, M>) -> Conductor<B> {
-    let Parts { settings, seed, clock, upstream, members, excluded, figures, learned, log } = parts;
+pub fn start<B: Upstream, M: MembershipSource>(parts: ConductorParts<B, M>) -> Conductor<B> {
+    let ConductorParts {
+        settings,
+        seed,
+        clock,
+        upstream,
+        members,
+        excluded,
+        figures,
+        inherited: learned,
+        log,
+    } = parts;
     figures.add_classes(&settings);
     let (sender, receiver) = commands(clock);
     let (able_tx, able) = watch::channel(false);
     let admissions = Admissions::default();
-    let release = Duration::from_micros(settings.release);
+    let release = Duration::from_micros(settings.cache_release_timeout);
     let releases = Arc::new(Releases::new(upstream.clone(), release, clock, log.clone()));
     let in_force = Arc::new(watch::Sender::new(Arc::new(settings.clone())));
-    let exclusions = Arc::new(Mutex::new(Exclusions::new(excluded, settings.warm_within)));
+    let exclusions = Arc::new(Mutex::new(Exclusions::new(excluded, settings.slow_start_duration)));
     let pending_snapshot = learned.map(|(learned, age)| {
         let at = clock.now().saturating_sub(age.as_micros() as Micros);
         lock(&exclusions).set_included_before(at, learned.included);
@@ -112,7 +122,7 @@
 }
 
 impl<B: Upstream> ListFollower<B> {
-    async fn run<M: MemberList>(self, mut members: M) {
+    async fn run<M: MembershipSource>(self, mut members: M) {
         while let Some(news) = members.next().await {
             let Some(commands) = self.commands.upgrade() else { return };
             let up = self.releases.members(news.form, &news.entries);
@@ -146,7 +156,7 @@
     releases: Arc<Releases<B>>,
     exclusions: Arc<Mutex<Exclusions>>,
     admissions: Admissions,
-    figures: Figures,
+    figures: Metrics,
     /// When figures are read next.
     read_figures_at: Micros,
     /// When the log is told next that commands wait.
@@ -165,7 +175,7 @@
                 yield_now().await;
                 worked = Duration::ZERO;
             }
-            let wake_at = self.facade.wake_at().map(|at| self.clock.instant(at).max(sweep_not_before));
+            let wake_at = self.facade.next_timer_at().map(|at| self.clock.instant(at).max(sweep_not_before));
             let sweep_due = async {
                 match wake_at {
                     Some(at) => tokio::time::sleep_until(at).await,
@@ -200,7 +210,7 @@
 
     fn sweep(&mut self, commands: &CommandReceiver) {
         let now = self.clock.now();
-        let verdicts = self.facade.tick(now);
+        let verdicts = self.facade.fire_timers(now);
         self.carry_out(verdicts);
         if now < self.read_figures_at {
             return;
@@ -231,10 +241,10 @@
                 None => return,
             },
             Command::Report(id, ticket, report) => return self.report(now, id, ticket, report),
-            Command::Probed(server, outcome, load) => self.facade.probed(now, server, outcome, load),
+            Command::Probed(server, outcome, load) => self.facade.probe_ended(now, server, outcome, load),
             Command::Members(form, entries) => self.members(now, form, entries),
             Command::Close => self.facade.close(now),
-            Command::Share(part) => self.facade.share(now, part),
+            Command::Share(part) => self.facade.set_quota_share(now, part),
             Command::OpenWork(to) => {
                 let _ = to.send(self.facade.open_work());
                 return;
@@ -249,8 +259,8 @@
                 let entry = lock(&self.exclusions).entry(&instance);
                 info!(self.log, "exclusion changed"; "instance" => %instance, "is" => ?entry);
                 let entries: Vec<_> = entry.into_iter().collect();
-                self.admissions.follow(ListForm::Changes, &entries);
-                self.facade.members(now, ListForm::Changes, entries)
+                self.admissions.follow(ListUpdateKind::Changes, &entries);
+                self.facade.update_servers(now, ListUpdateKind::Changes, entries)
             }
             Command::Seen(seen) => {
                 let _ = seen.send(());
@@ -261,7 +271,7 @@
     }
 
     /// A request has come; nothing is decided for one that has ended meanwhile.
-    fn open(&mut self, now: Micros, new: NewRequest) -> Option<Verdicts> {
+    fn open(&mut self, now: Micros, new: NewRequest) -> Option<Decisions> {
         let NewRequest { mut query, ticket, arrived, deadline, orders, ended, cleanup } = new;
         if ended.load(Ordering::Relaxed) {
             return None;
@@ -270,8 +280,8 @@
         query.budget = query.budget.saturating_sub(now.saturating_sub(arrived));
         let id = query.id.clone();
         debug!(self.log, "request"; "id" => %id, "class" => %query.class.name,
-            "budget" => query.budget, "tokens" => query.prompt_tokens, "again" => query.resent);
-        let verdicts = self.facade.pick(now, query)?;
+            "budget" => query.budget, "tokens" => query.prompt_tokens, "again" => query.is_client_retry);
+        let verdicts = self.facade.submit(now, query)?;
         self.open.insert(id, OpenRequest { ticket, orders, cleanup, ended, deadline, last: None });
         Some(verdicts)
     }
@@ -281,10 +291,10 @@
         open.last = Some(match &report {
             Report::Started => Outcome::Served,
             Report::Ended { outcome, .. } => *outcome,
-            Report::Left => Outcome::CalledOff,
+            Report::Closed => Outcome::Cancelled,
         });
         debug!(self.log, "report"; "id" => %id, "is" => ?report);
-        let left = report == Report::Left;
+        let left = report == Report::Closed;
         let verdicts = self.facade.report(now, &id, report);
         self.carry_out(verdicts);
         if left {
@@ -293,10 +303,10 @@
         }
     }
 
-    fn reconfigure(&mut self, now: Micros, settings: &Settings) -> Verdicts {
-        self.releases.set_within(Duration::from_micros(settings.release));
+    fn reconfigure(&mut self, now: Micros, settings: &Settings) -> Decisions {
+        self.releases.set_within(Duration::from_micros(settings.cache_release_timeout));
         self.figures.add_classes(settings);
-        lock(&self.exclusions).set_warm_within(settings.warm_within);
+        lock(&self.exclusions).set_warm_within(settings.slow_start_duration);
         self.facade.reconfigure(now, settings.clone())
     }
 
@@ -313,22 +323,22 @@
     /// How many instances are listed and how many of them are avoided.
     fn read_figures(&self) {
         let listed = self.releases.count();
-        let avoided = listed.saturating_sub(self.facade.usable());
+        let avoided = listed.saturating_sub(self.facade.usable_servers());
         self.figures.cluster_size.set(listed as i64);
         self.figures.cluster_unhealthy.set(avoided as i64);
     }
 
-    fn members(&mut self, now: Micros, form: ListForm, entries: Vec<Entry>) -> Verdicts {
+    fn members(&mut self, now: Micros, form: ListUpdateKind, entries: Vec<ServerEntry>) -> Decisions {
         for entry in &entries {
             debug!(self.log, "member"; "is" => ?entry);
         }
-        let verdicts = self.facade.members(now, form, entries);
+        let verdicts = self.facade.update_servers(now, form, entries);
         self.inherit(now);
         self.able.send_replace(self.releases.count() > 0);
         verdicts
     }
 
-    fn carry_out(&mut self, verdicts: Verdicts) {
+    fn carry_out(&mut self, verdicts: Decisions) {
         for line in verdicts.log {
             info!(self.log, "{}", line);
         }
@@ -345,25 +355,25 @@
         }
     }
 
-    fn order(&mut self, id: &Id, verdict: Verdict) {
+    fn order(&mut self, id: &Id, verdict: Decision) {
         let Some(open) = self.open.get(id) else { return };
         let (mut permit, mut after, mut takes_effect) = (SendPermit::unconditional(), None, false);
         match &verdict {
-            Verdict::Release => return self.releases.release(id, &open.cleanup),
-            Verdict::Send { server, send_by, .. } => {
+            Decision::Release => return self.releases.release(id, &open.cleanup),
+            Decision::Send { server, send_by, .. } => {
                 takes_effect = self.facade.takes_effect(server);
                 permit = self.permit(open, server, *send_by);
                 // A send that never arrives does not stop the clock of what is held, so the release goes
                 // on beside it until the attempt is known to have arrived. What is held must not wait.
-                let no_server_heard = matches!(open.last, Some(Outcome::NoConnection | Outcome::ReadDone));
+                let no_server_heard = matches!(open.last, Some(Outcome::NoConnection | Outcome::PrefillDone));
                 let mut cleanup = lock(&open.cleanup);
                 cleanup.sent(server);
                 after = no_server_heard.then(|| cleanup.end()).flatten();
-                if let Some(last) = open.last.filter(|last| *last != Outcome::ReadDone) {
+                if let Some(last) = open.last.filter(|last| *last != Outcome::PrefillDone) {
                     self.figures.retried(last);
                 }
             }
-            Verdict::Refuse { .. } => self.figures.refused(open.last),
+            Decision::Refuse { .. } => self.figures.refused(open.last),
             _ => {}
         }
         // A request that has just gone says so itself, in a command that lies in the queue.
--- a/core/src/entry.rs
+++ b/core/src/entry.rs
@@ -6,14 +6,14 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use frosttrail::{Id, Load, Outcome, Report};
+use frosttrail::{Id, LoadReport, Outcome, Report};
 use tokio::sync::mpsc;
 use tokio::time::sleep_until;
 
 use crate::cache_clock::CacheClock;
 use crate::command::{Command, Order, Ticket};
 use crate::command_queue::CommandSender;
-use crate::figures::Account;
+use crate::metrics::Account;
 use crate::release::{lock, Cleanup, Releaser};
 
 /// The ids of open requests.
@@ -69,8 +69,8 @@
         self.commands.send(Command::Report(self.id.clone(), self.ticket, report));
     }
 
-    pub(crate) fn ended(&self, outcome: Outcome, kept_tokens: u64, load: Option<Load>) {
-        self.report(Report::Ended { outcome, kept_tokens, load });
+    pub(crate) fn ended(&self, outcome: Outcome, cached_tokens: u64, load: Option<LoadReport>) {
+        self.report(Report::Ended { outcome, cached_tokens, load });
     }
 
     /// The attempt that was out has been ended from here, and its end has arrived.
@@ -112,6 +112,6 @@
         if was_sent && !self.streams {
             self.releaser.release_at_end(&self.id, &self.cleanup, self.attempt_is_out);
         }
-        self.report(Report::Left);
+        self.report(Report::Closed);
     }
 }
--- a/core/src/exclusion.rs
+++ b/core/src/exclusion.rs
@@ -6,7 +6,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use frosttrail::{Entry, Health, Id, ListForm, Micros};
+use frosttrail::{Health, Id, ListUpdateKind, Micros, ServerEntry};
 
 /// So many instances may be excluded at a time.
 const EXCLUDED_MAX: usize = 4_096;
@@ -25,7 +25,7 @@
 /// The listed instances, and which of them operators have excluded.
 #[derive(Debug, Default)]
 pub struct Exclusions {
-    listed: BTreeMap<Id, Entry>,
+    listed: BTreeMap<Id, ServerEntry>,
     excluded: BTreeSet<Id>,
     /// When an instance was put back, for as long as it counts as started then.
     included: BTreeMap<Id, Micros>,
@@ -70,9 +70,9 @@
     }
 
     /// News of the list; gives the entries as the decisions should have them.
-    pub fn news(&mut self, now: Micros, form: ListForm, entries: &[Entry]) -> Vec<Entry> {
+    pub fn news(&mut self, now: Micros, form: ListUpdateKind, entries: &[ServerEntry]) -> Vec<ServerEntry> {
         self.included.retain(|_, at| now < *at + self.warm_within);
-        if matches!(form, ListForm::Full | ListForm::WarmCopy) {
+        if matches!(form, ListUpdateKind::Full | ListUpdateKind::StaleCopy) {
             self.listed.clear();
         }
         for entry in entries {
@@ -105,7 +105,7 @@
     }
 
     /// A listed instance as the decisions should have it.
-    pub fn entry(&self, id: &Id) -> Option<Entry> {
+    pub fn entry(&self, id: &Id) -> Option<ServerEntry> {
         self.listed.get(id).map(|entry| self.effective(entry))
     }
 
@@ -122,7 +122,7 @@
         }
     }
 
-    fn effective(&self, entry: &Entry) -> Entry {
+    fn effective(&self, entry: &ServerEntry) -> ServerEntry {
         let mut entry = entry.clone();
         if entry.health == Health::Up && self.excluded.contains(&entry.server) {
             entry.health = Health::Draining;
--- a/core/src/lib.rs
+++ b/core/src/lib.rs
@@ -1,7 +1,7 @@
 //! Requests, attempts and outcomes: what a conductor does with the decisions, whatever the wire.
 //!
 //! [`start`] takes the settings, something that reaches servers ([`Upstream`]) and a list of members
-//! ([`MemberList`]), and gives a [`Conductor`]: a cheap handle that any front can call, and a
+//! ([`MembershipSource`]), and gives a [`Conductor`]: a cheap handle that any front can call, and a
 //! [`tower_service::Service`] for use as a client-side plug-in within an RPC library.
 //!
 //! Who owns what: one task owns the decisions ([`frosttrail::Facade`]); each request is one future
@@ -20,19 +20,19 @@
 mod dispatcher;
 mod entry;
 mod exclusion;
-mod figures;
+mod metrics;
 mod permit;
 mod reachability;
 mod release;
 mod request;
 mod traits;
 
-pub use answer_stream::{AnswerStream, Broken};
+pub use answer_stream::{AnswerStream, StreamBroken};
 pub use clock::Clock;
-pub use conductor::{Conductor, Learned, Parts};
+pub use conductor::{Conductor, ConductorParts, InheritedState};
 pub use dispatcher::start;
 pub use exclusion::{ExclusionError, Exclusions};
-pub use figures::Figures;
-pub use permit::{SendPermit, Withheld};
+pub use metrics::Metrics;
+pub use permit::{SendPermit, WithheldReason};
 pub use request::{Answer, CallError, Request};
-pub use traits::{Events, MemberList, News, Reply, Step, Upstream};
+pub use traits::{AttemptReply, EventStream, MembershipSource, MembershipUpdate, StreamStep, Upstream};
--- a/core/src/figures.rs
+++ b/core/src/metrics.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use crate::permit::Withheld;
+use crate::permit::WithheldReason;
 use frosttrail::{Outcome, Settings, Violation};
 use prometheus::{
     Encoder, Gauge, Histogram, HistogramOpts, IntCounter, IntCounterVec, IntGauge, Opts, Registry,
@@ -28,7 +28,7 @@
 
 /// Counters and gauges. Clones count together.
 #[derive(Clone)]
-pub struct Figures {
+pub struct Metrics {
     registry: Registry,
     /// Held while a request moves from the open ones to the ended ones, and while all figures are read.
     moving: Arc<Mutex<()>>,
@@ -65,7 +65,7 @@
     pub conf_invalid: IntCounter,
 }
 
-impl Figures {
+impl Metrics {
     /// All at zero. Fails only where a name stands twice.
     pub fn new() -> prometheus::Result<Self> {
         let registry = Registry::new();
@@ -94,7 +94,7 @@
             Opts::new("decision_lag_seconds", "Age of the oldest command that waits.").namespace(NAMESPACE),
         )?;
         registry.register(Box::new(lag.clone()))?;
-        Ok(Figures {
+        Ok(Metrics {
             overdue: by_label("overdue", "Final answers without a decision in time.", REASON)?,
             decisions: seconds("decision_seconds", "What a command costs the decisions.")?,
             waits: seconds("decision_wait_seconds", "How long commands wait for the decisions.")?,
@@ -130,7 +130,7 @@
     }
 
     /// An attempt was not begun.
-    pub(crate) fn withheld(&self, why: Withheld) {
+    pub(crate) fn withheld(&self, why: WithheldReason) {
         self.withheld.with_label_values(&[why.label()]).inc();
     }
 
@@ -202,15 +202,15 @@
 fn label(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Served => "served",
-        Outcome::ReadDone => "read_done",
+        Outcome::PrefillDone => "read_done",
         Outcome::Failed => "failed",
-        Outcome::TurnedAway => "turned_away",
-        Outcome::StateLost => "state_lost",
+        Outcome::Rejected => "turned_away",
+        Outcome::CacheMissing => "state_lost",
         Outcome::NoAnswer => "no_answer",
         Outcome::NoConnection => "no_connection",
         Outcome::ConnectionLost => "connection_lost",
         Outcome::StaleConnection => "stale_connection",
-        Outcome::CalledOff => "called_off",
+        Outcome::Cancelled => "called_off",
         Outcome::NotSent => "not_sent",
     }
 }
--- a/core/src/permit.rs
+++ b/core/src/permit.rs
@@ -8,14 +8,14 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, PoisonError, RwLock};
 
-use frosttrail::{Entry, Health, Id, ListForm, Micros};
+use frosttrail::{Health, Id, ListUpdateKind, Micros, ServerEntry};
 
 use crate::clock::Clock;
-use crate::figures::Figures;
+use crate::metrics::Metrics;
 
 /// Why an attempt that had been decided was not begun.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Withheld {
+pub enum WithheldReason {
     /// Its server drains, has gone or was taken out of use meanwhile.
     #[error("its server takes nothing new any more")]
     ServerClosed,
@@ -33,15 +33,15 @@
     RequestEnded,
 }
 
-impl Withheld {
+impl WithheldReason {
     /// The reason as it stands in figures.
     pub fn label(self) -> &'static str {
         match self {
-            Withheld::ServerClosed => "server_closed",
-            Withheld::ServerRestarted => "server_restarted",
-            Withheld::WindowOver => "window_over",
-            Withheld::DeadlineOver => "deadline_over",
-            Withheld::RequestEnded => "request_ended",
+            WithheldReason::ServerClosed => "server_closed",
+            WithheldReason::ServerRestarted => "server_restarted",
+            WithheldReason::WindowOver => "window_over",
+            WithheldReason::DeadlineOver => "deadline_over",
+            WithheldReason::RequestEnded => "request_ended",
         }
     }
 }
@@ -52,9 +52,9 @@
 
 impl Admissions {
     /// Follows the list of servers, as the decisions have it.
-    pub(crate) fn follow(&self, form: ListForm, entries: &[Entry]) {
+    pub(crate) fn follow(&self, form: ListUpdateKind, entries: &[ServerEntry]) {
         let mut open = self.0.write().unwrap_or_else(PoisonError::into_inner);
-        if matches!(form, ListForm::Full | ListForm::WarmCopy) {
+        if matches!(form, ListUpdateKind::Full | ListUpdateKind::StaleCopy) {
             open.clear();
         }
         for entry in entries {
@@ -75,7 +75,7 @@
     }
 
     /// Leave for an attempt under these conditions.
-    pub(crate) fn permit(&self, conditions: Conditions, clock: Clock, figures: Figures) -> SendPermit {
+    pub(crate) fn permit(&self, conditions: Conditions, clock: Clock, figures: Metrics) -> SendPermit {
         SendPermit(Some(Arc::new(Permit { admissions: self.clone(), conditions, clock, figures })))
     }
 }
@@ -102,7 +102,7 @@
     admissions: Admissions,
     conditions: Conditions,
     clock: Clock,
-    figures: Figures,
+    figures: Metrics,
 }
 
 impl std::fmt::Debug for SendPermit {
@@ -122,31 +122,31 @@
 
     /// To be asked directly before the first byte is written. An attempt that is withheld has not been sent,
     /// and its server is not to blame.
-    pub fn check(&self) -> Result<(), Withheld> {
+    pub fn check(&self) -> Result<(), WithheldReason> {
         let Some(permit) = &self.0 else { return Ok(()) };
         permit.check().inspect_err(|withheld| permit.figures.withheld(*withheld))
     }
 }
 
 impl Permit {
-    fn check(&self) -> Result<(), Withheld> {
+    fn check(&self) -> Result<(), WithheldReason> {
         let Conditions { server, started, send_by, deadline, ended } = &self.conditions;
         if ended.load(Ordering::Relaxed) {
-            return Err(Withheld::RequestEnded);
+            return Err(WithheldReason::RequestEnded);
         }
         let now = self.clock.now();
         if now >= *deadline {
-            return Err(Withheld::DeadlineOver);
+            return Err(WithheldReason::DeadlineOver);
         }
         let listed = self.admissions.started(server);
         if listed.is_none() {
-            return Err(Withheld::ServerClosed);
+            return Err(WithheldReason::ServerClosed);
         }
         if listed != *started {
-            return Err(Withheld::ServerRestarted);
+            return Err(WithheldReason::ServerRestarted);
         }
         match send_by {
-            Some(by) if now >= *by => Err(Withheld::WindowOver),
+            Some(by) if now >= *by => Err(WithheldReason::WindowOver),
             _ => Ok(()),
         }
     }
--- a/core/src/reachability.rs
+++ b/core/src/reachability.rs
@@ -4,7 +4,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-use frosttrail::{Entry, Health, Id, ListForm, Micros, Outcome};
+use frosttrail::{Health, Id, ListUpdateKind, Micros, Outcome, ServerEntry};
 
 /// So many servers of each zone are named for a call, of those that answered last and of those that did not.
 const NAMED_OF_ZONE: usize = 16;
@@ -36,9 +36,9 @@
 
 impl Reachability {
     /// News of the list. What was heard of a server that stays listed is kept.
-    pub(crate) fn members(&mut self, form: ListForm, entries: &[Entry]) {
+    pub(crate) fn members(&mut self, form: ListUpdateKind, entries: &[ServerEntry]) {
         let before = match form {
-            ListForm::Full | ListForm::WarmCopy => std::mem::take(self).servers,
+            ListUpdateKind::Full | ListUpdateKind::StaleCopy => std::mem::take(self).servers,
             _ => BTreeMap::new(),
         };
         for entry in entries {
@@ -69,7 +69,7 @@
 
     /// What an attempt or a call told of its server.
     pub(crate) fn told(&mut self, server: &Id, outcome: Outcome, now: Micros) {
-        if matches!(outcome, Outcome::CalledOff | Outcome::NotSent | Outcome::StaleConnection) {
+        if matches!(outcome, Outcome::Cancelled | Outcome::NotSent | Outcome::StaleConnection) {
             // Ended by this side.
             return;
         }
--- a/core/src/release.rs
+++ b/core/src/release.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use frosttrail::{Entry, Id, ListForm, Micros, Outcome};
+use frosttrail::{Id, ListUpdateKind, Micros, Outcome, ServerEntry};
 use slog::{debug, info, Logger};
 use tokio::runtime::Handle;
 use tokio::sync::oneshot;
@@ -126,7 +126,7 @@
     }
 
     /// News of the list of servers; gives how many are listed.
-    pub(crate) fn members(&self, form: ListForm, entries: &[Entry]) -> usize {
+    pub(crate) fn members(&self, form: ListUpdateKind, entries: &[ServerEntry]) -> usize {
         let mut reachability = lock(&self.reachability);
         reachability.members(form, entries);
         reachability.count()
@@ -180,7 +180,7 @@
     fn release_at_end(&self, request: &Id, cleanup: &Mutex<Cleanup>, cut: bool) {
         let mut cleanup = lock(cleanup);
         let last = cleanup.sent_to.first().filter(|_| cut);
-        let after = last.map_or(Duration::ZERO, |server| self.upstream.end_takes(server));
+        let after = last.map_or(Duration::ZERO, |server| self.upstream.cancellation_delay(server));
         self.begin(request, &mut cleanup, after);
     }
 
--- a/core/src/request.rs
+++ b/core/src/request.rs
@@ -7,8 +7,8 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-use frosttrail::admission::{self, RunAccount};
-use frosttrail::{Id, Micros, Outcome, Query, Report, Verdict};
+use frosttrail::admission::{self, ExecutionRecord};
+use frosttrail::{Decision, Id, Micros, Outcome, Query, Report};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
@@ -17,10 +17,10 @@
 use crate::command::{Command, NewRequest, Order};
 use crate::conductor::Conductor;
 use crate::entry::{Entry, IdClaim};
-use crate::figures::Figures;
+use crate::metrics::Metrics;
 use crate::permit::SendPermit;
 use crate::release::{lock, Releaser};
-use crate::traits::{Events, Reply, Upstream};
+use crate::traits::{AttemptReply, EventStream, Upstream};
 
 /// A client's request as a front hands it over.
 #[derive(Debug)]
@@ -33,7 +33,7 @@
 
 /// The final answer of a request.
 #[derive(Debug)]
-pub enum Answer<E: Events> {
+pub enum Answer<E: EventStream> {
     /// Served: the events of one server's stream.
     Served(AnswerStream<E>),
     /// Refused: trying again is harmless.
@@ -65,7 +65,7 @@
     answer_by: Instant,
     /// What is held is let go after this time.
     release_within: Duration,
-    run: RunAccount,
+    run: ExecutionRecord,
     last: Option<Outcome>,
 }
 
@@ -93,7 +93,7 @@
 /// How the wait for an attempt ended.
 enum Waited<E> {
     Order(Option<Order>),
-    Reply(Reply<E>),
+    Reply(AttemptReply<E>),
     Overdue,
 }
 
@@ -112,7 +112,7 @@
     }
 
     /// Waits for an attempt's reply, an order or the end of the request's time.
-    async fn reply<E>(&mut self, attempt: impl Future<Output = Reply<E>>) -> Waited<E> {
+    async fn reply<E>(&mut self, attempt: impl Future<Output = AttemptReply<E>>) -> Waited<E> {
         tokio::pin!(attempt);
         loop {
             let release_due = self.entry.release_due(self.release_within);
@@ -130,7 +130,7 @@
     }
 
     /// The final answer without a decision, and without a look at where others stand.
-    fn overdue<E: Events>(&mut self, figures: &Figures) -> Answer<E> {
+    fn overdue<E: EventStream>(&mut self, figures: &Metrics) -> Answer<E> {
         let refused = self.run.may_be_refused();
         figures.overdue(refused);
         if refused {
@@ -167,7 +167,7 @@
             };
             let Order { verdict, after, permit, takes_effect } = order;
             next = match verdict {
-                Verdict::Send { server, stop_at, .. } => {
+                Decision::Send { server, stop_at, .. } => {
                     let prepared = Prepared { server, after, permit, stop_at, takes_effect };
                     match self.attempt(&mut open, prepared, &call).await {
                         Next::Stream(events) => {
@@ -178,14 +178,14 @@
                         Next::Overdue => Err(Overdue),
                     }
                 }
-                Verdict::Refuse { retry_after } => {
+                Decision::Refuse { retry_after } => {
                     open.entry.account.deferred();
                     let retry_after = Duration::from_micros(retry_after);
                     return Ok(Answer::Refused { retry_after, last: open.last });
                 }
-                Verdict::Fail => return Ok(Answer::Failed { last: open.last }),
+                Decision::Fail => return Ok(Answer::Failed { last: open.last }),
                 // Nothing is out, nothing runs; the dispatcher sees to releases itself.
-                Verdict::Cancel | Verdict::Move | Verdict::Release => open.order().await,
+                Decision::Cancel | Decision::Move | Decision::Release => open.order().await,
             };
         }
     }
@@ -216,13 +216,13 @@
             streams: false,
             _claim: claim,
         };
-        let within = Duration::from_micros(admission::answer_within(query.budget));
-        let release = admission::release_within(self.settings.borrow().release);
+        let within = Duration::from_micros(admission::answer_timeout(query.budget));
+        let release = admission::release_timeout(self.settings.borrow().cache_release_timeout);
         let open = OpenCall {
             entry,
             answer_by: Instant::now() + within,
             release_within: Duration::from_micros(release),
-            run: RunAccount::new(&query),
+            run: ExecutionRecord::new(&query),
             last: None,
         };
         let deadline = arrived.saturating_add(query.budget);
@@ -245,7 +245,7 @@
                     let _ = timeout(self.release_wait(), released).await;
                 }
                 if permit.check().is_err() {
-                    return Reply::Ended(Outcome::NotSent, None);
+                    return AttemptReply::Ended(Outcome::NotSent, None);
                 }
                 let wait = Duration::from_micros(stop_at.saturating_sub(self.clock.now()));
                 self.upstream.attempt(&server, &id, call, wait, &permit).await
@@ -253,15 +253,15 @@
             open.reply(attempt).await
         };
         let ended_here = match &waited {
-            Waited::Reply(Reply::Ended(outcome, _)) => {
-                matches!(outcome, Outcome::NoAnswer | Outcome::Failed | Outcome::CalledOff)
+            Waited::Reply(AttemptReply::Ended(outcome, _)) => {
+                matches!(outcome, Outcome::NoAnswer | Outcome::Failed | Outcome::Cancelled)
             }
             Waited::Reply(_) => false,
             Waited::Order(_) | Waited::Overdue => true,
         };
         if ended_here {
             // Neither another attempt nor an answer may overtake its end.
-            let takes = self.upstream.end_takes(&server);
+            let takes = self.upstream.cancellation_delay(&server);
             if !takes.is_zero() {
                 sleep(takes).await;
             }
@@ -269,8 +269,8 @@
         }
         let reply = match waited {
             Waited::Reply(reply) => reply,
-            Waited::Order(None | Some(Order { verdict: Verdict::Cancel, .. })) => {
-                Reply::Ended(Outcome::CalledOff, None)
+            Waited::Order(None | Some(Order { verdict: Decision::Cancel, .. })) => {
+                AttemptReply::Ended(Outcome::Cancelled, None)
             }
             Waited::Order(Some(order)) => return Next::Order(order),
             Waited::Overdue => return Next::Overdue,
@@ -284,33 +284,33 @@
         open: &mut OpenCall,
         server: &Id,
         takes_effect: bool,
-        reply: Reply<B::Events>,
+        reply: AttemptReply<B::Events>,
     ) -> Next<B::Events> {
         let outcome = match &reply {
-            Reply::Stream(_) => Outcome::Served,
-            Reply::Read { .. } => Outcome::ReadDone,
-            Reply::Ended(outcome, _) => *outcome,
+            AttemptReply::Stream(_) => Outcome::Served,
+            AttemptReply::PrefillDone { .. } => Outcome::PrefillDone,
+            AttemptReply::Ended(outcome, _) => *outcome,
         };
         let entry = &mut open.entry;
         self.releases.told(server, outcome, self.clock.now());
         open.run.ended();
         entry.attempt_is_out = false;
         match reply {
-            Reply::Stream(events) => {
+            AttemptReply::Stream(events) => {
                 lock(&entry.cleanup).call_off();
                 entry.cache.taken();
                 entry.streams = true;
                 entry.report(Report::Started);
                 Next::Stream(events)
             }
-            Reply::Read { kept_tokens, load } => {
+            AttemptReply::PrefillDone { cached_tokens, load } => {
                 lock(&entry.cleanup).call_off();
                 entry.cache.prefilled(Instant::now());
-                entry.ended(outcome, kept_tokens, load);
+                entry.ended(outcome, cached_tokens, load);
                 open.last = Some(outcome);
                 Next::Again
             }
-            Reply::Ended(_, load) => {
+            AttemptReply::Ended(_, load) => {
                 lock(&entry.cleanup).left_something();
                 entry.cache.attempt_ended(outcome, !takes_effect, Instant::now());
                 entry.ended(outcome, 0, load);
--- a/core/tests/exclusion.rs
+++ b/core/tests/exclusion.rs
@@ -1,17 +1,17 @@
 //! Instances taken out of use by hand, whatever the list says of them meanwhile.
 
-use frosttrail::{Entry, Health, Id, ListForm};
+use frosttrail::{Health, Id, ListUpdateKind, ServerEntry};
 use frosttrail_core::{ExclusionError, Exclusions};
 
 const WARM_WITHIN: u64 = 13_000_000;
 
-fn entry(name: &str, health: Health, started: u64) -> Entry {
-    Entry { server: name.into(), cell: 0, kind: 0, zone: 0, started, health }
+fn entry(name: &str, health: Health, started: u64) -> ServerEntry {
+    ServerEntry { server: name.into(), rack: 0, kind: 0, zone: 0, started, health }
 }
 
 fn of_two() -> Exclusions {
     let mut exclusions = Exclusions::new([], WARM_WITHIN);
-    exclusions.news(1, ListForm::Full, &[entry("a", Health::Up, 0), entry("b", Health::Up, 0)]);
+    exclusions.news(1, ListUpdateKind::Full, &[entry("a", Health::Up, 0), entry("b", Health::Up, 0)]);
     exclusions
 }
 
@@ -19,12 +19,21 @@
 fn holds_through_lists_absence_return_and_restart() {
     let (mut exclusions, a) = (of_two(), Id::from("a"));
     exclusions.exclude(&a).unwrap();
-    let health = |entries: Vec<Entry>| entries[0].health;
-    assert_eq!(health(exclusions.news(2, ListForm::Changes, &[entry("a", Health::Up, 0)])), Health::Draining);
-    assert_eq!(health(exclusions.news(3, ListForm::Changes, &[entry("a", Health::Gone, 0)])), Health::Gone);
+    let health = |entries: Vec<ServerEntry>| entries[0].health;
+    assert_eq!(
+        health(exclusions.news(2, ListUpdateKind::Changes, &[entry("a", Health::Up, 0)])),
+        Health::Draining
+    );
+    assert_eq!(
+        health(exclusions.news(3, ListUpdateKind::Changes, &[entry("a", Health::Gone, 0)])),
+        Health::Gone
+    );
     // Still known while it is absent, and still out when it is back.
     exclusions.exclude(&a).unwrap();
-    assert_eq!(health(exclusions.news(4, ListForm::Full, &[entry("a", Health::Up, 9)])), Health::Draining);
+    assert_eq!(
+        health(exclusions.news(4, ListUpdateKind::Full, &[entry("a", Health::Up, 9)])),
+        Health::Draining
+    );
     assert!(exclusions.is_excluded(&a));
 }
 
@@ -45,7 +54,7 @@
     let (mut exclusions, c) = (of_two(), Id::from("c"));
     assert_eq!(exclusions.exclude(&c), Err(ExclusionError::Unknown));
     assert_eq!(exclusions.include(1, &c), Err(ExclusionError::Unknown));
-    exclusions.news(2, ListForm::Full, &[entry("b", Health::Up, 0)]);
+    exclusions.news(2, ListUpdateKind::Full, &[entry("b", Health::Up, 0)]);
     assert_eq!(exclusions.exclude(&"a".into()), Err(ExclusionError::Unknown));
 }
 
@@ -56,17 +65,17 @@
     exclusions.include(100, &a).unwrap();
     assert_eq!(exclusions.entry(&a).unwrap().started, 100);
     // The list's own time counts where it is later, and a list that lags does not make it warm.
-    let later = exclusions.news(101, ListForm::Changes, &[entry("a", Health::Up, 150)]);
+    let later = exclusions.news(101, ListUpdateKind::Changes, &[entry("a", Health::Up, 150)]);
     assert_eq!(later[0].started, 150);
-    let lagging = exclusions.news(102, ListForm::Full, &[entry("a", Health::Up, 0)]);
+    let lagging = exclusions.news(102, ListUpdateKind::Full, &[entry("a", Health::Up, 0)]);
     assert_eq!(lagging[0].started, 100);
-    let warm = exclusions.news(100 + WARM_WITHIN, ListForm::Full, &[entry("a", Health::Up, 0)]);
+    let warm = exclusions.news(100 + WARM_WITHIN, ListUpdateKind::Full, &[entry("a", Health::Up, 0)]);
     assert_eq!(warm[0].started, 0);
 }
 
 #[test]
 fn exclusions_from_before_hold_from_the_first_list_on() {
     let mut exclusions = Exclusions::new(["a".into()], WARM_WITHIN);
-    let first = exclusions.news(1, ListForm::WarmCopy, &[entry("a", Health::Up, 0)]);
+    let first = exclusions.news(1, ListUpdateKind::StaleCopy, &[entry("a", Health::Up, 0)]);
     assert_eq!(first[0].health, Health::Draining);
 }
--- a/core/tests/held.rs
+++ b/core/tests/held.rs
@@ -10,9 +10,10 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-use frosttrail::{Entry, Health, Id, ListForm, Load, Outcome, Role, Settings};
+use frosttrail::{Health, Id, ListUpdateKind, LoadReport, Outcome, Role, ServerEntry, Settings};
 use frosttrail_core::{
-    start, Answer, Clock, Events, Figures, News, Parts, Reply, Request, SendPermit, Step, Upstream,
+    start, Answer, AttemptReply, Clock, ConductorParts, EventStream, MembershipUpdate, Metrics, Request,
+    SendPermit, StreamStep, Upstream,
 };
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use support::{paused, query, Fixed};
@@ -91,9 +92,9 @@
 
 struct Over;
 
-impl Events for Over {
-    fn poll_step(&mut self, _: &mut Context<'_>) -> Poll<Step> {
-        Poll::Ready(Step::End)
+impl EventStream for Over {
+    fn poll_step(&mut self, _: &mut Context<'_>) -> Poll<StreamStep> {
+        Poll::Ready(StreamStep::End)
     }
 }
 
@@ -101,9 +102,16 @@
     type Call = ();
     type Events = Over;
 
-    async fn attempt(&self, server: &Id, _: &Id, _: &(), wait: Duration, _: &SendPermit) -> Reply<Over> {
+    async fn attempt(
+        &self,
+        server: &Id,
+        _: &Id,
+        _: &(),
+        wait: Duration,
+        _: &SendPermit,
+    ) -> AttemptReply<Over> {
         let (is, reads) = (self.is(server), server.starts_with('r'));
-        let ended = |outcome| Reply::Ended(outcome, None);
+        let ended = |outcome| AttemptReply::Ended(outcome, None);
         match is {
             Is::Gone => {
                 sleep(CONNECT.min(wait)).await;
@@ -135,17 +143,17 @@
         if reads {
             sleep(Duration::from_millis(30)).await;
             self.with(World::read);
-            return Reply::Read { kept_tokens: 0, load: None };
+            return AttemptReply::PrefillDone { cached_tokens: 0, load: None };
         }
         if !self.with(World::taken) {
-            return ended(Outcome::StateLost);
+            return ended(Outcome::CacheMissing);
         }
         sleep(Duration::from_millis(5)).await;
         if is == Is::Full {
             self.with(|w| w.held = Some(Instant::now()));
-            return ended(Outcome::TurnedAway);
+            return ended(Outcome::Rejected);
         }
-        Reply::Stream(Over)
+        AttemptReply::Stream(Over)
     }
 
     async fn release(&self, server: &Id, _: &Id) -> bool {
@@ -160,7 +168,7 @@
         }
     }
 
-    async fn probe(&self, _: &Id) -> (Outcome, Option<Load>) {
+    async fn probe(&self, _: &Id) -> (Outcome, Option<LoadReport>) {
         (Outcome::Served, None)
     }
 }
@@ -170,29 +178,29 @@
     let table = Table::default();
     table.with(|w| w.are = NAMES.iter().map(|n| Id::from(*n)).zip(are).collect());
     let settings = Settings {
-        roles: vec![Role::Read, Role::Write],
+        roles: vec![Role::Prefill, Role::Decode],
         memory_tokens: vec![200_000; 2],
-        release: release.as_micros() as u64,
+        cache_release_timeout: release.as_micros() as u64,
         ..Settings::example()
     };
-    let entry = |(n, name): (usize, &&str)| Entry {
+    let entry = |(n, name): (usize, &&str)| ServerEntry {
         server: (*name).into(),
-        cell: n as u64 % 2,
+        rack: n as u64 % 2,
         kind: n / 4,
         zone: n % 2,
         started: 0,
         health: Health::Up,
     };
     let entries = NAMES.iter().enumerate().map(entry).collect();
-    let conductor = start(Parts {
+    let conductor = start(ConductorParts {
         excluded: Vec::new(),
-        learned: None,
-        figures: Figures::new().unwrap(),
+        inherited: None,
+        figures: Metrics::new().unwrap(),
         settings,
         seed: 7,
         clock: Clock::new(),
         upstream: Arc::new(table.clone()),
-        members: Fixed(Some(News { form: ListForm::Full, entries })),
+        members: Fixed(Some(MembershipUpdate { form: ListUpdateKind::Full, entries })),
         log: slog::Logger::root(slog::Discard, slog::o!()),
     });
     sleep(Duration::from_millis(15)).await;
--- a/core/tests/model.rs
+++ b/core/tests/model.rs
@@ -11,9 +11,12 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use frosttrail::{Entry, Health, Id, ListForm, Load, Outcome, Role, Settings};
-use frosttrail_core::{start, Answer, Clock, Conductor, Events, Figures, News, Parts, Reply, Upstream};
-use frosttrail_core::{CallError, Request, SendPermit, Step};
+use frosttrail::{Health, Id, ListUpdateKind, LoadReport, Outcome, Role, ServerEntry, Settings};
+use frosttrail_core::{
+    start, Answer, AttemptReply, Clock, Conductor, ConductorParts, EventStream, MembershipUpdate, Metrics,
+    Upstream,
+};
+use frosttrail_core::{CallError, Request, SendPermit, StreamStep};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use support::{classes, paused, query, Fixed};
 use tokio::sync::{mpsc, oneshot};
@@ -24,7 +27,7 @@
 /// An attempt as its server sees it.
 struct Attempt {
     server: Id,
-    reply: oneshot::Sender<Reply<Stream>>,
+    reply: oneshot::Sender<AttemptReply<Stream>>,
 }
 
 #[derive(Default)]
@@ -87,7 +90,7 @@
 }
 
 struct Stream {
-    steps: mpsc::UnboundedReceiver<Step>,
+    steps: mpsc::UnboundedReceiver<StreamStep>,
     table: Table,
     _out: Option<Out>,
 }
@@ -98,9 +101,9 @@
     }
 }
 
-impl Events for Stream {
-    fn poll_step(&mut self, cx: &mut Context<'_>) -> Poll<Step> {
-        self.steps.poll_recv(cx).map(|step| step.unwrap_or(Step::Broken(Outcome::ConnectionLost)))
+impl EventStream for Stream {
+    fn poll_step(&mut self, cx: &mut Context<'_>) -> Poll<StreamStep> {
+        self.steps.poll_recv(cx).map(|step| step.unwrap_or(StreamStep::Broken(Outcome::ConnectionLost)))
     }
 }
 
@@ -108,7 +111,14 @@
     type Call = ();
     type Events = Stream;
 
-    async fn attempt(&self, server: &Id, id: &Id, _: &(), wait: Duration, _: &SendPermit) -> Reply<Stream> {
+    async fn attempt(
+        &self,
+        server: &Id,
+        id: &Id,
+        _: &(),
+        wait: Duration,
+        _: &SendPermit,
+    ) -> AttemptReply<Stream> {
         let mut out = Out::new(self, id);
         let (reply, replied) = oneshot::channel();
         self.with(|w| {
@@ -116,20 +126,20 @@
             w.attempts.push(Attempt { server: server.clone(), reply });
         });
         let Ok(replied) = timeout(wait, replied).await else {
-            return Reply::Ended(Outcome::NoAnswer, None);
+            return AttemptReply::Ended(Outcome::NoAnswer, None);
         };
         out.by_its_box = true;
         match replied {
-            Ok(Reply::Stream(mut stream)) => {
+            Ok(AttemptReply::Stream(mut stream)) => {
                 stream._out = Some(out);
-                Reply::Stream(stream)
+                AttemptReply::Stream(stream)
             }
             Ok(reply) => reply,
-            Err(_) => Reply::Ended(Outcome::ConnectionLost, None),
+            Err(_) => AttemptReply::Ended(Outcome::ConnectionLost, None),
         }
     }
 
-    fn end_takes(&self, _: &Id) -> Duration {
+    fn cancellation_delay(&self, _: &Id) -> Duration {
         self.with(|w| w.end_takes)
     }
 
@@ -142,7 +152,7 @@
         true
     }
 
-    async fn probe(&self, _: &Id) -> (Outcome, Option<Load>) {
+    async fn probe(&self, _: &Id) -> (Outcome, Option<LoadReport>) {
         (Outcome::Served, None)
     }
 }
@@ -190,7 +200,7 @@
 
 fn settings() -> Settings {
     Settings {
-        roles: vec![Role::Read, Role::Write],
+        roles: vec![Role::Prefill, Role::Decode],
         memory_tokens: vec![200_000; 2],
         classes: classes().to_vec(),
         max_retry_after: 500_000,
@@ -199,24 +209,24 @@
 }
 
 fn conductor(table: &Table) -> Conductor<Table> {
-    let entry = |name: &str, kind| Entry {
+    let entry = |name: &str, kind| ServerEntry {
         server: name.into(),
-        cell: 0,
+        rack: 0,
         kind,
         zone: 0,
         started: 0,
         health: Health::Up,
     };
     let entries = vec![entry("r1", 0), entry("r2", 0), entry("w1", 1), entry("w2", 1)];
-    start(Parts {
+    start(ConductorParts {
         excluded: Vec::new(),
-        learned: None,
-        figures: Figures::new().unwrap(),
+        inherited: None,
+        figures: Metrics::new().unwrap(),
         settings: settings(),
         seed: 7,
         clock: Clock::new(),
         upstream: Arc::new(table.clone()),
-        members: Fixed(Some(News { form: ListForm::Full, entries })),
+        members: Fixed(Some(MembershipUpdate { form: ListUpdateKind::Full, entries })),
         log: slog::Logger::root(slog::Discard, slog::o!()),
     })
 }
@@ -231,7 +241,7 @@
     held: bool,
     /// Releases when that state came about.
     released_before: u32,
-    stream: Option<mpsc::UnboundedSender<Step>>,
+    stream: Option<mpsc::UnboundedSender<StreamStep>>,
     answers: u32,
 }
 
@@ -240,9 +250,9 @@
     fn step(&mut self, table: &Table, what: Happens) {
         if let Some(stream) = &self.stream {
             let step = match what {
-                Happens::More => Step::Data(Bytes::from_static(b"data: x\n\n")),
-                Happens::End => Step::End,
-                Happens::Broke => Step::Broken(Outcome::ConnectionLost),
+                Happens::More => StreamStep::Event(Bytes::from_static(b"data: x\n\n")),
+                Happens::End => StreamStep::End,
+                Happens::Broke => StreamStep::Broken(Outcome::ConnectionLost),
                 _ => return,
             };
             let _ = stream.send(step);
@@ -250,19 +260,19 @@
         }
         let Some(attempt) = table.with(|w| w.attempts.pop()) else { return };
         let reads = attempt.server.starts_with('r');
-        let ended = |outcome| Some(Reply::Ended(outcome, None));
+        let ended = |outcome| Some(AttemptReply::Ended(outcome, None));
         let reply = match (what, reads) {
             (Happens::ReadDone, true) => {
                 self.hold(table);
-                Some(Reply::Read { kept_tokens: 0, load: None })
+                Some(AttemptReply::PrefillDone { cached_tokens: 0, load: None })
             }
             (Happens::First, false) => {
                 let (sender, steps) = mpsc::unbounded_channel();
                 (self.stream, self.ran, self.held) = (Some(sender), true, false);
-                Some(Reply::Stream(Stream { steps, table: table.clone(), _out: None }))
+                Some(AttemptReply::Stream(Stream { steps, table: table.clone(), _out: None }))
             }
-            (Happens::StateLost, false) => ended(Outcome::StateLost),
-            (Happens::TurnedAway, _) => ended(Outcome::TurnedAway),
+            (Happens::StateLost, false) => ended(Outcome::CacheMissing),
+            (Happens::TurnedAway, _) => ended(Outcome::Rejected),
             (Happens::NoConnection, _) => ended(Outcome::NoConnection),
             (Happens::Broke, true) => {
                 self.hold(table);
--- a/core/tests/permit.rs
+++ b/core/tests/permit.rs
@@ -6,8 +6,11 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use frosttrail::{Entry, Health, Id, ListForm, Load, Outcome, Role, Settings};
-use frosttrail_core::{start, Clock, Conductor, Figures, News, Parts, Reply, Request, SendPermit, Upstream};
+use frosttrail::{Health, Id, ListUpdateKind, LoadReport, Outcome, Role, ServerEntry, Settings};
+use frosttrail_core::{
+    start, AttemptReply, Clock, Conductor, ConductorParts, MembershipUpdate, Metrics, Request, SendPermit,
+    Upstream,
+};
 use support::{classes, entry, paused, query, NoEvents, Told};
 use tokio::sync::mpsc;
 use tokio::time::{sleep, Instant};
@@ -41,7 +44,7 @@
         _: &(),
         _: Duration,
         permit: &SendPermit,
-    ) -> Reply<NoEvents> {
+    ) -> AttemptReply<NoEvents> {
         let nth = {
             let mut world = self.0.lock().unwrap();
             world.attempts += 1;
@@ -49,13 +52,13 @@
         };
         sleep(CONNECT_TAKES).await;
         if permit.check().is_err() {
-            return Reply::Ended(Outcome::NotSent, None);
+            return AttemptReply::Ended(Outcome::NotSent, None);
         }
         self.0.lock().unwrap().began.push((server.clone(), Instant::now()));
         match nth {
-            1 => Reply::Ended(Outcome::ConnectionLost, None),
-            2 => Reply::Ended(Outcome::NoConnection, None),
-            _ => Reply::Read { kept_tokens: 0, load: None },
+            1 => AttemptReply::Ended(Outcome::ConnectionLost, None),
+            2 => AttemptReply::Ended(Outcome::NoConnection, None),
+            _ => AttemptReply::PrefillDone { cached_tokens: 0, load: None },
         }
     }
 
@@ -64,25 +67,25 @@
         true
     }
 
-    async fn probe(&self, _: &Id) -> (Outcome, Option<Load>) {
+    async fn probe(&self, _: &Id) -> (Outcome, Option<LoadReport>) {
         (Outcome::Served, None)
     }
 }
 
-fn conductor(servers: &Servers) -> (Conductor<Servers>, mpsc::UnboundedSender<News>) {
+fn conductor(servers: &Servers) -> (Conductor<Servers>, mpsc::UnboundedSender<MembershipUpdate>) {
     let (news, told) = mpsc::unbounded_channel();
     let settings = Settings {
-        roles: vec![Role::Read, Role::Write],
+        roles: vec![Role::Prefill, Role::Decode],
         memory_tokens: vec![200_000; 2],
         classes: classes().to_vec(),
-        release: 1_000_000,
+        cache_release_timeout: 1_000_000,
         drain_grace: DRAIN_GRACE.as_micros() as u64,
         ..Settings::example()
     };
-    let conductor = start(Parts {
+    let conductor = start(ConductorParts {
         excluded: Vec::new(),
-        learned: None,
-        figures: Figures::new().unwrap(),
+        inherited: None,
+        figures: Metrics::new().unwrap(),
         settings,
         seed: 7,
         clock: Clock::new(),
@@ -96,10 +99,10 @@
 /// Lists three servers, and asks once.
 async fn asked(
     conductor: &Conductor<Servers>,
-    news: &mpsc::UnboundedSender<News>,
+    news: &mpsc::UnboundedSender<MembershipUpdate>,
 ) -> tokio::task::JoinHandle<()> {
     let entries = vec![entry("r1", 0, Health::Up), entry("r2", 0, Health::Up), entry("w", 1, Health::Up)];
-    news.send(News { form: ListForm::Full, entries }).unwrap();
+    news.send(MembershipUpdate { form: ListUpdateKind::Full, entries }).unwrap();
     sleep(Duration::from_millis(15)).await;
     let conductor = conductor.clone();
     tokio::spawn(async move {
@@ -132,8 +135,12 @@
         let (conductor, news) = conductor(&servers);
         let answer = asked(&conductor, &news).await;
         sleep(CONNECT_TAKES / 2).await;
-        let restarted = |name| Entry { started: 3_600_000_000, ..entry(name, 0, Health::Up) };
-        news.send(News { form: ListForm::Changes, entries: vec![restarted("r1"), restarted("r2")] }).unwrap();
+        let restarted = |name| ServerEntry { started: 3_600_000_000, ..entry(name, 0, Health::Up) };
+        news.send(MembershipUpdate {
+            form: ListUpdateKind::Changes,
+            entries: vec![restarted("r1"), restarted("r2")],
+        })
+        .unwrap();
         sleep(CONNECT_TAKES).await;
         assert_eq!(servers.0.lock().unwrap().began, [], "outside of the budget of its slow start");
         sleep(Duration::from_secs(6)).await;
@@ -151,7 +158,7 @@
         sleep(Duration::from_millis(30)).await;
         let drained_at = Instant::now();
         let entries = vec![entry("r1", 0, Health::Draining), entry("r2", 0, Health::Draining)];
-        news.send(News { form: ListForm::Changes, entries }).unwrap();
+        news.send(MembershipUpdate { form: ListUpdateKind::Changes, entries }).unwrap();
         sleep(Duration::from_secs(6)).await;
         assert!(answer.is_finished());
         let began = servers.0.lock().unwrap().began.clone();
--- a/core/tests/slow_decisions.rs
+++ b/core/tests/slow_decisions.rs
@@ -7,9 +7,10 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use frosttrail::{Health, Id, ListForm, Load, Outcome, Query, Role, Settings};
+use frosttrail::{Health, Id, ListUpdateKind, LoadReport, Outcome, Query, Role, Settings};
 use frosttrail_core::{
-    start, Answer, CallError, Clock, Conductor, Figures, News, Parts, Reply, Request, SendPermit, Upstream,
+    start, Answer, AttemptReply, CallError, Clock, Conductor, ConductorParts, MembershipUpdate, Metrics,
+    Request, SendPermit, Upstream,
 };
 use slog::Drain;
 use support::{classes, entry, query, NoEvents, Told};
@@ -81,20 +82,20 @@
         _: &(),
         wait: Duration,
         permit: &SendPermit,
-    ) -> Reply<NoEvents> {
+    ) -> AttemptReply<NoEvents> {
         if permit.check().is_err() {
-            return Reply::Ended(Outcome::NotSent, None);
+            return AttemptReply::Ended(Outcome::NotSent, None);
         }
         self.of(request, |seen| seen.began.push((server.clone(), Instant::now())));
         if server.starts_with('w') {
             self.of(request, Seen::taken);
-            return Reply::Stream(NoEvents);
+            return AttemptReply::Stream(NoEvents);
         }
         if timeout(wait, sleep(READ_TAKES)).await.is_err() {
-            return Reply::Ended(Outcome::NoAnswer, None);
+            return AttemptReply::Ended(Outcome::NoAnswer, None);
         }
         self.of(request, |seen| seen.held_since = Some(Instant::now()));
-        Reply::Read { kept_tokens: 0, load: None }
+        AttemptReply::PrefillDone { cached_tokens: 0, load: None }
     }
 
     async fn release(&self, _: &Id, request: &Id) -> bool {
@@ -102,25 +103,25 @@
         true
     }
 
-    async fn probe(&self, _: &Id) -> (Outcome, Option<Load>) {
+    async fn probe(&self, _: &Id) -> (Outcome, Option<LoadReport>) {
         (Outcome::Served, None)
     }
 }
 
-async fn conductor(servers: &Servers) -> (Conductor<Servers>, mpsc::UnboundedSender<News>) {
+async fn conductor(servers: &Servers) -> (Conductor<Servers>, mpsc::UnboundedSender<MembershipUpdate>) {
     let (news, told) = mpsc::unbounded_channel();
     let settings = Settings {
-        roles: vec![Role::Read, Role::Write],
+        roles: vec![Role::Prefill, Role::Decode],
         memory_tokens: vec![200_000; 2],
         classes: classes().to_vec(),
-        release: RELEASE.as_micros() as u64,
+        cache_release_timeout: RELEASE.as_micros() as u64,
         drain_grace: DRAIN_GRACE.as_micros() as u64,
         ..Settings::example()
     };
-    let conductor = start(Parts {
+    let conductor = start(ConductorParts {
         excluded: Vec::new(),
-        learned: None,
-        figures: Figures::new().unwrap(),
+        inherited: None,
+        figures: Metrics::new().unwrap(),
         settings,
         seed: 7,
         clock: Clock::new(),
@@ -130,7 +131,7 @@
     });
     let up = |name| entry(name, usize::from(str::starts_with(name, "w")), Health::Up);
     let entries = ["r1", "r2", "r3", "w1", "w2", "w3"].map(up).to_vec();
-    news.send(News { form: ListForm::Full, entries }).unwrap();
+    news.send(MembershipUpdate { form: ListUpdateKind::Full, entries }).unwrap();
     sleep(Duration::from_millis(50)).await;
     (conductor, news)
 }
@@ -242,7 +243,7 @@
         }
         sleep(Duration::from_millis(5)).await;
         let entries = vec![entry("r1", 0, Health::Draining), entry("w1", 1, Health::Draining)];
-        news.send(News { form: ListForm::Changes, entries }).unwrap();
+        news.send(MembershipUpdate { form: ListUpdateKind::Changes, entries }).unwrap();
         let told = Instant::now();
         asking.join_all().await;
         for (id, seen) in servers.0.lock().unwrap().iter() {
--- a/core/tests/support/mod.rs
+++ b/core/tests/support/mod.rs
@@ -6,15 +6,15 @@
 
 use std::task::{Context, Poll};
 
-use frosttrail::{Class, Effect, Entry, Health, Query};
-use frosttrail_core::{Events, MemberList, News, Step};
+use frosttrail::{Effect, Health, Query, RequestClass, ServerEntry};
+use frosttrail_core::{EventStream, MembershipSource, MembershipUpdate, StreamStep};
 use tokio::sync::mpsc;
 
 /// One list, and no news after it.
-pub struct Fixed(pub Option<News>);
+pub struct Fixed(pub Option<MembershipUpdate>);
 
-impl MemberList for Fixed {
-    async fn next(&mut self) -> Option<News> {
+impl MembershipSource for Fixed {
+    async fn next(&mut self) -> Option<MembershipUpdate> {
         match self.0.take() {
             Some(news) => Some(news),
             None => std::future::pending().await,
@@ -23,10 +23,10 @@
 }
 
 /// News as the test tells them.
-pub struct Told(pub mpsc::UnboundedReceiver<News>);
+pub struct Told(pub mpsc::UnboundedReceiver<MembershipUpdate>);
 
-impl MemberList for Told {
-    async fn next(&mut self) -> Option<News> {
+impl MembershipSource for Told {
+    async fn next(&mut self) -> Option<MembershipUpdate> {
         self.0.recv().await
     }
 }
@@ -34,21 +34,21 @@
 /// An answer that is over as it begins.
 pub struct NoEvents;
 
-impl Events for NoEvents {
-    fn poll_step(&mut self, _: &mut Context<'_>) -> Poll<Step> {
-        Poll::Ready(Step::End)
+impl EventStream for NoEvents {
+    fn poll_step(&mut self, _: &mut Context<'_>) -> Poll<StreamStep> {
+        Poll::Ready(StreamStep::End)
     }
 }
 
 /// A line of the list.
-pub fn entry(name: &str, kind: usize, health: Health) -> Entry {
-    Entry { server: name.into(), cell: 0, kind, zone: 0, started: 0, health }
+pub fn entry(name: &str, kind: usize, health: Health) -> ServerEntry {
+    ServerEntry { server: name.into(), rack: 0, kind, zone: 0, started: 0, health }
 }
 
 /// One that may be repeated, and one that may not.
-pub fn classes() -> [Arc<Class>; 2] {
-    let book = Class { name: "book".into(), effect: Effect::Unsafe, ..Class::example() };
-    [Class::example(), book].map(Arc::new)
+pub fn classes() -> [Arc<RequestClass>; 2] {
+    let book = RequestClass { name: "book".into(), effect: Effect::Unsafe, ..RequestClass::example() };
+    [RequestClass::example(), book].map(Arc::new)
 }
 
 /// A request of one of [`classes`].
@@ -63,8 +63,8 @@
         class: classes()[class].clone(),
         tenant: None,
         budget: 5_000_000,
-        resent: false,
-        came_back: false,
+        is_client_retry: false,
+        resumes_stream: false,
     }
 }
 
--- a/core/tests/unit/answer_stream.rs
+++ b/core/tests/unit/answer_stream.rs
@@ -31,17 +31,17 @@
 }
 
 /// Events that lie ready, or come later.
-struct Told(mpsc::UnboundedReceiver<Step>);
+struct Told(mpsc::UnboundedReceiver<StreamStep>);
 
-impl Events for Told {
-    fn poll_step(&mut self, cx: &mut Context<'_>) -> Poll<Step> {
-        self.0.poll_recv(cx).map(|step| step.unwrap_or(Step::End))
+impl EventStream for Told {
+    fn poll_step(&mut self, cx: &mut Context<'_>) -> Poll<StreamStep> {
+        self.0.poll_recv(cx).map(|step| step.unwrap_or(StreamStep::End))
     }
 }
 
 struct Ends {
     orders: mpsc::UnboundedSender<Order>,
-    events: mpsc::UnboundedSender<Step>,
+    events: mpsc::UnboundedSender<StreamStep>,
     reports: CommandReceiver,
 }
 
@@ -54,7 +54,7 @@
         ticket: 0,
         orders: verdicts,
         commands,
-        account: crate::Figures::new().unwrap().open("ask"),
+        account: crate::Metrics::new().unwrap().open("ask"),
         ended: Arc::default(),
         cleanup: Arc::default(),
         releaser: Arc::new(NoReleases),
@@ -66,12 +66,12 @@
     (AnswerStream::new(entry, Told(told)), Ends { orders, events, reports })
 }
 
-fn order(verdict: Verdict) -> Order {
+fn order(verdict: Decision) -> Order {
     Order { verdict, after: None, permit: SendPermit::unconditional(), takes_effect: true }
 }
 
-fn event() -> Step {
-    Step::Data(Bytes::from_static(b"data: x\n\n"))
+fn event() -> StreamStep {
+    StreamStep::Event(Bytes::from_static(b"data: x\n\n"))
 }
 
 fn outcomes(ends: &mut Ends) -> Vec<Outcome> {
@@ -96,11 +96,11 @@
             assert!(matches!(poll_fn(|cx| stream.poll_next(cx)).await, Some(Ok(_))));
         }
         ends.events.send(event()).unwrap();
-        ends.orders.send(order(Verdict::Move)).unwrap();
+        ends.orders.send(order(Decision::Move)).unwrap();
         ends.events.send(event()).unwrap();
-        assert_eq!(poll_fn(|cx| stream.poll_next(cx)).await, Some(Err(Broken)), "{before} before");
+        assert_eq!(poll_fn(|cx| stream.poll_next(cx)).await, Some(Err(StreamBroken)), "{before} before");
         assert!(stream.is_over() && poll_fn(|cx| stream.poll_next(cx)).await.is_none());
-        assert_eq!(outcomes(&mut ends), [Outcome::CalledOff], "told once");
+        assert_eq!(outcomes(&mut ends), [Outcome::Cancelled], "told once");
     }
 }
 
@@ -109,17 +109,17 @@
 #[tokio::test(start_paused = true)]
 async fn an_answer_that_came_too_late_hides_no_move() {
     let (mut stream, ends) = stream();
-    for late in [Verdict::Refuse { retry_after: 0 }, Verdict::Fail, Verdict::Cancel] {
+    for late in [Decision::Refuse { retry_after: 0 }, Decision::Fail, Decision::Cancel] {
         ends.orders.send(order(late)).unwrap();
         ends.events.send(event()).unwrap();
         assert!(matches!(poll_fn(|cx| stream.poll_next(cx)).await, Some(Ok(_))));
     }
-    ends.orders.send(order(Verdict::Cancel)).unwrap();
+    ends.orders.send(order(Decision::Cancel)).unwrap();
     let waits = tokio::spawn(async move { poll_fn(|cx| stream.poll_next(cx)).await });
     tokio::task::yield_now().await;
-    ends.orders.send(order(Verdict::Move)).unwrap();
+    ends.orders.send(order(Decision::Move)).unwrap();
     let begin = Instant::now();
-    assert_eq!(waits.await.unwrap(), Some(Err(Broken)));
+    assert_eq!(waits.await.unwrap(), Some(Err(StreamBroken)));
     assert_eq!(begin.elapsed(), Duration::ZERO, "it was not woken");
 }
 
@@ -149,7 +149,7 @@
         assert!(matches!(poll_fn(|cx| stream.poll_next(cx)).await, Some(Ok(_))));
         let begin = Instant::now();
         tokio::time::sleep(Duration::from_millis(pause)).await;
-        assert_eq!(poll_fn(|cx| stream.poll_next(cx)).await, Some(Err(Broken)));
+        assert_eq!(poll_fn(|cx| stream.poll_next(cx)).await, Some(Err(StreamBroken)));
         let all = begin.elapsed();
         assert!(all >= SILENCE && all < Duration::from_secs(5), "{pause} ms, then {all:?}");
         assert_eq!(outcomes(&mut ends), [Outcome::NoAnswer]);
--- a/core/tests/unit/reachability.rs
+++ b/core/tests/unit/reachability.rs
@@ -3,19 +3,19 @@
 use super::*;
 use quickcheck::{Gen, QuickCheck};
 
-fn entry(name: &str, zone: usize) -> Entry {
+fn entry(name: &str, zone: usize) -> ServerEntry {
     let health = Health::Up;
-    Entry { server: name.into(), cell: 0, kind: 0, zone, started: 0, health }
+    ServerEntry { server: name.into(), rack: 0, kind: 0, zone, started: 0, health }
 }
 
 fn fleet() -> Reachability {
     let mut reachability = Reachability::default();
-    let entries: Vec<Entry> = ["a1", "a2", "a3"]
+    let entries: Vec<ServerEntry> = ["a1", "a2", "a3"]
         .map(|n| entry(n, 0))
         .into_iter()
         .chain(["b1", "b2"].map(|n| entry(n, 1)))
         .collect();
-    reachability.members(ListForm::Full, &entries);
+    reachability.members(ListUpdateKind::Full, &entries);
     reachability
 }
 
@@ -28,8 +28,8 @@
 fn what_was_heard_last_comes_first_and_what_was_silent_last() {
     let mut reachability = fleet();
     for (id, outcome, at) in [
-        ("a1", Outcome::ReadDone, 10),
-        ("a2", Outcome::TurnedAway, 20),
+        ("a1", Outcome::PrefillDone, 10),
+        ("a2", Outcome::Rejected, 20),
         ("a2", Outcome::NoConnection, 30),
         ("b1", Outcome::Served, 5),
         ("b2", Outcome::NoAnswer, 6),
@@ -47,11 +47,11 @@
 #[test]
 fn a_list_keeps_what_was_heard_of_those_that_stay() {
     let mut reachability = fleet();
-    reachability.told(&"a3".into(), Outcome::ReadDone, 10);
+    reachability.told(&"a3".into(), Outcome::PrefillDone, 10);
     reachability.told(&"b2".into(), Outcome::NoConnection, 10);
-    reachability.members(ListForm::Full, &[entry("a1", 0), entry("a3", 0), entry("b2", 0)]);
+    reachability.members(ListUpdateKind::Full, &[entry("a1", 0), entry("a3", 0), entry("b2", 0)]);
     assert_eq!(order(&reachability, &[]), ["a3", "a1", "b2"]);
-    reachability.members(ListForm::Changes, &[Entry { health: Health::Gone, ..entry("a3", 0) }]);
+    reachability.members(ListUpdateKind::Changes, &[ServerEntry { health: Health::Gone, ..entry("a3", 0) }]);
     assert_eq!((order(&reachability, &[]), reachability.count()), (vec!["a1".into(), "b2".into()], 2));
 }
 
@@ -86,8 +86,8 @@
 #[test]
 fn a_large_list_names_a_few_of_each_zone_and_those_it_went_to() {
     let mut reachability = Reachability::default();
-    let entries: Vec<Entry> = (0..3_000).map(|n| entry(&format!("s{n:04}"), n % 3)).collect();
-    reachability.members(ListForm::Full, &entries);
+    let entries: Vec<ServerEntry> = (0..3_000).map(|n| entry(&format!("s{n:04}"), n % 3)).collect();
+    reachability.members(ListUpdateKind::Full, &entries);
     reachability.told(&"s2999".into(), Outcome::Served, 10);
     reachability.told(&"s0001".into(), Outcome::NoAnswer, 20);
     let order = order(&reachability, &["s2000", "s0001"]);
--- a/core/tests/unit/release.rs
+++ b/core/tests/unit/release.rs
@@ -1,10 +1,10 @@
 //! What one release has learned of servers is of use to the next.
 
-use frosttrail::{Health, Load};
+use frosttrail::{Health, LoadReport};
 
 use super::*;
 use crate::permit::SendPermit;
-use crate::traits::{Events, Reply, Step};
+use crate::traits::{AttemptReply, EventStream, StreamStep};
 
 /// How long the end of an attempt is on its way.
 const END_TAKES: Duration = Duration::from_millis(30);
@@ -14,9 +14,9 @@
 
 struct NoEvents;
 
-impl Events for NoEvents {
-    fn poll_step(&mut self, _: &mut std::task::Context<'_>) -> std::task::Poll<Step> {
-        std::task::Poll::Ready(Step::End)
+impl EventStream for NoEvents {
+    fn poll_step(&mut self, _: &mut std::task::Context<'_>) -> std::task::Poll<StreamStep> {
+        std::task::Poll::Ready(StreamStep::End)
     }
 }
 
@@ -24,11 +24,11 @@
     type Call = ();
     type Events = NoEvents;
 
-    async fn attempt(&self, _: &Id, _: &Id, _: &(), _: Duration, _: &SendPermit) -> Reply<NoEvents> {
-        Reply::Ended(Outcome::NotSent, None)
+    async fn attempt(&self, _: &Id, _: &Id, _: &(), _: Duration, _: &SendPermit) -> AttemptReply<NoEvents> {
+        AttemptReply::Ended(Outcome::NotSent, None)
     }
 
-    fn end_takes(&self, _: &Id) -> Duration {
+    fn cancellation_delay(&self, _: &Id) -> Duration {
         END_TAKES
     }
 
@@ -39,7 +39,7 @@
         true
     }
 
-    async fn probe(&self, _: &Id) -> (Outcome, Option<Load>) {
+    async fn probe(&self, _: &Id) -> (Outcome, Option<LoadReport>) {
         (Outcome::Served, None)
     }
 }
@@ -50,9 +50,9 @@
     let names = (0..8).map(|n| format!("a{n}")).chain(["b0".into()]);
     let entry = |name: String| {
         let (server, health) = (name.as_str().into(), Health::Up);
-        Entry { server, cell: 0, kind: 0, zone: 0, started: 0, health }
+        ServerEntry { server, rack: 0, kind: 0, zone: 0, started: 0, health }
     };
-    releases.members(ListForm::Full, &names.map(entry).collect::<Vec<_>>());
+    releases.members(ListUpdateKind::Full, &names.map(entry).collect::<Vec<_>>());
     releases
 }
 
--- a/daemon/src/command/operations.rs
+++ b/daemon/src/command/operations.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant, SystemTime};
 
 use frosttrail::OpenWork;
-use frosttrail_core::{Conductor, Figures, Learned};
+use frosttrail_core::{Conductor, InheritedState, Metrics};
 use frosttrail_daemon::config::Config;
 use frosttrail_daemon::front::ClientListeners;
 use frosttrail_daemon::listener_handover::{InheritedListeners, ListenerHandover};
@@ -36,7 +36,7 @@
 const FOLDER_RETRY: Duration = Duration::from_millis(50);
 
 /// What was learned by the process before, and how long ago that was written.
-pub type PreviousState = Option<(Learned, Duration)>;
+pub type PreviousState = Option<(InheritedState, Duration)>;
 
 /// The operators' address, bound, and what the process before has left.
 pub struct Ops {
@@ -80,7 +80,7 @@
     pub fn answer_calls(
         &mut self,
         conductor: &Conductor<HttpUpstream>,
-        figures: Figures,
+        figures: Metrics,
         serving: Arc<AtomicBool>,
         log: &Logger,
     ) -> Result<(), ServeError> {
@@ -197,7 +197,7 @@
     let mut failed = false;
     loop {
         sleep(SNAPSHOT_EVERY).await;
-        let Some(learned) = conductor.learned().await else { return };
+        let Some(learned) = conductor.export_state().await else { return };
         let file = file.clone();
         let written = tokio::task::spawn_blocking(move || file.write(&learned)).await;
         let Ok(written) = written else { return };
--- a/daemon/src/command/serve.rs
+++ b/daemon/src/command/serve.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use frosttrail_core::{start, Clock, Conductor, Figures, Parts};
+use frosttrail_core::{start, Clock, Conductor, ConductorParts, Metrics};
 use frosttrail_daemon::config::{self, ChatConfig, Config, ConfigError, XdsConfig};
 use frosttrail_daemon::discovery::{Backoff, Discovery, DiscoveryConfig, Xds};
 use frosttrail_daemon::ending::Ending;
@@ -102,7 +102,7 @@
     let doors = if ops.is_some() { doors.sharing_address() } else { doors };
     let listen = config.listen;
     let (discovery, members) = watch::channel(config.discovery_config());
-    let figures = Figures::new().map_err(std::io::Error::other)?;
+    let figures = Metrics::new().map_err(std::io::Error::other)?;
     let kept = ops.as_mut().and_then(Ops::kept);
     let (conductor, upstream) = conductor(config.clone(), members, xds, each, kept, &figures, &log);
     let reload = Reload {
@@ -157,7 +157,7 @@
             handover.close().await;
         }
         doors.close().await;
-        conductor.released().await;
+        conductor.wait_for_releases().await;
     };
     let answer_rest = async {
         sleep(answer_all).await;
@@ -190,17 +190,17 @@
     let membership = Membership::start(config, incarnation()?, log.clone()).await;
     let membership = membership.map_err(|e| ServeError::Bind(listen, e))?;
     let (mut view, traffic, conductor) = (membership.view(), membership.traffic(), conductor.clone());
-    conductor.share(view.borrow_and_update().part);
+    conductor.set_quota_share(view.borrow_and_update().part);
     let shares = tokio::spawn(async move {
         let mut counted = 0;
         loop {
             tokio::select! {
                 changed = view.changed() => match changed {
-                    Ok(()) => conductor.share(view.borrow_and_update().part),
+                    Ok(()) => conductor.set_quota_share(view.borrow_and_update().part),
                     Err(_) => return,
                 },
                 () = sleep(COUNT) => {
-                    let calls = conductor.calls();
+                    let calls = conductor.call_count();
                     traffic.count(calls - counted);
                     counted = calls;
                 }
@@ -216,7 +216,7 @@
     xds: Option<XdsConfig>,
     connections: usize,
     learned: PreviousState,
-    figures: &Figures,
+    figures: &Metrics,
     log: &Logger,
 ) -> (Conductor<HttpUpstream>, Arc<HttpUpstream>) {
     let clock = Clock::new();
@@ -224,7 +224,7 @@
     let limits = Limits {
         connections,
         connect_timeout: Duration::from_micros(config.settings.connect_timeout),
-        conn_idle: Duration::from_micros(config.settings.conn_idle),
+        conn_idle: Duration::from_micros(config.settings.connection_idle_timeout),
         settle: SETTLE,
         stale_within: STALE_WITHIN,
     };
@@ -236,12 +236,32 @@
     let conductor = match xds {
         Some(xds) => {
             let members = Xds::new(xds, name, names, clock, book, log.clone());
-            start(Parts { settings, seed, clock, upstream, members, excluded, figures, learned, log })
+            start(ConductorParts {
+                settings,
+                seed,
+                clock,
+                upstream,
+                members,
+                excluded,
+                figures,
+                inherited: learned,
+                log,
+            })
         }
         None => {
-            let backoff = Backoff::new(settings.balancers, seed);
+            let backoff = Backoff::new(settings.conductors, seed);
             let members = Discovery::new(discovery, known, backoff, names, clock, book, log.clone());
-            start(Parts { settings, seed, clock, upstream, members, excluded, figures, learned, log })
+            start(ConductorParts {
+                settings,
+                seed,
+                clock,
+                upstream,
+                members,
+                excluded,
+                figures,
+                inherited: learned,
+                log,
+            })
         }
     };
     (conductor, shared_upstream)
--- a/daemon/src/config.rs
+++ b/daemon/src/config.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use frosttrail::setup::{self, Names, SetupError};
+use frosttrail::setup::{self, ConfiguredNames, SetupError};
 use frosttrail::Settings;
 use frosttrail_membership::gossip::Role;
 use frosttrail_membership::service::Config as Membership;
@@ -97,7 +97,7 @@
     /// The settings.
     pub settings: Settings,
     /// What the settings' indices stand for.
-    pub names: Names,
+    pub names: ConfiguredNames,
     /// The file as it was, without the list: what its successor may not lack.
     file: Value,
 }
@@ -173,7 +173,7 @@
             ("zones", self.names.zones() != newer.names.zones()),
             ("zone", held.zone != new.zone),
             ("specifics.kind-role", held.roles != new.roles),
-            ("membership-mode", held.ask_within.is_some() != new.ask_within.is_some()),
+            ("membership-mode", held.list_poll_interval.is_some() != new.list_poll_interval.is_some()),
         ];
         match fixed.into_iter().find(|(_, differs)| *differs) {
             Some((key, _)) => Err(SuccessionError::Fixed(key)),
@@ -195,7 +195,7 @@
 
     /// What the source of members needs.
     pub fn discovery_config(&self) -> DiscoveryConfig {
-        DiscoveryConfig { agent: self.discovery, conductors: self.settings.balancers }
+        DiscoveryConfig { agent: self.discovery, conductors: self.settings.conductors }
     }
 
     /// Reads a file.
@@ -208,7 +208,7 @@
         }
         let seed = u64::from_str_radix(&file.seed, 16).map_err(|_| ConfigError::Seed(at()))?;
         let settings = |e| ConfigError::Settings(at(), e);
-        let names = Names::new(&file.settings).map_err(settings)?;
+        let names = ConfiguredNames::new(&file.settings).map_err(settings)?;
         if let Some(fault) = file.known.fault() {
             return Err(ConfigError::Known(at(), fault));
         }
--- a/daemon/src/discovery/platform.rs
+++ b/daemon/src/discovery/platform.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use frosttrail::setup::{index, Names, SetupError};
-use frosttrail::{Entry, Health, Id, ListForm};
-use frosttrail_core::{Clock, MemberList, News};
+use frosttrail::setup::{index_of, ConfiguredNames, SetupError};
+use frosttrail::{Health, Id, ListUpdateKind, ServerEntry};
+use frosttrail_core::{Clock, MembershipSource, MembershipUpdate};
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 use hyper::{Method, StatusCode, Uri};
@@ -92,7 +92,7 @@
     config: watch::Receiver<DiscoveryConfig>,
     agent: Agent,
     backoff: Backoff,
-    names: Names,
+    names: ConfiguredNames,
     clock: Clock,
     starts: Starts,
     book: Arc<AddressTable>,
@@ -106,7 +106,7 @@
         mut config: watch::Receiver<DiscoveryConfig>,
         known: Listing,
         backoff: Backoff,
-        names: Names,
+        names: ConfiguredNames,
         clock: Clock,
         book: Arc<AddressTable>,
         log: Logger,
@@ -116,7 +116,7 @@
         Discovery { config, agent, backoff, names, clock, starts, book, log, known: Some(known) }
     }
 
-    fn news(&mut self, listing: Listing, form: ListForm) -> News {
+    fn news(&mut self, listing: Listing, form: ListUpdateKind) -> MembershipUpdate {
         let now = self.clock.now();
         if let Some(ago) = self.agent.heard_before() {
             self.starts.heard(now.saturating_sub(ago.as_micros() as u64));
@@ -141,12 +141,12 @@
                 Err(e) => warn!(self.log, "a member is passed over"; "uid" => target.uid, "why" => %e),
             }
         }
-        let news = News { form, entries };
-        if form == ListForm::Full {
+        let news = MembershipUpdate { form, entries };
+        if form == ListUpdateKind::Full {
             self.starts.forget_but(&news.entries);
         }
         // The list that is known from before may be old: it says nothing of when others were listed.
-        if form != ListForm::WarmCopy {
+        if form != ListUpdateKind::StaleCopy {
             self.starts.heard(now);
         }
         self.book.follow(&news);
@@ -154,10 +154,10 @@
     }
 }
 
-impl MemberList for Discovery {
-    async fn next(&mut self) -> Option<News> {
+impl MembershipSource for Discovery {
+    async fn next(&mut self) -> Option<MembershipUpdate> {
         if let Some(known) = self.known.take() {
-            return Some(self.news(known, ListForm::WarmCopy));
+            return Some(self.news(known, ListUpdateKind::StaleCopy));
         }
         let sizes = self.config.clone();
         loop {
@@ -173,7 +173,7 @@
                 }
                 listing = self.agent.next(&mut self.backoff, &sizes, &self.log) => listing,
             };
-            let form = if listing.all { ListForm::Full } else { ListForm::Changes };
+            let form = if listing.all { ListUpdateKind::Full } else { ListUpdateKind::Changes };
             return Some(self.news(listing, form));
         }
     }
@@ -272,12 +272,12 @@
 }
 
 /// A line of the list as the decisions have it, but for its start.
-fn entry(target: &Target, names: &Names) -> Result<Entry, SetupError> {
-    Ok(Entry {
+fn entry(target: &Target, names: &ConfiguredNames) -> Result<ServerEntry, SetupError> {
+    Ok(ServerEntry {
         server: Id::from(target.uid.as_str()),
-        cell: target.pod_group,
-        kind: index(names.kinds(), &target.model, "model")?,
-        zone: index(names.zones(), &target.az, "az")?,
+        rack: target.pod_group,
+        kind: index_of(names.kinds(), &target.model, "model")?,
+        zone: index_of(names.zones(), &target.az, "az")?,
         started: 0,
         health: match target.state {
             State::Active => Health::Up,
--- a/daemon/src/discovery/starts.rs
+++ b/daemon/src/discovery/starts.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{HashMap, HashSet};
 
-use frosttrail::{Entry, Id, Micros};
+use frosttrail::{Id, Micros, ServerEntry};
 
 /// A start is listed within so long: news of one, in a watch that was heard of a moment before, is no older.
 const LISTED_WITHIN: Micros = 5_000_000;
@@ -49,7 +49,7 @@
     }
 
     /// Forgets servers that a whole list does not name, once there are many.
-    pub(super) fn forget_but(&mut self, listed: &[Entry]) {
+    pub(super) fn forget_but(&mut self, listed: &[ServerEntry]) {
         if self.known.len() > REMEMBERED_MAX / 2 {
             let listed: HashSet<&Id> = listed.iter().map(|entry| &entry.server).collect();
             self.known.retain(|server, _| listed.contains(server));
--- a/daemon/src/discovery/xds.rs
+++ b/daemon/src/discovery/xds.rs
@@ -8,9 +8,9 @@
 
 use bytes::Bytes;
 use fnv::FnvHasher;
-use frosttrail::setup::{index, Names};
-use frosttrail::{Entry, Health, Id, ListForm};
-use frosttrail_core::{Clock, MemberList, News};
+use frosttrail::setup::{index_of, ConfiguredNames};
+use frosttrail::{Health, Id, ListUpdateKind, ServerEntry};
+use frosttrail_core::{Clock, MembershipSource, MembershipUpdate};
 use hyper::{Method, StatusCode, Uri};
 use serde::de::DeserializeOwned;
 use serde::Deserialize;
@@ -175,13 +175,13 @@
 pub struct Xds {
     config: XdsConfig,
     node: String,
-    names: Names,
+    names: ConfiguredNames,
     clock: Clock,
     book: Arc<AddressTable>,
     log: Logger,
     clusters: Held<Cluster>,
     assignments: Held<Assignment>,
-    told: Option<Vec<Entry>>,
+    told: Option<Vec<ServerEntry>>,
 }
 
 impl Xds {
@@ -189,7 +189,7 @@
     pub fn new(
         config: XdsConfig,
         node: String,
-        names: Names,
+        names: ConfiguredNames,
         clock: Clock,
         book: Arc<AddressTable>,
         log: Logger,
@@ -199,7 +199,7 @@
     }
 
     /// Asks for clusters and endpoints; the list as it now is.
-    async fn poll(&mut self) -> Result<Vec<Entry>, ListError> {
+    async fn poll(&mut self) -> Result<Vec<ServerEntry>, ListError> {
         let server = self.config.server;
         refresh(server, &self.node, "clusters", CLUSTERS, Vec::new(), &mut self.clusters).await?;
         let by_eds = self.clusters.resources.iter().filter(|c| c.load_assignment.is_none());
@@ -212,11 +212,11 @@
         Ok(self.entries())
     }
 
-    fn entries(&self) -> Vec<Entry> {
+    fn entries(&self) -> Vec<ServerEntry> {
         let mut entries = Vec::new();
         for cluster in &self.clusters.resources {
             let kind = cluster.metadata.filter_metadata.frosttrail.kind.as_deref().unwrap_or(&cluster.name);
-            let Ok(kind) = index(self.names.kinds(), kind, "cluster") else {
+            let Ok(kind) = index_of(self.names.kinds(), kind, "cluster") else {
                 warn!(self.log, "a cluster is of no known kind"; "name" => &cluster.name);
                 continue;
             };
@@ -232,9 +232,9 @@
         entries
     }
 
-    fn entry(&self, kind: usize, locality: &Locality, member: &LbEndpoint) -> Option<Entry> {
+    fn entry(&self, kind: usize, locality: &Locality, member: &LbEndpoint) -> Option<ServerEntry> {
         let place = &locality.locality;
-        let Ok(zone) = index(self.names.zones(), &place.zone, "zone") else {
+        let Ok(zone) = index_of(self.names.zones(), &place.zone, "zone") else {
             warn!(self.log, "an endpoint is in no known zone"; "zone" => &place.zone);
             return None;
         };
@@ -245,9 +245,9 @@
         let server = own.uid.as_ref().or(hostname).cloned().unwrap_or_else(|| address.to_string());
         let server = Id::from(server.as_str());
         self.book.set(server.clone(), address);
-        Some(Entry {
+        Some(ServerEntry {
             server,
-            cell: own.cell.unwrap_or_else(|| cell(place)),
+            rack: own.cell.unwrap_or_else(|| cell(place)),
             kind,
             zone,
             started: own.boot_ms.filter(|ms| *ms > 0).map_or(0, |ms| self.clock.from_unix_ms(ms)),
@@ -256,8 +256,8 @@
     }
 }
 
-impl MemberList for Xds {
-    async fn next(&mut self) -> Option<News> {
+impl MembershipSource for Xds {
+    async fn next(&mut self) -> Option<MembershipUpdate> {
         loop {
             if self.told.is_some() {
                 sleep(self.config.refresh).await;
@@ -266,7 +266,7 @@
                 Ok(entries) if self.told.as_ref() == Some(&entries) => {}
                 Ok(entries) => {
                     self.told = Some(entries.clone());
-                    let news = News { form: ListForm::Full, entries };
+                    let news = MembershipUpdate { form: ListUpdateKind::Full, entries };
                     self.book.follow(&news);
                     return Some(news);
                 }
--- a/daemon/src/front/body.rs
+++ b/daemon/src/front/body.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use frosttrail_core::{AnswerStream, Broken, Events};
+use frosttrail_core::{AnswerStream, EventStream, StreamBroken};
 
 use super::chat::ChatStream;
 use super::clients::UnderWay;
@@ -15,7 +15,7 @@
 use hyper::{Response, StatusCode};
 
 /// The body of an answer.
-pub enum FrontBody<E: Events> {
+pub enum FrontBody<E: EventStream> {
     /// All of it at once.
     Whole(Option<Bytes>),
     /// Events as they come. A break is an error, on which the library ends the connection without the
@@ -25,11 +25,14 @@
     Chat(ChatStream<E>),
 }
 
-impl<E: Events> Body for FrontBody<E> {
+impl<E: EventStream> Body for FrontBody<E> {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = StreamBroken;
 
-    fn poll_frame(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    fn poll_frame(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, StreamBroken>>> {
         match self.get_mut() {
             FrontBody::Whole(bytes) => Poll::Ready(bytes.take().map(|b| Ok(Frame::data(b)))),
             FrontBody::Events(events) => events.poll_next(cx).map(|next| next.map(|r| r.map(Frame::data))),
@@ -55,22 +58,25 @@
 }
 
 /// A body, and the request that is under way until it has gone.
-pub(super) struct Held<E: Events> {
+pub(super) struct Held<E: EventStream> {
     body: FrontBody<E>,
     _under_way: UnderWay,
 }
 
-impl<E: Events> Held<E> {
+impl<E: EventStream> Held<E> {
     pub(super) fn new(body: FrontBody<E>, under_way: UnderWay) -> Self {
         Held { body, _under_way: under_way }
     }
 }
 
-impl<E: Events> Body for Held<E> {
+impl<E: EventStream> Body for Held<E> {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = StreamBroken;
 
-    fn poll_frame(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    fn poll_frame(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, StreamBroken>>> {
         Pin::new(&mut self.get_mut().body).poll_frame(cx)
     }
 
@@ -87,7 +93,7 @@
 pub type FrontResponse<E> = Result<Response<FrontBody<E>>, Infallible>;
 
 /// A short answer.
-pub(super) fn whole<E: Events>(
+pub(super) fn whole<E: EventStream>(
     status: StatusCode,
     content_type: &'static str,
     text: impl Into<Bytes>,
@@ -99,14 +105,14 @@
 }
 
 /// A stream of events.
-pub(super) fn events<E: Events>(stream: FrontBody<E>) -> Response<FrontBody<E>> {
+pub(super) fn events<E: EventStream>(stream: FrontBody<E>) -> Response<FrontBody<E>> {
     let mut response = Response::new(stream);
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("text/event-stream"));
     response
 }
 
 /// Tells the client when to come back, in the words of its wire; nothing where there is no advice.
-pub(super) fn advise<E: Events>(
+pub(super) fn advise<E: EventStream>(
     response: &mut Response<FrontBody<E>>,
     name: HeaderName,
     retry_after: Duration,
--- a/daemon/src/front/chat/error.rs
+++ b/daemon/src/front/chat/error.rs
@@ -1,6 +1,6 @@
 //! The API's error object and its statuses.
 
-use frosttrail_core::Events;
+use frosttrail_core::EventStream;
 use hyper::header::HeaderValue;
 use hyper::{Response, StatusCode};
 use serde_json::json;
@@ -59,7 +59,7 @@
     }
 
     /// The answer that says so.
-    pub(super) fn response<E: Events>(self) -> Response<FrontBody<E>> {
+    pub(super) fn response<E: EventStream>(self) -> Response<FrontBody<E>> {
         let (status, kind, param, code) = self.words();
         let object = json!({"message": self.to_string(), "type": kind, "param": param, "code": code});
         let mut response = whole(status, JSON, json!({ "error": object }).to_string());
--- a/daemon/src/front/chat/mod.rs
+++ b/daemon/src/front/chat/mod.rs
@@ -9,7 +9,7 @@
 use std::future::poll_fn;
 
 use frosttrail::Outcome;
-use frosttrail_core::{Answer, AnswerStream, Broken, CallError, Conductor, Events, Upstream};
+use frosttrail_core::{Answer, AnswerStream, CallError, Conductor, EventStream, StreamBroken, Upstream};
 use hyper::body::Incoming;
 use hyper::header::{HeaderName, HeaderValue, RETRY_AFTER};
 use hyper::{Method, Request, Response, StatusCode};
@@ -78,7 +78,7 @@
                 Err(e) => e.response(),
             },
             Ok(Answer::Refused { retry_after, last }) => {
-                let reached = self.conductor.able() && last != Some(Outcome::NoConnection);
+                let reached = self.conductor.is_ready() && last != Some(Outcome::NoConnection);
                 let mut refused = ApiError::refused(reached).response();
                 advise(&mut refused, RETRY_AFTER, retry_after, |t| t.as_secs_f64().ceil().to_string());
                 advise(&mut refused, RETRY_AFTER_MS, retry_after, |t| t.as_millis().to_string());
@@ -110,10 +110,14 @@
 
 /// Reads an answer to its end into one object. One that breaks off, or ends without its final event, is
 /// not an answer.
-async fn gather<E: Events>(mut events: AnswerStream<E>, id: &str, model: String) -> Result<String, ApiError> {
+async fn gather<E: EventStream>(
+    mut events: AnswerStream<E>,
+    id: &str,
+    model: String,
+) -> Result<String, ApiError> {
     let mut gather = Gather::new(format!("chatcmpl-{id}"), model);
     while let Some(data) = poll_fn(|cx| events.poll_next(cx)).await {
-        let data = data.map_err(|Broken| ApiError::HttpUpstream)?;
+        let data = data.map_err(|StreamBroken| ApiError::HttpUpstream)?;
         gather.push(&data)?;
     }
     gather.finish()
--- a/daemon/src/front/chat/request.rs
+++ b/daemon/src/front/chat/request.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use fnv::FnvHasher;
-use frosttrail::{Class, Id, Query, Settings};
+use frosttrail::{Id, Query, RequestClass, Settings};
 use hyper::header::{HeaderName, HeaderValue, CONTENT_TYPE};
 use hyper::{HeaderMap, Method, Uri};
 use serde::Deserialize;
@@ -158,7 +158,7 @@
             None => opening(&body.messages),
         };
         let max_tokens = if labels.max_tokens > 0 { Some(labels.max_tokens) } else { limit(body) };
-        let (resent, came_back) = repeat(headers);
+        let (is_client_retry, resumes_stream) = repeat(headers);
         Ok(Query {
             id: self.id(headers)?,
             session: session(headers, body),
@@ -169,8 +169,8 @@
             tenant: tenant(headers, settings),
             budget: budget(headers, &class, prompt_tokens)?,
             class,
-            resent,
-            came_back,
+            is_client_retry,
+            resumes_stream,
         })
     }
 
@@ -185,7 +185,12 @@
         }
     }
 
-    fn class(&self, settings: &Settings, headers: &HeaderMap, body: &Body) -> Result<Arc<Class>, InputError> {
+    fn class(
+        &self,
+        settings: &Settings,
+        headers: &HeaderMap,
+        body: &Body,
+    ) -> Result<Arc<RequestClass>, InputError> {
         let in_body = || body.metadata.as_ref()?.get("class")?.as_str();
         let name = text(headers, "x-lane").or_else(in_body).unwrap_or(&self.class);
         settings.class(name).ok_or(InputError::Unknown("class"))
@@ -193,10 +198,10 @@
 }
 
 /// What the client will wait: as it says, or else as long as the class's clients do.
-fn budget(headers: &HeaderMap, class: &Class, prompt: u64) -> Result<u64, InputError> {
+fn budget(headers: &HeaderMap, class: &RequestClass, prompt: u64) -> Result<u64, InputError> {
     match text(headers, "x-remaining") {
         Some(named) => span(named).ok_or(InputError::Header("X-Remaining")),
-        None => Ok(class.deadline + 2 * class.aim_per_ktoken.saturating_mul(prompt) / 1_000),
+        None => Ok(class.deadline + 2 * class.first_token_target_per_ktoken.saturating_mul(prompt) / 1_000),
     }
 }
 
--- a/daemon/src/front/chat/sse.rs
+++ b/daemon/src/front/chat/sse.rs
@@ -3,7 +3,7 @@
 use std::task::{ready, Context, Poll};
 
 use bytes::Bytes;
-use frosttrail_core::{AnswerStream, Broken, Events};
+use frosttrail_core::{AnswerStream, EventStream, StreamBroken};
 use serde::Deserialize;
 
 /// What an event's data lines hold.
@@ -36,13 +36,13 @@
 /// A server's events for a client that streams: each unchanged, as soon as it is whole. The event that only
 /// tells the usage is left out where it was not asked for. A stream that ends without its final event is
 /// broken, however well its connection ended.
-pub struct ChatStream<E: Events> {
+pub struct ChatStream<E: EventStream> {
     events: AnswerStream<E>,
     include_usage: bool,
     done: bool,
 }
 
-impl<E: Events> ChatStream<E> {
+impl<E: EventStream> ChatStream<E> {
     pub(super) fn new(events: AnswerStream<E>, include_usage: bool) -> Self {
         ChatStream { events, include_usage, done: false }
     }
@@ -55,11 +55,11 @@
     }
 
     /// The next event; `None` at the end.
-    pub fn poll_next(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Broken>>> {
+    pub fn poll_next(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, StreamBroken>>> {
         loop {
             return match ready!(self.events.poll_next(cx)) {
                 Some(Ok(event)) if !self.passes(&event) => continue,
-                None if !self.done => Poll::Ready(Some(Err(Broken))),
+                None if !self.done => Poll::Ready(Some(Err(StreamBroken))),
                 next => Poll::Ready(next),
             };
         }
--- a/daemon/src/front/listener.rs
+++ b/daemon/src/front/listener.rs
@@ -8,7 +8,7 @@
 use std::task::Poll;
 use std::time::Duration;
 
-use frosttrail_core::Events;
+use frosttrail_core::EventStream;
 use hyper::body::Incoming;
 use hyper::header::{HeaderValue, CONNECTION};
 use hyper::server::conn::http1;
@@ -69,7 +69,7 @@
 /// What answers requests.
 pub trait Service: Send + Sync + 'static {
     /// Answers' events.
-    type Events: Events;
+    type Events: EventStream;
 
     /// Answers one request. Dropped if its client goes.
     fn answer(&self, request: Request<Incoming>) -> impl Future<Output = FrontResponse<Self::Events>> + Send;
--- a/daemon/src/front/platform.rs
+++ b/daemon/src/front/platform.rs
@@ -37,7 +37,7 @@
     }
 
     fn health(&self) -> Response<FrontBody<B::Events>> {
-        match self.conductor.able() {
+        match self.conductor.is_ready() {
             true => whole(StatusCode::OK, PLAIN, "ready\n"),
             false => whole(StatusCode::SERVICE_UNAVAILABLE, PLAIN, "no box is known yet\n"),
         }
@@ -48,7 +48,7 @@
         let mut query = query(&head.headers, &self.conductor.settings())?;
         let body = body(&head, incoming).await.inspect_err(|e| {
             if e.is_refusal() {
-                self.conductor.note_refused(&query.class.name);
+                self.conductor.count_refused(&query.class.name);
             }
         })?;
         if query.prompt_tokens == 0 {
@@ -87,7 +87,7 @@
     let id = text(headers, "x-txn").filter(|id| is_id(id)).ok_or(InputError::Header("X-Txn"))?;
     let lane = text(headers, "x-lane").ok_or(InputError::Header("X-Lane"))?;
     let labels = platform_labels(text(headers, "x-labels").unwrap_or_default())?;
-    let (resent, came_back) = repeat(headers);
+    let (is_client_retry, resumes_stream) = repeat(headers);
     Ok(Query {
         id: id.into(),
         session: text(headers, "x-entity").unwrap_or_default().into(),
@@ -98,7 +98,7 @@
         class: settings.class(lane).ok_or(InputError::Unknown("X-Lane"))?,
         tenant: tenant(headers, settings),
         budget: text(headers, "x-remaining").and_then(span).ok_or(InputError::Header("X-Remaining"))?,
-        resent,
-        came_back,
+        is_client_retry,
+        resumes_stream,
     })
 }
--- a/daemon/src/ops/conductor.rs
+++ b/daemon/src/ops/conductor.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use frosttrail::Id;
-use frosttrail_core::{Conductor, Figures, Upstream};
+use frosttrail_core::{Conductor, Metrics, Upstream};
 
 use super::call::{CallError, Operations};
 use super::call_marks::CallMarks;
@@ -14,7 +14,7 @@
 pub struct ConductorOperations<B> {
     conductor: Conductor<B>,
     store: ExclusionStore,
-    figures: Figures,
+    figures: Metrics,
     calls: CallMarks,
     serving: Arc<AtomicBool>,
 }
@@ -24,7 +24,7 @@
     pub fn new(
         conductor: Conductor<B>,
         store: ExclusionStore,
-        figures: Figures,
+        figures: Metrics,
         calls: CallMarks,
         serving: Arc<AtomicBool>,
     ) -> Self {
@@ -34,7 +34,7 @@
 
 impl<B: Upstream> Operations for ConductorOperations<B> {
     fn is_ready(&self) -> bool {
-        self.conductor.able() && self.serving.load(Ordering::Relaxed)
+        self.conductor.is_ready() && self.serving.load(Ordering::Relaxed)
     }
 
     fn telemetry(&self) -> Result<String, CallError> {
--- a/daemon/src/reload.rs
+++ b/daemon/src/reload.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use frosttrail_core::{Conductor, Figures};
+use frosttrail_core::{Conductor, Metrics};
 use slog::{info, warn, Logger};
 use tokio::signal::unix::Signal;
 use tokio::sync::watch;
@@ -43,7 +43,7 @@
     /// The source of members.
     pub discovery: watch::Sender<DiscoveryConfig>,
     /// What is counted.
-    pub figures: Figures,
+    pub figures: Metrics,
     /// The log.
     pub log: Logger,
 }
--- a/daemon/src/snapshot_file.rs
+++ b/daemon/src/snapshot_file.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use frosttrail_core::Learned;
+use frosttrail_core::InheritedState;
 
 use rustix::time::{clock_gettime, ClockId};
 
@@ -62,7 +62,7 @@
     }
 
     /// Replaces the file at once.
-    pub fn write(&self, learned: &Learned) -> Result<(), SnapshotError> {
+    pub fn write(&self, learned: &InheritedState) -> Result<(), SnapshotError> {
         let body = serde_json::to_string(learned).map_err(|_| SnapshotError::Damaged)?;
         if body.len() > BYTES_MAX {
             return Err(SnapshotError::TooLarge);
@@ -73,7 +73,7 @@
     }
 
     /// What was written last, and how long ago; `None` where nothing was.
-    pub fn read(&self) -> Result<Option<(Learned, Duration)>, SnapshotError> {
+    pub fn read(&self) -> Result<Option<(InheritedState, Duration)>, SnapshotError> {
         match fs::metadata(&self.0) {
             Err(e) if e.kind() == std::io::ErrorKind::NotFound => return Ok(None),
             Err(e) => return Err(e.into()),
--- a/daemon/src/upstream/attempt.rs
+++ b/daemon/src/upstream/attempt.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use frosttrail::{Id, Load, Outcome};
-use frosttrail_core::{Events, Reply, SendPermit, Step};
+use frosttrail::{Id, LoadReport, Outcome};
+use frosttrail_core::{AttemptReply, EventStream, SendPermit, StreamStep};
 use http_body::Body;
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
@@ -45,34 +45,34 @@
     call: &Call,
     wait: Duration,
     permit: &SendPermit,
-) -> Reply<ServerEvents> {
+) -> AttemptReply<ServerEvents> {
     let (written, stop_at) = (Written::counted(pool.sends.clone()), Instant::now() + wait);
     let going = Going { call, stop_at, written: &written, permit };
     match timeout_at(stop_at, run(pool, server, &going)).await {
         Ok(reply) => reply,
-        Err(_) if written.is_whole() => Reply::Ended(Outcome::NoAnswer, None),
-        Err(_) => Reply::Ended(Outcome::NoConnection, None),
+        Err(_) if written.is_whole() => AttemptReply::Ended(Outcome::NoAnswer, None),
+        Err(_) => AttemptReply::Ended(Outcome::NoConnection, None),
     }
 }
 
 /// A kept connection that turns out to have closed before the request was written is replaced by a new
 /// one: the server has not seen the request, so this is still the first copy.
-async fn run(pool: &Arc<Pool>, server: &Id, going: &Going<'_>) -> Reply<ServerEvents> {
+async fn run(pool: &Arc<Pool>, server: &Id, going: &Going<'_>) -> AttemptReply<ServerEvents> {
     if let Some(link) = pool.kept(server).await {
         let (idle, sent_at) = (link.idle_since.elapsed(), Instant::now());
         match send(link, going).await {
             Err(Unanswered::NeverWritten) => {}
             Err(Unanswered::Reset) if pool.was_stale(sent_at.elapsed()) => {
                 pool.was_dead(server, idle);
-                return Reply::Ended(Outcome::StaleConnection, None);
+                return AttemptReply::Ended(Outcome::StaleConnection, None);
             }
             sent => return outcome(pool, server, sent).await,
         }
     }
     match pool.fresh(server).await {
         Ok(link) => outcome(pool, server, send(link, going).await).await,
-        Err(NoLink::Server) => Reply::Ended(Outcome::NoConnection, None),
-        Err(NoLink::Local) => Reply::Ended(Outcome::NotSent, None),
+        Err(NoLink::Server) => AttemptReply::Ended(Outcome::NoConnection, None),
+        Err(NoLink::Local) => AttemptReply::Ended(Outcome::NotSent, None),
     }
 }
 
@@ -116,14 +116,14 @@
     pool: &Arc<Pool>,
     server: &Id,
     sent: Result<(Link, Response<Incoming>), Unanswered>,
-) -> Reply<ServerEvents> {
+) -> AttemptReply<ServerEvents> {
     let (link, answer) = match sent {
         Ok(sent) => sent,
-        Err(Unanswered::Withheld) => return Reply::Ended(Outcome::NotSent, None),
-        Err(Unanswered::NeverWritten) => return Reply::Ended(Outcome::NoConnection, None),
-        Err(Unanswered::Reset) => return Reply::Ended(Outcome::ConnectionLost, None),
+        Err(Unanswered::Withheld) => return AttemptReply::Ended(Outcome::NotSent, None),
+        Err(Unanswered::NeverWritten) => return AttemptReply::Ended(Outcome::NoConnection, None),
+        Err(Unanswered::Reset) => return AttemptReply::Ended(Outcome::ConnectionLost, None),
         // The server runs and answers, if badly: no reason to keep other requests from it.
-        Err(Unanswered::Spoilt) => return Reply::Ended(Outcome::Failed, None),
+        Err(Unanswered::Spoilt) => return AttemptReply::Ended(Outcome::Failed, None),
     };
     let (head, body) = answer.into_parts();
     let turned_away = head.headers.get(TURNED_AWAY).is_some_and(|v| v == "1");
@@ -136,17 +136,17 @@
             return events.begun(load).await;
         }
         StatusCode::ACCEPTED => return read_done(pool, server, link, body, load).await,
-        StatusCode::GONE if turned_away => Outcome::StateLost,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if turned_away => Outcome::TurnedAway,
+        StatusCode::GONE if turned_away => Outcome::CacheMissing,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if turned_away => Outcome::Rejected,
         _ => Outcome::Failed,
     };
     pool.keep_after(server, link, body);
-    Reply::Ended(ended, load)
+    AttemptReply::Ended(ended, load)
 }
 
 /// A load report; who sends one that can't be read may send other things besides.
-fn pressure(report: &[u8], link: &Link) -> Option<Load> {
-    let report = serde_json::from_slice(report).ok().and_then(|r| frosttrail::setup::load(&r).ok());
+fn pressure(report: &[u8], link: &Link) -> Option<LoadReport> {
+    let report = serde_json::from_slice(report).ok().and_then(|r| frosttrail::setup::load_report(&r).ok());
     if report.is_none() {
         link.taint();
     }
@@ -164,15 +164,15 @@
     server: &Id,
     link: Link,
     body: Incoming,
-    load: Option<Load>,
-) -> Reply<ServerEvents> {
+    load: Option<LoadReport>,
+) -> AttemptReply<ServerEvents> {
     let Ok(body) = Limited::new(body, BODY_MOST).collect().await else {
-        return Reply::Ended(Outcome::ConnectionLost, load);
+        return AttemptReply::Ended(Outcome::ConnectionLost, load);
     };
     pool.keep(server, link);
     // How much was kept is a hint; without it the read is as good.
     let found = serde_json::from_slice(&body.to_bytes()).unwrap_or(Found { cached_tokens: 0 });
-    Reply::Read { kept_tokens: found.cached_tokens, load }
+    AttemptReply::PrefillDone { cached_tokens: found.cached_tokens, load }
 }
 
 /// The events of a server's answer as they come.
@@ -197,53 +197,53 @@
 
     /// Waits for the first event: until it is there, nothing has gone to the client and the request can
     /// still take another way.
-    async fn begun(mut self, load: Option<Load>) -> Reply<Self> {
+    async fn begun(mut self, load: Option<LoadReport>) -> AttemptReply<Self> {
         match std::future::poll_fn(|cx| self.poll_step(cx)).await {
-            Step::Data(first) => {
+            StreamStep::Event(first) => {
                 self.first = Some(first);
-                Reply::Stream(self)
+                AttemptReply::Stream(self)
             }
-            Step::End => Reply::Ended(Outcome::ConnectionLost, load),
-            Step::Broken(outcome) => Reply::Ended(outcome, load),
+            StreamStep::End => AttemptReply::Ended(Outcome::ConnectionLost, load),
+            StreamStep::Broken(outcome) => AttemptReply::Ended(outcome, load),
         }
     }
 
-    fn event(&self, event: Bytes) -> Step {
+    fn event(&self, event: Bytes) -> StreamStep {
         if let (Some(report), Some(link)) = (report(&event), &self.link) {
             // It decides nothing here; the one in the head of an answer is handed on.
             pressure(report, link);
         }
-        Step::Data(event)
+        StreamStep::Event(event)
     }
 }
 
 /// Whether a break is the server's words rather than its connection's end.
-fn broken(e: &hyper::Error) -> Step {
+fn broken(e: &hyper::Error) -> StreamStep {
     let kind = e.source().and_then(|e| e.downcast_ref::<std::io::Error>()).map(std::io::Error::kind);
     let spoilt = matches!(kind, Some(ErrorKind::InvalidInput | ErrorKind::InvalidData));
-    Step::Broken(if spoilt || e.is_parse() { Outcome::Failed } else { Outcome::ConnectionLost })
+    StreamStep::Broken(if spoilt || e.is_parse() { Outcome::Failed } else { Outcome::ConnectionLost })
 }
 
-impl Events for ServerEvents {
-    fn poll_step(&mut self, cx: &mut Context<'_>) -> Poll<Step> {
+impl EventStream for ServerEvents {
+    fn poll_step(&mut self, cx: &mut Context<'_>) -> Poll<StreamStep> {
         if let Some(first) = self.first.take() {
-            return Poll::Ready(Step::Data(first));
+            return Poll::Ready(StreamStep::Event(first));
         }
         loop {
             match self.splitter.next() {
                 Ok(Some(event)) => return Poll::Ready(self.event(event)),
                 Ok(None) => {}
-                Err(Unreadable) => return Poll::Ready(Step::Broken(Outcome::Failed)),
+                Err(Unreadable) => return Poll::Ready(StreamStep::Broken(Outcome::Failed)),
             }
             if self.ended {
                 if let Some(link) = self.link.take() {
                     self.pool.keep(&self.server, link);
                 }
-                return Poll::Ready(Step::End);
+                return Poll::Ready(StreamStep::End);
             }
             match ready!(Pin::new(&mut self.body).poll_frame(cx)) {
                 Some(Err(e)) => return Poll::Ready(broken(&e)),
-                None if !self.framed => return Poll::Ready(Step::Broken(Outcome::ConnectionLost)),
+                None if !self.framed => return Poll::Ready(StreamStep::Broken(Outcome::ConnectionLost)),
                 None => {
                     self.ended = true;
                     if let Some(rest) = self.splitter.rest() {
@@ -253,7 +253,7 @@
                 Some(Ok(frame)) => {
                     let data = frame.into_data().unwrap_or_default();
                     if self.splitter.push(&data).is_err() {
-                        return Poll::Ready(Step::Broken(Outcome::Failed));
+                        return Poll::Ready(StreamStep::Broken(Outcome::Failed));
                     }
                 }
             }
--- a/daemon/src/upstream/calls.rs
+++ b/daemon/src/upstream/calls.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use frosttrail::{Id, Load, Outcome};
+use frosttrail::{Id, LoadReport, Outcome};
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
 use hyper::header::HOST;
@@ -44,7 +44,7 @@
 }
 
 /// Asks for a server's load.
-pub(super) async fn probe(pool: &Arc<Pool>, server: &Id) -> (Outcome, Option<Load>) {
+pub(super) async fn probe(pool: &Arc<Pool>, server: &Id) -> (Outcome, Option<LoadReport>) {
     let asked = async {
         let (link, answer) = call(pool, server, &Method::GET, "/_load").await?;
         let status = answer.status();
@@ -57,9 +57,9 @@
         Ok(None) => (Outcome::NoConnection, None),
         Ok(Some((StatusCode::OK, body))) => {
             let report = serde_json::from_slice(&body).ok();
-            (Outcome::Served, report.and_then(|r| frosttrail::setup::load(&r).ok()))
+            (Outcome::Served, report.and_then(|r| frosttrail::setup::load_report(&r).ok()))
         }
-        Ok(Some((StatusCode::SERVICE_UNAVAILABLE, _))) => (Outcome::TurnedAway, None),
+        Ok(Some((StatusCode::SERVICE_UNAVAILABLE, _))) => (Outcome::Rejected, None),
         Ok(Some(_)) => (Outcome::Failed, None),
     }
 }
--- a/daemon/src/upstream/mod.rs
+++ b/daemon/src/upstream/mod.rs
@@ -13,8 +13,8 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use frosttrail::{Health, Id, ListForm, Load, Outcome, Settings};
-use frosttrail_core::{News, Reply, SendPermit, Upstream};
+use frosttrail::{Health, Id, ListUpdateKind, LoadReport, Outcome, Settings};
+use frosttrail_core::{AttemptReply, MembershipUpdate, SendPermit, Upstream};
 use hyper::{HeaderMap, Method, Uri};
 use prometheus::IntCounter;
 use tokio::time::Instant;
@@ -55,7 +55,7 @@
 
     /// How long a connection's end may be on its way there: two round trips, as one way may be four times as
     /// slow as half of the shortest. Nothing where no connection has come up.
-    fn end_takes(&self, server: &Id) -> Duration {
+    fn cancellation_delay(&self, server: &Id) -> Duration {
         let round_trip = lock(&self.0).get(server).and_then(|entry| entry.round_trip);
         round_trip.unwrap_or_default() * 2
     }
@@ -66,9 +66,9 @@
     }
 
     /// Follows the list of members: what has left it is forgotten after a while.
-    pub fn follow(&self, news: &News) {
+    pub fn follow(&self, news: &MembershipUpdate) {
         let (now, mut book) = (Instant::now(), lock(&self.0));
-        if matches!(news.form, ListForm::Full | ListForm::WarmCopy) {
+        if matches!(news.form, ListUpdateKind::Full | ListUpdateKind::StaleCopy) {
             book.values_mut().for_each(|entry| entry.gone = entry.gone.or(Some(now)));
         }
         for member in &news.entries {
@@ -113,7 +113,7 @@
     /// Takes the times of connections from new settings.
     pub fn reconfigure(&self, settings: &Settings) {
         let connect_timeout = Duration::from_micros(settings.connect_timeout);
-        self.pool.set_times(connect_timeout, Duration::from_micros(settings.conn_idle));
+        self.pool.set_times(connect_timeout, Duration::from_micros(settings.connection_idle_timeout));
     }
 }
 
@@ -128,11 +128,11 @@
         call: &Call,
         wait: Duration,
         permit: &SendPermit,
-    ) -> Reply<ServerEvents> {
+    ) -> AttemptReply<ServerEvents> {
         attempt::attempt(&self.pool, server, call, wait, permit).await
     }
 
-    fn end_takes(&self, server: &Id) -> Duration {
+    fn cancellation_delay(&self, server: &Id) -> Duration {
         self.pool.end_takes(server)
     }
 
@@ -140,7 +140,7 @@
         calls::release(&self.pool, server, request).await
     }
 
-    async fn probe(&self, server: &Id) -> (Outcome, Option<Load>) {
+    async fn probe(&self, server: &Id) -> (Outcome, Option<LoadReport>) {
         calls::probe(&self.pool, server).await
     }
 }
--- a/daemon/src/upstream/pool.rs
+++ b/daemon/src/upstream/pool.rs
@@ -123,7 +123,7 @@
 
     /// How long a connection's end may be on its way.
     pub(super) fn end_takes(&self, server: &Id) -> Duration {
-        self.book.end_takes(server)
+        self.book.cancellation_delay(server)
     }
 
     /// A permit for one more connection, if need be in place of the one that has been idle longest.
--- a/daemon/tests/connection.rs
+++ b/daemon/tests/connection.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use frosttrail::{Id, Outcome};
-use frosttrail_core::{Events, Reply, SendPermit, Step, Upstream};
+use frosttrail_core::{AttemptReply, EventStream, SendPermit, StreamStep, Upstream};
 use frosttrail_daemon::upstream::{Call, HttpUpstream};
 use hyper::{HeaderMap, Method, Uri};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
@@ -121,16 +121,16 @@
     /// The table's word for it.
     fn outcome(self) -> Option<Outcome> {
         Some(match self {
-            Read => Outcome::ReadDone,
+            Read => Outcome::PrefillDone,
             Served => Outcome::Served,
-            TurnedAway => Outcome::TurnedAway,
-            StateGone => Outcome::StateLost,
+            TurnedAway => Outcome::Rejected,
+            StateGone => Outcome::CacheMissing,
             GoneUnmarked | Unmarked | Error => Outcome::Failed,
             Resets | NoEvents | BreaksOff => Outcome::ConnectionLost,
             Noise | EndlessHead | StalledHead | UnreadableSize | WrongSize | HugeChunk | NoEvent => {
                 Outcome::Failed
             }
-            Early | BadReport | SecondAnswer => Outcome::ReadDone,
+            Early | BadReport | SecondAnswer => Outcome::PrefillDone,
             BadReportAtEnd => Outcome::Served,
             GivenUp | BoxClosesIdle => return None,
         })
@@ -175,13 +175,13 @@
     let (server, id, wait) = (Id::from(server), Id::from("id"), Duration::from_secs(5));
     let reply = upstream.attempt(&server, &id, &call(), wait, &SendPermit::unconditional()).await;
     match reply {
-        Reply::Read { .. } => Outcome::ReadDone,
-        Reply::Ended(outcome, _) => outcome,
-        Reply::Stream(mut events) => loop {
+        AttemptReply::PrefillDone { .. } => Outcome::PrefillDone,
+        AttemptReply::Ended(outcome, _) => outcome,
+        AttemptReply::Stream(mut events) => loop {
             match std::future::poll_fn(|cx| events.poll_step(cx)).await {
-                Step::Data(_) => {}
-                Step::End => return Outcome::Served,
-                Step::Broken(outcome) => return outcome,
+                StreamStep::Event(_) => {}
+                StreamStep::End => return Outcome::Served,
+                StreamStep::Broken(outcome) => return outcome,
             }
         },
     }
@@ -248,8 +248,8 @@
         came.push(attempt(&upstream).await);
         idle().await;
     }
-    use Outcome::{ReadDone, StaleConnection};
-    assert_eq!(came, [ReadDone, StaleConnection, ReadDone, ReadDone]);
+    use Outcome::{PrefillDone, StaleConnection};
+    assert_eq!(came, [PrefillDone, StaleConnection, PrefillDone, PrefillDone]);
     assert_eq!(*stand_in.accepted.lock().unwrap(), 3, "each has been idle for twice what is trusted");
 }
 
@@ -271,9 +271,9 @@
     stand_in.next(Does::Says(200, false, "{\"inflight\":3,\"x0\":0.5}"));
     let (outcome, load) = upstream.probe(&Id::from("box")).await;
     assert_eq!((outcome, load.and_then(|l| l.outstanding)), (Outcome::Served, Some(3.0)));
-    assert_eq!(attempt(&upstream).await, Outcome::ReadDone);
+    assert_eq!(attempt(&upstream).await, Outcome::PrefillDone);
     assert_eq!(*stand_in.accepted.lock().unwrap(), 1);
-    assert_eq!(attempt(&upstream).await, Outcome::ReadDone);
+    assert_eq!(attempt(&upstream).await, Outcome::PrefillDone);
     assert_eq!(*stand_in.accepted.lock().unwrap(), 2, "a read's own answer is left alone first");
 }
 
@@ -305,15 +305,15 @@
     let (first, second) = (StandIn::start(READ).await, StandIn::start(READ).await);
     let (upstream, book) = upstream_and_book(&[("box", 0, first.address)]);
     let id = Id::from("box");
-    assert_eq!(upstream.end_takes(&id), Duration::ZERO, "nothing has been heard of it");
-    assert_eq!(attempt(&upstream).await, Outcome::ReadDone);
-    let takes = upstream.end_takes(&id);
+    assert_eq!(upstream.cancellation_delay(&id), Duration::ZERO, "nothing has been heard of it");
+    assert_eq!(attempt(&upstream).await, Outcome::PrefillDone);
+    let takes = upstream.cancellation_delay(&id);
     assert!(takes > Duration::ZERO && takes < Duration::from_secs(1), "{takes:?}");
     book.set(id.clone(), first.address);
-    assert_eq!(upstream.end_takes(&id), takes, "a list that names it again changes nothing");
+    assert_eq!(upstream.cancellation_delay(&id), takes, "a list that names it again changes nothing");
     book.set(id.clone(), second.address);
-    assert_eq!(upstream.end_takes(&id), Duration::ZERO, "the way to another address is another");
-    assert_eq!(upstream.end_takes(&Id::from("unknown")), Duration::ZERO);
+    assert_eq!(upstream.cancellation_delay(&id), Duration::ZERO, "the way to another address is another");
+    assert_eq!(upstream.cancellation_delay(&Id::from("unknown")), Duration::ZERO);
 }
 
 /// A server that is back under another address is reached there, though a connection to the old one was kept.
@@ -322,14 +322,14 @@
     let (first, second) = (StandIn::start(READ).await, StandIn::start(READ).await);
     let (upstream, book) = upstream_and_book(&[("box", 0, first.address)]);
     for _ in 0..2 {
-        assert_eq!(attempt(&upstream).await, Outcome::ReadDone);
+        assert_eq!(attempt(&upstream).await, Outcome::PrefillDone);
     }
     assert_eq!((first.posts().len(), *first.accepted.lock().unwrap()), (2, 1), "it is kept");
     book.set("box".into(), second.address);
-    assert_eq!(attempt(&upstream).await, Outcome::ReadDone);
+    assert_eq!(attempt(&upstream).await, Outcome::PrefillDone);
     assert_eq!((first.posts().len(), second.posts().len()), (2, 1));
     book.set("box".into(), first.address);
-    assert_eq!(attempt(&upstream).await, Outcome::ReadDone);
+    assert_eq!(attempt(&upstream).await, Outcome::PrefillDone);
     assert_eq!((first.posts().len(), second.posts().len()), (3, 1));
 }
 
@@ -338,13 +338,13 @@
 async fn a_reset_soon_after_an_answer_costs_no_other_server_its_connections() {
     let (hasty, steady) = (StandIn::start(READ).await, StandIn::start(READ).await);
     let upstream = upstream(&[("hasty", 0, hasty.address), ("steady", 0, steady.address)]);
-    assert_eq!(attempt_at(&upstream, "steady").await, Outcome::ReadDone);
-    assert_eq!(attempt_at(&upstream, "hasty").await, Outcome::ReadDone);
+    assert_eq!(attempt_at(&upstream, "steady").await, Outcome::PrefillDone);
+    assert_eq!(attempt_at(&upstream, "hasty").await, Outcome::PrefillDone);
     hasty.next(Does::Resets);
     assert_eq!(attempt_at(&upstream, "hasty").await, Outcome::StaleConnection);
     for _ in 0..5 {
         sleep(Duration::from_millis(40)).await;
-        assert_eq!(attempt_at(&upstream, "steady").await, Outcome::ReadDone);
+        assert_eq!(attempt_at(&upstream, "steady").await, Outcome::PrefillDone);
     }
     assert_eq!(*steady.accepted.lock().unwrap(), 1, "a handshake for each request");
 }
--- a/daemon/tests/discovery.rs
+++ b/daemon/tests/discovery.rs
@@ -5,9 +5,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use frosttrail::setup::Names;
-use frosttrail::{Entry, Health, Id, ListForm};
-use frosttrail_core::{Clock, MemberList, News};
+use frosttrail::setup::ConfiguredNames;
+use frosttrail::{Health, Id, ListUpdateKind, ServerEntry};
+use frosttrail_core::{Clock, MembershipSource, MembershipUpdate};
 use frosttrail_daemon::config::XdsConfig;
 use frosttrail_daemon::discovery::backoff::TOLD;
 use frosttrail_daemon::discovery::{Backoff, Discovery, DiscoveryConfig, Listing, Xds};
@@ -31,8 +31,8 @@
     slog::Logger::root(slog::Discard, slog::o!())
 }
 
-fn names() -> Names {
-    Names::new(&setup()).unwrap()
+fn names() -> ConfiguredNames {
+    ConfiguredNames::new(&setup()).unwrap()
 }
 
 fn known(kind: &str, boot_ms: u64) -> Listing {
@@ -45,7 +45,7 @@
     serde_json::from_value(listing).unwrap()
 }
 
-fn states(news: &News) -> Vec<(&str, Health)> {
+fn states(news: &MembershipUpdate) -> Vec<(&str, Health)> {
     news.entries.iter().map(|e| (&*e.server, e.health)).collect()
 }
 
@@ -73,13 +73,13 @@
         log(),
     );
     let first = list.next().await.unwrap();
-    assert_eq!((first.form, states(&first)), (ListForm::WarmCopy, vec![("a", Health::Up)]));
-    assert_eq!((first.entries[0].kind, first.entries[0].cell, first.entries[0].started), (1, 3, 0));
+    assert_eq!((first.form, states(&first)), (ListUpdateKind::StaleCopy, vec![("a", Health::Up)]));
+    assert_eq!((first.entries[0].kind, first.entries[0].rack, first.entries[0].started), (1, 3, 0));
     let second = list.next().await.unwrap();
-    assert_eq!((second.form, states(&second)), (ListForm::Changes, vec![("a", Health::Draining)]));
+    assert_eq!((second.form, states(&second)), (ListUpdateKind::Changes, vec![("a", Health::Draining)]));
     assert_eq!(book.get(&Id::from("a")), Some(([127, 0, 0, 1], 7).into()), "its address has moved");
     let third = list.next().await.unwrap();
-    assert_eq!((third.form, third.entries.len()), (ListForm::Full, 0));
+    assert_eq!((third.form, third.entries.len()), (ListUpdateKind::Full, 0));
     let watched = |rev: u32| format!("GET /catalog/members?stream=1&index={rev} HTTP/1.1");
     let lines: Vec<String> = agent.got.lock().unwrap().iter().map(|g| g.line.clone()).collect();
     assert_eq!(lines, [watched(7), watched(8), watched(8)]);
@@ -99,7 +99,10 @@
     let mut forms = vec![list.next().await.unwrap().form, list.next().await.unwrap().form];
     address.send(told_agent(new.address)).unwrap();
     forms.extend([list.next().await.unwrap().form, list.next().await.unwrap().form]);
-    assert_eq!(forms, [ListForm::WarmCopy, ListForm::Changes, ListForm::Full, ListForm::Changes]);
+    assert_eq!(
+        forms,
+        [ListUpdateKind::StaleCopy, ListUpdateKind::Changes, ListUpdateKind::Full, ListUpdateKind::Changes]
+    );
     old.given_up.recv().await.unwrap();
     let lines: Vec<String> = new.got.lock().unwrap().iter().map(|g| g.line.clone()).collect();
     let paths = ["/catalog/members", "/catalog/members?stream=1&index=2"];
@@ -122,10 +125,10 @@
     for _ in 0..3 {
         forms.push(timeout(LATEST, list.next()).await.expect("a list in time").unwrap().form);
     }
-    assert_eq!(forms, [ListForm::WarmCopy, ListForm::Full, ListForm::Changes]);
+    assert_eq!(forms, [ListUpdateKind::StaleCopy, ListUpdateKind::Full, ListUpdateKind::Changes]);
     address.send(told_agent(moved.address)).unwrap();
     let whole = timeout(LATEST, list.next()).await.expect("a list in time").unwrap();
-    assert_eq!((whole.form, whole.entries.len()), (ListForm::Full, 0));
+    assert_eq!((whole.form, whole.entries.len()), (ListUpdateKind::Full, 0));
     assert_eq!(agent.posts().len() + agent.got.lock().unwrap().len(), 1, "one watch has brought all");
 }
 
@@ -224,7 +227,7 @@
     }
     let begin = std::time::Instant::now();
     address.send(told_agent(new.address)).unwrap();
-    assert_eq!(timeout(LATEST, moved).await.expect("a list in time").unwrap(), ListForm::Full);
+    assert_eq!(timeout(LATEST, moved).await.expect("a list in time").unwrap(), ListUpdateKind::Full);
     assert!(begin.elapsed() < Duration::from_millis(2_500), "{:?}", begin.elapsed());
 }
 
@@ -246,25 +249,25 @@
 async fn a_box_that_has_gone_keeps_its_address_for_a_while_only() {
     let book = AddressTable::default();
     let news = |form, members: &[(&str, Health)]| {
-        let entry = |(name, health): &(&str, Health)| Entry {
+        let entry = |(name, health): &(&str, Health)| ServerEntry {
             server: Id::from(*name),
-            cell: 0,
+            rack: 0,
             kind: 0,
             zone: 0,
             started: 0,
             health: *health,
         };
-        News { form, entries: members.iter().map(entry).collect() }
+        MembershipUpdate { form, entries: members.iter().map(entry).collect() }
     };
     for name in ["a", "b", "c"] {
         book.set(Id::from(name), ([127, 0, 0, 1], 1).into());
     }
-    book.follow(&news(ListForm::Changes, &[("a", Health::Gone), ("c", Health::Draining)]));
-    book.follow(&news(ListForm::Full, &[("c", Health::Up)]));
+    book.follow(&news(ListUpdateKind::Changes, &[("a", Health::Gone), ("c", Health::Draining)]));
+    book.follow(&news(ListUpdateKind::Full, &[("c", Health::Up)]));
     let held = || ["a", "b", "c"].map(|name| book.get(&Id::from(name)).is_some());
     assert_eq!(held(), [true; 3], "calls that let go of state may still want it");
     tokio::time::advance(Duration::from_secs(31)).await;
-    book.follow(&news(ListForm::Changes, &[]));
+    book.follow(&news(ListUpdateKind::Changes, &[]));
     assert_eq!(held(), [false, false, true]);
 }
 
@@ -310,10 +313,10 @@
     let mut list = Xds::new(config, "n1".into(), names(), Clock::new(), book.clone(), log());
     let first = list.next().await.unwrap();
     let up = [("127.0.0.1:11", Health::Up), ("127.0.0.1:12", Health::Up), ("w", Health::Up)];
-    assert_eq!((first.form, states(&first)), (ListForm::Full, up.to_vec()));
+    assert_eq!((first.form, states(&first)), (ListUpdateKind::Full, up.to_vec()));
     let kinds: Vec<_> = first.entries.iter().map(|e| e.kind).collect();
-    assert_eq!((kinds, first.entries[2].cell), (vec![0, 0, 1], 4));
-    assert_eq!(first.entries[0].cell, first.entries[1].cell);
+    assert_eq!((kinds, first.entries[2].rack), (vec![0, 0, 1], 4));
+    assert_eq!(first.entries[0].rack, first.entries[1].rack);
     assert_eq!(book.get(&Id::from("w")), Some(([127, 0, 0, 1], 21).into()));
     let second = list.next().await.unwrap();
     assert_eq!(states(&second)[..2], [("127.0.0.1:11", Health::Draining), ("127.0.0.1:12", Health::Gone)]);
@@ -377,7 +380,7 @@
     let (configured, at) = watch::channel(told_agent(agent.address));
     let (book, backoff) = (Arc::new(AddressTable::default()), Backoff::new(2, 7));
     let mut list = Discovery::new(at, known("decode", 0), backoff, names(), Clock::new(), book, log());
-    assert_eq!(list.next().await.unwrap().form, ListForm::WarmCopy);
+    assert_eq!(list.next().await.unwrap().form, ListUpdateKind::StaleCopy);
     let head = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
     let chunk = format!("{:x}\r\n{WHOLE_LIST}\r\n", WHOLE_LIST.len());
     let (told, configured) = (agent.told.clone(), Arc::new(configured));
@@ -391,6 +394,6 @@
         }
     });
     let next = timeout(LATEST, list.next()).await.expect("no list is ever read to its end").unwrap();
-    assert_eq!(next.form, ListForm::Full);
+    assert_eq!(next.form, ListUpdateKind::Full);
     assert_eq!(*agent.accepted.lock().unwrap(), 1, "the call was made anew");
 }
--- a/daemon/tests/ending.rs
+++ b/daemon/tests/ending.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use frosttrail::setup::{settings, Names};
+use frosttrail::setup::{settings, ConfiguredNames};
 use frosttrail_daemon::ending::Ending;
 use serde_json::{json, Value};
 use support::*;
@@ -34,13 +34,13 @@
     for deadline in [1].into_iter().chain((50..=9_000).step_by(50)) {
         let setup = with_deadline(deadline);
         let Ending { notice, answer_all, last } =
-            Ending::new(&settings(&setup, &Names::new(&setup).unwrap()).unwrap());
+            Ending::new(&settings(&setup, &ConfiguredNames::new(&setup).unwrap()).unwrap());
         assert!(notice <= answer_all && answer_all < last, "{deadline} ms");
         assert!(last + Duration::from_millis(250) <= killed_after(deadline), "{deadline} ms");
     }
     // No time at all is no deadline.
     let setup = with_deadline(0);
-    assert!(settings(&setup, &Names::new(&setup).unwrap()).is_err());
+    assert!(settings(&setup, &ConfiguredNames::new(&setup).unwrap()).is_err());
 }
 
 fn request(id: &str, class: &str, remaining: u64) -> String {
--- a/daemon/tests/gone.rs
+++ b/daemon/tests/gone.rs
@@ -6,8 +6,8 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use frosttrail::{Health, ListForm};
-use frosttrail_core::News;
+use frosttrail::{Health, ListUpdateKind};
+use frosttrail_core::MembershipUpdate;
 use support::*;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
@@ -62,14 +62,14 @@
         let (prefill, decode) = (StandIn::start(READ).await, StandIn::start(WHOLE).await);
         let site = Open::before(&[("decode", 1, decode.address)], CLIENT_TIMEOUTS);
         let client = send(site.platform, &request("goes")).await;
-        until(|| site.conductor.calls() == 1).await;
+        until(|| site.conductor.call_count() == 1).await;
         let stays = tokio::spawn(async move { exchange(site.platform, &chat("stays", "ask", 7_000)).await });
-        until(|| site.conductor.calls() == 2).await;
+        until(|| site.conductor.call_count() == 2).await;
         goes(client, &leaving).await;
         sleep(Duration::from_millis(100)).await;
         site.book.set("prefill".into(), prefill.address);
         let entries = vec![entry("prefill", 0, Health::Up)];
-        site.news.send(News { form: ListForm::Changes, entries }).unwrap();
+        site.news.send(MembershipUpdate { form: ListUpdateKind::Changes, entries }).unwrap();
         assert_eq!(stays.await.unwrap().status, 200, "{name}: who stays is served");
         sleep(Duration::from_millis(50)).await;
         assert_eq!((attempts(&prefill), attempts(&decode)), (0, 0), "{name}");
@@ -87,7 +87,7 @@
             let site = Open::before(&[("decode", 1, decode.address)], CLIENT_TIMEOUTS);
             let turns_up = |health| {
                 let entries = vec![entry("prefill", 0, health)];
-                site.news.send(News { form: ListForm::Changes, entries }).unwrap();
+                site.news.send(MembershipUpdate { form: ListUpdateKind::Changes, entries }).unwrap();
             };
             site.book.set("prefill".into(), prefill.address);
             if kept {
@@ -97,9 +97,9 @@
                 turns_up(Health::Gone);
                 sleep(Duration::from_millis(20)).await;
             }
-            let before = site.conductor.calls();
+            let before = site.conductor.call_count();
             let client = send(site.platform, &request("goes")).await;
-            until(|| site.conductor.calls() > before).await;
+            until(|| site.conductor.call_count() > before).await;
             sleep(Duration::from_millis(20)).await;
             // No await between these: the thread is busy meanwhile.
             let mut client = client.into_std().unwrap();
--- a/daemon/tests/interleavings.rs
+++ b/daemon/tests/interleavings.rs
@@ -7,8 +7,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use frosttrail::{Health, ListForm};
-use frosttrail_core::News;
+use frosttrail::{Health, ListUpdateKind};
+use frosttrail_core::MembershipUpdate;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use support::*;
@@ -120,7 +120,10 @@
         if draws.random_range(0..15) == 0 {
             let (name, kind, _) = servers[draws.random_range(0..4)];
             for health in [Health::Draining, Health::Up] {
-                let news = News { form: ListForm::Changes, entries: vec![entry(name, kind, health)] };
+                let news = MembershipUpdate {
+                    form: ListUpdateKind::Changes,
+                    entries: vec![entry(name, kind, health)],
+                };
                 site.news.send(news).unwrap();
                 tokio::task::yield_now().await;
             }
@@ -132,7 +135,7 @@
         sleep(Duration::from_micros(draws.random_range(0..4_000))).await;
     }
     answers.extend(clients.join_all().await);
-    timeout(LATEST, site.conductor.released()).await.expect("what is held is let go");
+    timeout(LATEST, site.conductor.wait_for_releases()).await.expect("what is held is let go");
     sleep(Duration::from_millis(50)).await;
     let all = |of: &[StandIn]| of.iter().flat_map(|s| s.did.lock().unwrap().clone()).collect::<Vec<Did>>();
     let (read, written) = (all(&prefill), all(&decode));
--- a/daemon/tests/platform.rs
+++ b/daemon/tests/platform.rs
@@ -233,7 +233,7 @@
     let last = exchange(site.platform, ready).await;
     assert_eq!((last.status, last.header("connection")), (200, Some("close")), "served, and told to go");
     site.doors.close().await;
-    site.conductor.released().await;
+    site.conductor.wait_for_releases().await;
     assert!(site.reader.released.try_recv().is_ok(), "the box that was heard last is asked first");
 }
 
--- a/daemon/tests/servers.rs
+++ b/daemon/tests/servers.rs
@@ -110,7 +110,7 @@
         }
         assert_eq!(decode.posts().len(), 6, "{class}: each ran once");
         // Connections that were given up have gone; no server holds anything.
-        site.conductor.released().await;
+        site.conductor.wait_for_releases().await;
         let sent = tokio::join!(no_prefill.opened_and_sent(), no_decode.opened_and_sent());
         assert_eq!(sent, (0, 0), "{class}: something was sent late");
         sleep(Duration::from_millis(20)).await;
--- a/daemon/tests/support/mod.rs
+++ b/daemon/tests/support/mod.rs
@@ -11,9 +11,9 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use frosttrail::setup::{settings, Names};
-use frosttrail::{Entry, Health, Id, ListForm, Settings};
-use frosttrail_core::{start, Clock, Conductor, Figures, MemberList, News, Parts};
+use frosttrail::setup::{settings, ConfiguredNames};
+use frosttrail::{Health, Id, ListUpdateKind, ServerEntry, Settings};
+use frosttrail_core::{start, Clock, Conductor, ConductorParts, MembershipSource, MembershipUpdate, Metrics};
 use frosttrail_daemon::config::ChatConfig;
 use frosttrail_daemon::front::chat::Chat;
 use frosttrail_daemon::front::platform::Platform;
@@ -377,10 +377,10 @@
 }
 
 /// The list as the test tells it.
-struct Told(mpsc::UnboundedReceiver<News>);
+struct Told(mpsc::UnboundedReceiver<MembershipUpdate>);
 
-impl MemberList for Told {
-    async fn next(&mut self) -> Option<News> {
+impl MembershipSource for Told {
+    async fn next(&mut self) -> Option<MembershipUpdate> {
         self.0.recv().await
     }
 }
@@ -409,7 +409,7 @@
     pub chat: SocketAddr,
     pub conductor: Conductor<HttpUpstream>,
     pub doors: ClientListeners,
-    pub news: mpsc::UnboundedSender<News>,
+    pub news: mpsc::UnboundedSender<MembershipUpdate>,
     /// Where the servers are.
     pub book: Arc<AddressTable>,
 }
@@ -417,7 +417,7 @@
 impl Open {
     /// Before these servers: name, kind and address.
     pub fn before(servers: &[(&str, usize, SocketAddr)], patience: ClientTimeouts) -> Self {
-        let names = Names::new(&setup()).unwrap();
+        let names = ConfiguredNames::new(&setup()).unwrap();
         let settings = settings(&setup(), &names).unwrap();
         let (news, conductor, book) = conductor(&settings, servers);
         let doors = ClientListeners::new(8, patience, slog::Logger::root(slog::Discard, slog::o!()));
@@ -438,7 +438,7 @@
     pub writer: StandIn,
     pub conductor: Conductor<HttpUpstream>,
     pub doors: ClientListeners,
-    pub news: mpsc::UnboundedSender<News>,
+    pub news: mpsc::UnboundedSender<MembershipUpdate>,
 }
 
 impl Site {
@@ -502,22 +502,22 @@
 }
 
 /// A line of the list.
-pub fn entry(name: &str, kind: usize, health: Health) -> Entry {
-    Entry { server: Id::from(name), cell: 0, kind, zone: 0, started: 0, health }
+pub fn entry(name: &str, kind: usize, health: Health) -> ServerEntry {
+    ServerEntry { server: Id::from(name), rack: 0, kind, zone: 0, started: 0, health }
 }
 
 fn conductor(
     settings: &Settings,
     servers: &[(&str, usize, SocketAddr)],
-) -> (mpsc::UnboundedSender<News>, Conductor<HttpUpstream>, Arc<AddressTable>) {
+) -> (mpsc::UnboundedSender<MembershipUpdate>, Conductor<HttpUpstream>, Arc<AddressTable>) {
     let book = book(servers);
     let entries = servers.iter().map(|(name, kind, _)| entry(name, *kind, Health::Up)).collect();
     let (news, told) = mpsc::unbounded_channel();
-    let _ = news.send(News { form: ListForm::Full, entries });
-    let conductor = start(Parts {
+    let _ = news.send(MembershipUpdate { form: ListUpdateKind::Full, entries });
+    let conductor = start(ConductorParts {
         excluded: Vec::new(),
-        learned: None,
-        figures: Figures::new().unwrap(),
+        inherited: None,
+        figures: Metrics::new().unwrap(),
         settings: settings.clone(),
         seed: 7,
         clock: Clock::new(),
--- a/daemon/tests/unit/starts.rs
+++ b/daemon/tests/unit/starts.rs
@@ -40,6 +40,6 @@
     }
     assert_eq!(starts.known.len(), REMEMBERED_MAX);
     let (server, health) = (server("3"), Health::Up);
-    starts.forget_but(&[Entry { server, cell: 0, kind: 0, zone: 0, started: 0, health }]);
+    starts.forget_but(&[ServerEntry { server, rack: 0, kind: 0, zone: 0, started: 0, health }]);
     assert_eq!(starts.known.len(), 1);
 }
--- a/daemon/tests/whole_path.rs
+++ b/daemon/tests/whole_path.rs
@@ -5,8 +5,8 @@
 
 use std::time::Duration;
 
-use frosttrail::{Health, ListForm};
-use frosttrail_core::News;
+use frosttrail::{Health, ListUpdateKind};
+use frosttrail_core::MembershipUpdate;
 use frosttrail_standins::link::{Event, Fault, Link, Way};
 use frosttrail_standins::split::{state_of, tokens_of, Reader, Writer};
 use frosttrail_transfer::service::Config;
@@ -55,7 +55,7 @@
     /// Nothing is held or moves, at any server, within the rule.
     async fn free_in_time(&self) {
         let begin = Instant::now();
-        self.site.conductor.released().await;
+        self.site.conductor.wait_for_releases().await;
         for node in self.readers.iter().map(|r| &r.node).chain([&self.writer.node]) {
             timeout(LATEST, node.settled()).await.unwrap();
         }
@@ -154,7 +154,7 @@
         };
         let (reader, name) = (&path.readers[n], format!("reader-{n}"));
         let entries = vec![entry(&name, 0, Health::Draining)];
-        path.site.news.send(News { form: ListForm::Changes, entries }).unwrap();
+        path.site.news.send(MembershipUpdate { form: ListUpdateKind::Changes, entries }).unwrap();
         // Too short for what is left: it is freed and read at the other.
         reader.node.drain(Duration::from_millis(200));
         reader.node.settled().await;
--- a/drill/src/main.rs
+++ b/drill/src/main.rs
@@ -8,14 +8,14 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::process::ExitCode;
 
-use frosttrail::setup::{settings, Names};
+use frosttrail::setup::{settings, ConfiguredNames};
 use frosttrail::{Router, Settings};
 use serde_json::{json, Value};
 use wire::Line;
 
 /// One router, and what the words of its events stand for.
 struct Instance {
-    names: Names,
+    names: ConfiguredNames,
     settings: Settings,
     router: Router,
 }
@@ -89,7 +89,7 @@
     match name {
         "provision" => {
             let (seed, setup) = wire::provision(rest)?;
-            let made = Names::new(setup).and_then(|n| Ok((settings(setup, &n)?, n)));
+            let made = ConfiguredNames::new(setup).and_then(|n| Ok((settings(setup, &n)?, n)));
             return Ok(match made {
                 Ok((settings, names)) => {
                     let router = Router::new(settings.clone(), seed);
--- a/drill/src/wire.rs
+++ b/drill/src/wire.rs
@@ -2,8 +2,11 @@
 
 use std::sync::Arc;
 
-use frosttrail::setup::{index, load, number, want, Names, SetupError};
-use frosttrail::{Action, Class, Entry, Event, Health, Id, ListForm, Load, Outcome, Query, Settings};
+use frosttrail::setup::{index_of, load_report, required, whole_number, ConfiguredNames, SetupError};
+use frosttrail::{
+    Action, Event, Health, Id, ListUpdateKind, LoadReport, Outcome, Query, RequestClass, ServerEntry,
+    Settings,
+};
 use serde_json::{json, Value};
 
 /// One line of input.
@@ -33,58 +36,58 @@
 }
 
 fn whole(values: &[Value], at: usize, key: &str) -> Result<u64, String> {
-    Ok(want(values.get(at).and_then(number), key)?)
+    Ok(required(values.get(at).and_then(whole_number), key)?)
 }
 
 fn text<'a>(values: &'a [Value], at: usize, key: &str) -> Result<&'a str, String> {
-    Ok(want(values.get(at).and_then(Value::as_str), key)?)
+    Ok(required(values.get(at).and_then(Value::as_str), key)?)
 }
 
 /// A number that may be absent or null.
 fn maybe(values: &[Value], at: usize, key: &str) -> Result<u64, String> {
     match values.get(at) {
         None | Some(Value::Null) => Ok(0),
-        Some(value) => Ok(want(number(value), key)?),
+        Some(value) => Ok(required(whole_number(value), key)?),
     }
 }
 
 fn flag(values: &[Value], at: usize, key: &str) -> Result<bool, String> {
     match values.get(at) {
         None | Some(Value::Null) => Ok(false),
-        Some(value) => Ok(want(value.as_bool(), key)?),
+        Some(value) => Ok(required(value.as_bool(), key)?),
     }
 }
 
 fn outcome(status: &str, note: u64) -> Result<Outcome, String> {
     Ok(match status {
         "served" => Outcome::Served,
-        "ready_to_answer" => Outcome::ReadDone,
+        "ready_to_answer" => Outcome::PrefillDone,
         "server_error" => Outcome::Failed,
-        "turned_away" if note == 1 => Outcome::StateLost,
-        "turned_away" => Outcome::TurnedAway,
+        "turned_away" if note == 1 => Outcome::CacheMissing,
+        "turned_away" => Outcome::Rejected,
         "no_answer" => Outcome::NoAnswer,
         "no_connection" => Outcome::NoConnection,
         "connection_lost" => Outcome::ConnectionLost,
-        "called_off" => Outcome::CalledOff,
+        "called_off" => Outcome::Cancelled,
         "not_sent" => Outcome::NotSent,
         _ => return Err(format!("status: no such word: {status}")),
     })
 }
 
 /// A load report; columns that are not known are skipped.
-fn telemetry(value: Option<&Value>) -> Result<Option<Load>, String> {
+fn telemetry(value: Option<&Value>) -> Result<Option<LoadReport>, String> {
     match value {
         None | Some(Value::Null) => Ok(None),
-        Some(value) => Ok(Some(load(value)?)),
+        Some(value) => Ok(Some(load_report(value)?)),
     }
 }
 
-fn entry(value: &Value, names: &Names) -> Result<Entry, String> {
-    let v = want(value.as_array(), "elements")?;
-    Ok(Entry {
-        cell: whole(v, 0, "cohort")?,
-        kind: index(names.kinds(), text(v, 2, "flavor")?, "flavor")?,
-        zone: index(names.zones(), text(v, 3, "az")?, "az")?,
+fn entry(value: &Value, names: &ConfiguredNames) -> Result<ServerEntry, String> {
+    let v = required(value.as_array(), "elements")?;
+    Ok(ServerEntry {
+        rack: whole(v, 0, "cohort")?,
+        kind: index_of(names.kinds(), text(v, 2, "flavor")?, "flavor")?,
+        zone: index_of(names.zones(), text(v, 3, "az")?, "az")?,
         server: text(v, 4, "server")?.into(),
         started: maybe(v, 5, "started-at")?,
         health: match text(v, 6, "health")? {
@@ -96,25 +99,25 @@
     })
 }
 
-fn members(rest: &[Value], names: &Names) -> Result<Event, String> {
+fn members(rest: &[Value], names: &ConfiguredNames) -> Result<Event, String> {
     let form = match text(rest, 0, "form")? {
-        "incr" => ListForm::Changes,
-        "total" => ListForm::Full,
-        "warm_copy" => ListForm::WarmCopy,
-        "lost" => ListForm::Lost,
+        "incr" => ListUpdateKind::Changes,
+        "total" => ListUpdateKind::Full,
+        "warm_copy" => ListUpdateKind::StaleCopy,
+        "lost" => ListUpdateKind::SourceUnavailable,
         other => return Err(format!("form: no such word: {other}")),
     };
     let entries = match rest.get(2) {
         None | Some(Value::Null) => Vec::new(),
         Some(list) => {
-            let list = want(list.as_array(), "elements")?;
+            let list = required(list.as_array(), "elements")?;
             list.iter().map(|e| entry(e, names)).collect::<Result<Vec<_>, _>>()?
         }
     };
     Ok(Event::Members { form, entries })
 }
 
-fn class(settings: &Settings, name: &str) -> Result<Arc<Class>, String> {
+fn class(settings: &Settings, name: &str) -> Result<Arc<RequestClass>, String> {
     let unknown = || SetupError::Unknown { key: "category".into(), name: name.into() };
     Ok(settings.class(name).ok_or_else(unknown)?)
 }
@@ -122,12 +125,12 @@
 fn query(v: &[Value], settings: &Settings) -> Result<Event, String> {
     Ok(Event::Query(Query {
         id: text(v, 0, "ref")?.into(),
-        resent: flag(v, 1, "resent")?,
+        is_client_retry: flag(v, 1, "resent")?,
         prefix: v.get(3).and_then(Value::as_str).map(Id::from),
         prompt_tokens: maybe(v, 4, "prompt-len")?,
         prefix_tokens: maybe(v, 5, "prefix-tokens")?,
         max_tokens: maybe(v, 6, "n-max")?,
-        came_back: flag(v, 7, "came-back")?,
+        resumes_stream: flag(v, 7, "came-back")?,
         session: v.get(8).and_then(Value::as_str).unwrap_or_default().into(),
         class: class(settings, text(v, 9, "category")?)?,
         budget: whole(v, 10, "budget")?,
@@ -136,20 +139,25 @@
 }
 
 /// Reads an event; `None` for one that is not known.
-pub fn event(name: &str, v: &[Value], names: &Names, settings: &Settings) -> Result<Option<Event>, String> {
+pub fn event(
+    name: &str,
+    v: &[Value],
+    names: &ConfiguredNames,
+    settings: &Settings,
+) -> Result<Option<Event>, String> {
     let id = || text(v, 0, "ref").map(Id::from);
     let leg = |at| whole(v, at, "leg").map(|n| n.min(u64::from(u32::MAX)) as u32);
     let server = |at| text(v, at, "server").map(Id::from);
     Ok(Some(match name {
         "members" => members(v, names)?,
         "query" => query(v, settings)?,
-        "headers" => Event::Headers { id: id()?, attempt: leg(1)?, elapsed: maybe(v, 3, "elapsed")? },
+        "headers" => Event::AnswerStarted { id: id()?, attempt: leg(1)?, elapsed: maybe(v, 3, "elapsed")? },
         "result" => {
             let detail = maybe(v, 2, "detail")?;
-            Event::Result {
+            Event::AttemptEnded {
                 id: id()?,
                 elapsed: maybe(v, 1, "elapsed")?,
-                kept_tokens: detail,
+                cached_tokens: detail,
                 finished: flag(v, 3, "finished")?,
                 attempt: leg(4)?,
                 server: server(5)?,
@@ -160,14 +168,18 @@
         "timed-out-client" => Event::ClientGone { id: id()? },
         "hold-result" => {
             let held = whole(v, 1, "what")? == 1;
-            Event::Place { id: id()?, held, server: want(v.last().and_then(Value::as_str), "server")?.into() }
+            Event::SlotReservation {
+                id: id()?,
+                reserved: held,
+                server: required(v.last().and_then(Value::as_str), "server")?.into(),
+            }
         }
-        "status-back" => Event::Probed {
+        "status-back" => Event::ProbeEnded {
             server: server(0)?,
             outcome: outcome(text(v, 1, "status")?, 0)?,
             load: telemetry(v.get(3))?,
         },
-        "bell" => Event::Bell { token: whole(v, 0, "ctx")? },
+        "bell" => Event::TimerFired { token: whole(v, 0, "ctx")? },
         _ => return Ok(None),
     }))
 }
@@ -177,13 +189,13 @@
     match action {
         Action::Send { id, server, stop_at, .. } => json!(["relay", instance, &*id, stop_at, &*server]),
         Action::Cancel { id, attempt } => json!(["retract", instance, &*id, attempt]),
-        Action::Decline { id, retry_after } => json!(["decline", instance, &*id, retry_after]),
+        Action::Refuse { id, retry_after } => json!(["decline", instance, &*id, retry_after]),
         Action::Fail { id } => json!(["drop-request", instance, &*id]),
-        Action::DropState { id } => json!(["drop-state", instance, &*id]),
-        Action::Move { id } => json!(["redirect", instance, &*id]),
+        Action::ReleaseCache { id } => json!(["drop-state", instance, &*id]),
+        Action::MoveStream { id } => json!(["redirect", instance, &*id]),
         Action::Probe { server } => json!(["ask-load", instance, &*server]),
         Action::Watch => json!(["observe", instance, true]),
-        Action::Timer { delay, token } => json!(["remind", instance, delay, token]),
+        Action::SetTimer { delay, token } => json!(["remind", instance, delay, token]),
         Action::Log(words) => json!(["record", instance, words]),
     }
 }
--- a/rpc/src/client.rs
+++ b/rpc/src/client.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use frosttrail::{Id, Query};
-use frosttrail_core::{Answer as Final, AnswerStream, Broken, CallError, Conductor, Request};
+use frosttrail_core::{Answer as Final, AnswerStream, CallError, Conductor, Request, StreamBroken};
 use futures_core::Stream;
 
 use crate::proto;
@@ -104,8 +104,8 @@
             class,
             tenant: None,
             budget: ask.patience.as_micros() as u64,
-            resent: ask.resent,
-            came_back: ask.came_back,
+            is_client_retry: ask.resent,
+            resumes_stream: ask.came_back,
         };
         let call = Call::new(&proto::Request {
             id: ask.id,
@@ -126,7 +126,7 @@
 pub struct Events(AnswerStream<Answer>);
 
 impl Stream for Events {
-    type Item = Result<Bytes, Broken>;
+    type Item = Result<Bytes, StreamBroken>;
 
     fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Self::Item>> {
         self.0.poll_next(cx)
--- a/rpc/src/members.rs
+++ b/rpc/src/members.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use frosttrail::{Entry, Health, Id, ListForm, Settings};
-use frosttrail_core::{MemberList, News};
+use frosttrail::{Health, Id, ListUpdateKind, ServerEntry, Settings};
+use frosttrail_core::{MembershipSource, MembershipUpdate};
 
 use crate::upstream::AddressTable;
 
@@ -24,7 +24,7 @@
 }
 
 /// A list that does not change.
-pub struct Fixed(Option<News>);
+pub struct Fixed(Option<MembershipUpdate>);
 
 impl Fixed {
     /// Enters the members into the book.
@@ -32,21 +32,21 @@
         let known = members.iter().filter_map(|m| Some((m, settings.roles.get(m.kind)?)));
         let entries = known.map(|(m, role)| {
             book.set(Id::from(m.id.as_str()), m.at, *role);
-            Entry {
+            ServerEntry {
                 server: Id::from(m.id.as_str()),
-                cell: m.cell,
+                rack: m.cell,
                 kind: m.kind,
                 zone: m.zone,
                 started: 0,
                 health: Health::Up,
             }
         });
-        Fixed(Some(News { form: ListForm::Full, entries: entries.collect() }))
+        Fixed(Some(MembershipUpdate { form: ListUpdateKind::Full, entries: entries.collect() }))
     }
 }
 
-impl MemberList for Fixed {
-    async fn next(&mut self) -> Option<News> {
+impl MembershipSource for Fixed {
+    async fn next(&mut self) -> Option<MembershipUpdate> {
         match self.0.take() {
             Some(news) => Some(news),
             None => std::future::pending().await,
--- a/rpc/src/outcome.rs
+++ b/rpc/src/outcome.rs
@@ -37,10 +37,10 @@
 pub fn outcome(end: End, written: bool) -> Outcome {
     match end {
         // The server's own word, and HTTP/2's two ways to say that a stream was not worked on.
-        End::Status(Said::TurnedAway) | End::BehindGoaway => Outcome::TurnedAway,
-        End::Reset(h2::Reason::REFUSED_STREAM) => Outcome::TurnedAway,
-        End::Status(Said::StateLost) => Outcome::StateLost,
-        End::GivenUp => Outcome::CalledOff,
+        End::Status(Said::TurnedAway) | End::BehindGoaway => Outcome::Rejected,
+        End::Reset(h2::Reason::REFUSED_STREAM) => Outcome::Rejected,
+        End::Status(Said::StateLost) => Outcome::CacheMissing,
+        End::GivenUp => Outcome::Cancelled,
         // It starts with the last byte, which it has not got.
         End::Connection | End::Time if !written => Outcome::NoConnection,
         End::Connection => Outcome::ConnectionLost,
--- a/rpc/src/upstream/attempt.rs
+++ b/rpc/src/upstream/attempt.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use frosttrail::Outcome;
-use frosttrail_core::{Events, Reply, SendPermit, Step};
+use frosttrail_core::{AttemptReply, EventStream, SendPermit, StreamStep};
 use h2::client::ResponseFuture;
 use http::{HeaderMap, Method, Request, StatusCode, Version};
 use prost::Message;
@@ -64,22 +64,24 @@
 
 impl Calls {
     /// To a reader.
-    pub(super) async fn read(&self, framed: Bytes, wait: Duration) -> Reply<Answer> {
+    pub(super) async fn read(&self, framed: Bytes, wait: Duration) -> AttemptReply<Answer> {
         match self.unary::<proto::ReadDone>("Read", framed, wait).await {
-            Ok(done) => Reply::Read { kept_tokens: done.cached_tokens, load: done.load.map(load_of) },
-            Err((outcome, load)) => Reply::Ended(outcome, load.map(load_of)),
+            Ok(done) => {
+                AttemptReply::PrefillDone { cached_tokens: done.cached_tokens, load: done.load.map(load_of) }
+            }
+            Err((outcome, load)) => AttemptReply::Ended(outcome, load.map(load_of)),
         }
     }
 
     /// To a writer: until the first message.
-    pub(super) async fn write(&self, framed: Bytes, wait: Duration) -> Reply<Answer> {
+    pub(super) async fn write(&self, framed: Bytes, wait: Duration) -> AttemptReply<Answer> {
         let begun = self.exchange("Write", framed, wait, |mut messages| async move {
             let first = event(next(&mut messages).await)?;
             Ok((messages, first))
         });
         match begun.await {
-            Ok(((messages, first), place)) => Reply::Stream(Answer::new(messages, first, place)),
-            Err((outcome, load)) => Reply::Ended(outcome, load.map(load_of)),
+            Ok(((messages, first), place)) => AttemptReply::Stream(Answer::new(messages, first, place)),
+            Err((outcome, load)) => AttemptReply::Ended(outcome, load.map(load_of)),
         }
     }
 
@@ -236,31 +238,31 @@
         Answer { messages, first: Some(first), last: false, _place: place }
     }
 
-    fn step(&mut self, event: proto::Event) -> Step {
+    fn step(&mut self, event: proto::Event) -> StreamStep {
         if self.last {
-            return Step::Broken(Outcome::Failed);
+            return StreamStep::Broken(Outcome::Failed);
         }
         self.last = event.last;
-        Step::Data(event.body.into())
+        StreamStep::Event(event.body.into())
     }
 }
 
-impl Events for Answer {
-    fn poll_step(&mut self, cx: &mut Context<'_>) -> Poll<Step> {
+impl EventStream for Answer {
+    fn poll_step(&mut self, cx: &mut Context<'_>) -> Poll<StreamStep> {
         if let Some(first) = self.first.take() {
             return Poll::Ready(self.step(first));
         }
         Poll::Ready(match ready!(self.messages.poll_next(cx)) {
             Ok(Next::Message(message)) => match proto::Event::decode(message) {
                 Ok(event) => self.step(event),
-                Err(_) => Step::Broken(Outcome::Failed),
+                Err(_) => StreamStep::Broken(Outcome::Failed),
             },
             Ok(Next::End(trailers)) => match status(&trailers) {
                 // Only an answer whose last event has come is whole.
-                Some(Ok(())) if self.last => Step::End,
-                _ => Step::Broken(Outcome::Failed),
+                Some(Ok(())) if self.last => StreamStep::End,
+                _ => StreamStep::Broken(Outcome::Failed),
             },
-            Err(end) => Step::Broken(outcome(end, true)),
+            Err(end) => StreamStep::Broken(outcome(end, true)),
         })
     }
 }
--- a/rpc/src/upstream/mod.rs
+++ b/rpc/src/upstream/mod.rs
@@ -11,8 +11,8 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use frosttrail::{Id, Load, Outcome, Role};
-use frosttrail_core::{Reply, SendPermit, Upstream};
+use frosttrail::{Id, LoadReport, Outcome, Role};
+use frosttrail_core::{AttemptReply, SendPermit, Upstream};
 
 use crate::proto;
 pub use attempt::Answer;
@@ -99,11 +99,11 @@
         call: &Call,
         wait: Duration,
         permit: &SendPermit,
-    ) -> Reply<Answer> {
+    ) -> AttemptReply<Answer> {
         match self.calls(server, permit.clone()) {
-            Some((calls, Role::Read)) => calls.read(call.framed.clone(), wait).await,
-            Some((calls, Role::Write | Role::Both)) => calls.write(call.framed.clone(), wait).await,
-            None => Reply::Ended(Outcome::NoConnection, None),
+            Some((calls, Role::Prefill)) => calls.read(call.framed.clone(), wait).await,
+            Some((calls, Role::Decode | Role::Mixed)) => calls.write(call.framed.clone(), wait).await,
+            None => AttemptReply::Ended(Outcome::NoConnection, None),
         }
     }
 
@@ -113,7 +113,7 @@
         calls.unary::<proto::Released>("Release", messages::framed(&request), RELEASE).await.is_ok()
     }
 
-    async fn probe(&self, server: &Id) -> (Outcome, Option<Load>) {
+    async fn probe(&self, server: &Id) -> (Outcome, Option<LoadReport>) {
         let Some((calls, _)) = self.calls(server, SendPermit::unconditional()) else {
             return (Outcome::NoConnection, None);
         };
@@ -130,7 +130,7 @@
 /// For a probe.
 const PROBE: Duration = Duration::from_millis(500);
 
-fn load_of(load: proto::Load) -> Load {
+fn load_of(load: proto::Load) -> LoadReport {
     let proto::Load { memory, waiting_ktokens, slots, queued, outstanding } = load;
-    Load { memory, waiting_ktokens, slots, queued, outstanding }
+    LoadReport { memory, waiting_ktokens, slots, queued, outstanding }
 }
--- a/rpc/tests/outcomes.rs
+++ b/rpc/tests/outcomes.rs
@@ -6,7 +6,7 @@
 
 use bytes::{BufMut, Bytes, BytesMut};
 use frosttrail::{Id, Outcome, Role};
-use frosttrail_core::{Events, Reply, SendPermit, Step, Upstream};
+use frosttrail_core::{AttemptReply, EventStream, SendPermit, StreamStep, Upstream};
 use frosttrail_rpc::proto::{never_ran::Why, Event, NeverRan, ReadDone, Request};
 use frosttrail_rpc::upstream::{never_ran, AddressTable, Answer, Call, GrpcUpstream};
 use h2::server::SendResponse;
@@ -169,22 +169,22 @@
         *self.does.lock().unwrap() = does;
     }
 
-    async fn attempt(&self, server: &str) -> Reply<Answer> {
+    async fn attempt(&self, server: &str) -> AttemptReply<Answer> {
         attempt(&self.upstream, server, LARGE).await
     }
 }
 
 fn upstream(at: SocketAddr) -> Arc<GrpcUpstream> {
     let book = Arc::new(AddressTable::default());
-    book.set(Id::from("reader"), at, Role::Read);
-    book.set(Id::from("writer"), at, Role::Write);
+    book.set(Id::from("reader"), at, Role::Prefill);
+    book.set(Id::from("writer"), at, Role::Decode);
     Arc::new(GrpcUpstream::new(book, Duration::from_millis(250)))
 }
 
 /// More than a server takes before it has opened its window.
 const LARGE: usize = 100_000;
 
-async fn attempt(upstream: &GrpcUpstream, server: &str, body: usize) -> Reply<Answer> {
+async fn attempt(upstream: &GrpcUpstream, server: &str, body: usize) -> AttemptReply<Answer> {
     let request = Request { id: "r-1".into(), body: vec![7; body], ..Request::default() };
     let call = Call::new(&request).unwrap();
     let (server, id) = (Id::from(server), Id::from("r-1"));
@@ -236,17 +236,17 @@
 #[tokio::test]
 async fn each_end_before_the_first_message_has_the_tables_outcome() {
     let both = [
-        (Resets(Reason::REFUSED_STREAM), Outcome::TurnedAway),
+        (Resets(Reason::REFUSED_STREAM), Outcome::Rejected),
         (Resets(Reason::CANCEL), Outcome::Failed),
         (Resets(Reason::INTERNAL_ERROR), Outcome::Failed),
         (Resets(Reason::NO_ERROR), Outcome::Failed),
         (Resets(Reason::ENHANCE_YOUR_CALM), Outcome::Failed),
-        (Status(14, Some(Why::TurnedAway)), Outcome::TurnedAway),
-        (Status(9, Some(Why::StateLost)), Outcome::StateLost),
+        (Status(14, Some(Why::TurnedAway)), Outcome::Rejected),
+        (Status(9, Some(Why::StateLost)), Outcome::CacheMissing),
         (Status(14, None), Outcome::Failed),
         (Status(14, Some(Why::Unspecified)), Outcome::Failed),
         (Status(0, None), Outcome::Failed),
-        (Trailers(14, Some(Why::TurnedAway)), Outcome::TurnedAway),
+        (Trailers(14, Some(Why::TurnedAway)), Outcome::Rejected),
         (Trailers(13, None), Outcome::Failed),
         (Empty, Outcome::Failed),
         (Http(503), Outcome::Failed),
@@ -262,7 +262,10 @@
         for server in ["reader", "writer"] {
             let stand = Stand::start(does.clone()).await;
             let reply = stand.attempt(server).await;
-            assert!(matches!(reply, Reply::Ended(outcome, _) if outcome == expected), "{does:?}: {reply:?}");
+            assert!(
+                matches!(reply, AttemptReply::Ended(outcome, _) if outcome == expected),
+                "{does:?}: {reply:?}"
+            );
             assert_eq!(*stand.runs.lock().unwrap(), 1, "{does:?}: never sent again by itself");
         }
     }
@@ -271,19 +274,19 @@
 #[tokio::test]
 async fn a_read_and_a_stream_pass_as_they_come_over_one_connection() {
     let stand = Stand::start(Reads).await;
-    assert!(matches!(stand.attempt("reader").await, Reply::Read { kept_tokens: 7, .. }));
+    assert!(matches!(stand.attempt("reader").await, AttemptReply::PrefillDone { cached_tokens: 7, .. }));
     let ends = [
-        (Streams(3), 3, Step::End),
-        (Streams(1), 1, Step::End),
-        (NoLast, 1, Step::Broken(Outcome::Failed)),
-        (NoTrailers, 1, Step::Broken(Outcome::Failed)),
-        (ResetsAfter(Reason::CANCEL), 1, Step::Broken(Outcome::Failed)),
+        (Streams(3), 3, StreamStep::End),
+        (Streams(1), 1, StreamStep::End),
+        (NoLast, 1, StreamStep::Broken(Outcome::Failed)),
+        (NoTrailers, 1, StreamStep::Broken(Outcome::Failed)),
+        (ResetsAfter(Reason::CANCEL), 1, StreamStep::Broken(Outcome::Failed)),
     ];
     for (does, events, end) in ends {
         stand.will(does.clone());
-        let Reply::Stream(mut answer) = stand.attempt("writer").await else { panic!("{does:?}") };
+        let AttemptReply::Stream(mut answer) = stand.attempt("writer").await else { panic!("{does:?}") };
         for _ in 0..events {
-            assert_eq!(step(&mut answer).await, Step::Data(Bytes::from_static(b"token")), "{does:?}");
+            assert_eq!(step(&mut answer).await, StreamStep::Event(Bytes::from_static(b"token")), "{does:?}");
         }
         assert_eq!(step(&mut answer).await, end, "{does:?}");
     }
@@ -291,7 +294,7 @@
     assert_eq!(*stand.connections.lock().unwrap(), 2);
 }
 
-async fn step(answer: &mut Answer) -> Step {
+async fn step(answer: &mut Answer) -> StreamStep {
     timeout(LATEST, std::future::poll_fn(|cx| answer.poll_step(cx))).await.unwrap()
 }
 
@@ -322,10 +325,13 @@
 async fn a_goaway_says_of_each_stream_whether_it_was_worked_on() {
     let above: &[u8] = [SETTINGS.as_slice(), &GOAWAY_ABOVE_NONE].concat().leak();
     let covers: &[u8] = [SETTINGS.as_slice(), &GOAWAY_COVERS].concat().leak();
-    for (frames, expected) in [(above, Outcome::TurnedAway), (covers, Outcome::NoAnswer)] {
+    for (frames, expected) in [(above, Outcome::Rejected), (covers, Outcome::NoAnswer)] {
         let upstream = upstream(by_hand(frames).await);
         let reply = attempt(&upstream, "writer", 100).await;
-        assert!(matches!(reply, Reply::Ended(outcome, _) if outcome == expected), "{expected:?}: {reply:?}");
+        assert!(
+            matches!(reply, AttemptReply::Ended(outcome, _) if outcome == expected),
+            "{expected:?}: {reply:?}"
+        );
     }
 }
 
@@ -343,7 +349,7 @@
         let upstream = upstream(at);
         let begin = Instant::now();
         let reply = attempt(&upstream, "writer", LARGE).await;
-        assert!(matches!(reply, Reply::Ended(Outcome::NoConnection, _)), "{at}: {reply:?}");
+        assert!(matches!(reply, AttemptReply::Ended(Outcome::NoConnection, _)), "{at}: {reply:?}");
         assert!(begin.elapsed() < WAIT * 2);
     }
 }
@@ -356,6 +362,6 @@
         assert!(timeout(Duration::from_millis(30), attempt).await.is_err());
     }
     stand.will(Streams(1));
-    assert!(matches!(stand.attempt("writer").await, Reply::Stream(_)));
+    assert!(matches!(stand.attempt("writer").await, AttemptReply::Stream(_)));
     assert_eq!(*stand.connections.lock().unwrap(), 1);
 }
--- a/rpc/tests/unit/outcome.rs
+++ b/rpc/tests/unit/outcome.rs
@@ -15,7 +15,7 @@
 
 /// What the protocol's table says never ran.
 fn never_ran(outcome: Outcome) -> bool {
-    matches!(outcome, Outcome::TurnedAway | Outcome::StateLost | Outcome::NoConnection | Outcome::NotSent)
+    matches!(outcome, Outcome::Rejected | Outcome::CacheMissing | Outcome::NoConnection | Outcome::NotSent)
 }
 
 #[test]
@@ -38,16 +38,16 @@
 fn the_table_of_the_design_note_is_this_function() {
     let table = [
         (End::Connection, Outcome::NoConnection, Outcome::ConnectionLost),
-        (End::Reset(h2::Reason::REFUSED_STREAM), Outcome::TurnedAway, Outcome::TurnedAway),
+        (End::Reset(h2::Reason::REFUSED_STREAM), Outcome::Rejected, Outcome::Rejected),
         (End::Reset(h2::Reason::CANCEL), Outcome::Failed, Outcome::Failed),
         (End::Reset(h2::Reason::INTERNAL_ERROR), Outcome::Failed, Outcome::Failed),
-        (End::BehindGoaway, Outcome::TurnedAway, Outcome::TurnedAway),
-        (End::Status(Said::TurnedAway), Outcome::TurnedAway, Outcome::TurnedAway),
-        (End::Status(Said::StateLost), Outcome::StateLost, Outcome::StateLost),
+        (End::BehindGoaway, Outcome::Rejected, Outcome::Rejected),
+        (End::Status(Said::TurnedAway), Outcome::Rejected, Outcome::Rejected),
+        (End::Status(Said::StateLost), Outcome::CacheMissing, Outcome::CacheMissing),
         (End::Status(Said::Nothing), Outcome::Failed, Outcome::Failed),
         (End::NoGrpc, Outcome::Failed, Outcome::Failed),
         (End::Time, Outcome::NoConnection, Outcome::NoAnswer),
-        (End::GivenUp, Outcome::CalledOff, Outcome::CalledOff),
+        (End::GivenUp, Outcome::Cancelled, Outcome::Cancelled),
     ];
     for (end, before, after) in table {
         assert_eq!((outcome(end, false), outcome(end, true)), (before, after), "{end:?}");
--- a/src/admission.rs
+++ b/src/admission.rs
@@ -2,7 +2,7 @@
 //! answered where none has come in its time. Pure functions of what the request itself knows.
 
 use crate::hash::{hash, share_of};
-use crate::interface::{Effect, Micros, Query, Scope};
+use crate::interface::{DedupScope, Effect, Micros, Query};
 
 /// A request is refused at the door where its first decision is expected to take more than this share of
 /// the time that its client waits.
@@ -28,18 +28,18 @@
 }
 
 /// After how long a request whose client waits for `budget` is answered without a decision.
-pub fn answer_within(budget: Micros) -> Micros {
+pub fn answer_timeout(budget: Micros) -> Micros {
     budget.max(ANSWER_LEAST)
 }
 
 /// After how long a request lets go of its KV cache by itself.
-pub fn release_within(release: Micros) -> Micros {
+pub fn release_timeout(release: Micros) -> Micros {
     (release as f64 * RELEASE_SHARE) as Micros
 }
 
 /// What a request knows of whether it may have run.
 #[derive(Clone, Copy, Debug)]
-pub struct RunAccount {
+pub struct ExecutionRecord {
     effect: Effect,
     came_back: bool,
     /// An attempt that takes effect is out.
@@ -47,11 +47,11 @@
     may_have_run: bool,
 }
 
-impl RunAccount {
+impl ExecutionRecord {
     /// Nothing has been sent yet.
     pub fn new(query: &Query) -> Self {
-        let (effect, came_back) = (query.class.effect, query.came_back);
-        RunAccount { effect, came_back, out: false, may_have_run: false }
+        let (effect, came_back) = (query.class.effect, query.resumes_stream);
+        ExecutionRecord { effect, came_back, out: false, may_have_run: false }
     }
 
     /// An attempt goes out, to a server at which it takes effect or not.
@@ -66,7 +66,7 @@
 
     /// Whether a refusal's promise, that trying again is harmless, would be true.
     pub fn may_be_refused(&self) -> bool {
-        let harmless = matches!(self.effect, Effect::Safe | Effect::Keyed { scope: Scope::All, .. });
+        let harmless = matches!(self.effect, Effect::Safe | Effect::Keyed { scope: DedupScope::All, .. });
         harmless || !(self.may_have_run || self.out || self.came_back)
     }
 }
--- a/src/facade.rs
+++ b/src/facade.rs
@@ -1,6 +1,6 @@
-//! The decisions in blocking style, for network code: [`Facade::pick`] takes a request,
-//! [`Facade::report`] tells what became of it, [`Facade::tick`] lets time pass. Each is given the
-//! time and returns [`Verdicts`]. The facade decides nothing; it numbers the attempts, keeps the
+//! The decisions in blocking style, for network code: [`Facade::submit`] takes a request,
+//! [`Facade::report`] tells what became of it, [`Facade::fire_timers`] lets time pass. Each is given the
+//! time and returns [`Decisions`]. The facade decides nothing; it numbers the attempts, keeps the
 //! timers, and turns the module's events and actions into words that a caller without knowledge
 //! of them can use.
 
@@ -13,7 +13,7 @@
 
 /// What is to be done about a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Decision {
     /// Send it to this server and stop waiting at `stop_at`.
     Send {
         /// The server.
@@ -40,9 +40,9 @@
 
 /// All that one call brought about.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Verdicts {
+pub struct Decisions {
     /// What to do, request by request, in order.
-    pub requests: Vec<(Id, Verdict)>,
+    pub requests: Vec<(Id, Decision)>,
     /// Servers to probe.
     pub probes: Vec<Id>,
     /// The list of servers must be asked for anew.
@@ -63,13 +63,13 @@
         /// How.
         outcome: Outcome,
         /// Prompt tokens that the server still had.
-        kept_tokens: u64,
+        cached_tokens: u64,
         /// The server's load report, if one came along.
-        load: Option<Load>,
+        load: Option<LoadReport>,
     },
     /// Nobody waits for it any more. The caller says so once for each request, as the last thing;
     /// an attempt that was still out is called off by that.
-    Left,
+    Closed,
 }
 
 /// A request that has not been left, and its latest attempt.
@@ -103,7 +103,7 @@
     }
 
     /// Takes a request; `None` if its id is that of one still open, of which the module knows.
-    pub fn pick(&mut self, now: Micros, query: Query) -> Option<Verdicts> {
+    pub fn submit(&mut self, now: Micros, query: Query) -> Option<Decisions> {
         if self.open.contains_key(&query.id) {
             return None;
         }
@@ -113,31 +113,36 @@
     }
 
     /// Tells what became of a request.
-    pub fn report(&mut self, now: Micros, id: &Id, report: Report) -> Verdicts {
+    pub fn report(&mut self, now: Micros, id: &Id, report: Report) -> Decisions {
         match report {
             Report::Started => self.started(now, id),
-            Report::Ended { outcome, kept_tokens, load } => {
-                let ended = self.result(now, id, outcome, kept_tokens, load);
-                ended.map_or_else(Verdicts::default, |event| self.handle(now, event))
+            Report::Ended { outcome, cached_tokens, load } => {
+                let ended = self.result(now, id, outcome, cached_tokens, load);
+                ended.map_or_else(Decisions::default, |event| self.handle(now, event))
             }
-            Report::Left => self.left(now, id),
+            Report::Closed => self.left(now, id),
         }
     }
 
     /// News of the list of servers.
-    pub fn members(&mut self, now: Micros, form: ListForm, entries: Vec<Entry>) -> Verdicts {
+    pub fn update_servers(
+        &mut self,
+        now: Micros,
+        form: ListUpdateKind,
+        entries: Vec<ServerEntry>,
+    ) -> Decisions {
         self.guard.members(form, &entries);
         self.handle(now, Event::Members { form, entries })
     }
 
     /// The caller is about to stop: answers every request that has not begun to stream.
-    pub fn close(&mut self, now: Micros) -> Verdicts {
+    pub fn close(&mut self, now: Micros) -> Decisions {
         self.guard.closing();
         self.handle(now, Event::Closing)
     }
 
     /// New settings, for requests that come from now on.
-    pub fn reconfigure(&mut self, now: Micros, settings: Settings) -> Verdicts {
+    pub fn reconfigure(&mut self, now: Micros, settings: Settings) -> Decisions {
         self.handle(now, Event::Settings(settings))
     }
 
@@ -172,50 +177,56 @@
     }
 
     /// Servers that requests may go to now.
-    pub fn usable(&self) -> usize {
-        self.router.usable()
+    pub fn usable_servers(&self) -> usize {
+        self.router.usable_servers()
     }
 
     /// The part of what all routers share that is this one's.
-    pub fn share(&mut self, now: Micros, part: f64) -> Verdicts {
-        self.handle(now, Event::Share { part })
+    pub fn set_quota_share(&mut self, now: Micros, part: f64) -> Decisions {
+        self.handle(now, Event::QuotaShare { share: part })
     }
 
     /// A probe came back.
-    pub fn probed(&mut self, now: Micros, server: Id, outcome: Outcome, load: Option<Load>) -> Verdicts {
-        self.handle(now, Event::Probed { server, outcome, load })
+    pub fn probe_ended(
+        &mut self,
+        now: Micros,
+        server: Id,
+        outcome: Outcome,
+        load: Option<LoadReport>,
+    ) -> Decisions {
+        self.handle(now, Event::ProbeEnded { server, outcome, load })
     }
 
-    /// When [`Facade::tick`] is due.
-    pub fn wake_at(&self) -> Option<Micros> {
+    /// When [`Facade::fire_timers`] is due.
+    pub fn next_timer_at(&self) -> Option<Micros> {
         self.bells.first().map(|(at, _)| *at)
     }
 
     /// Rings every timer that is due.
-    pub fn tick(&mut self, now: Micros) -> Verdicts {
-        let mut verdicts = Verdicts::default();
+    pub fn fire_timers(&mut self, now: Micros) -> Decisions {
+        let mut verdicts = Decisions::default();
         while let Some(&(at, token)) = self.bells.first() {
             if at > now {
                 break;
             }
             self.bells.pop_first();
-            self.feed(now, Event::Bell { token }, &mut verdicts);
+            self.feed(now, Event::TimerFired { token }, &mut verdicts);
         }
         verdicts
     }
 
     /// How many entries are kept under ids that others give; it stays bounded however long a day is.
-    pub fn entries(&self) -> usize {
-        self.router.entries() + self.open.len() + self.bells.len()
+    pub fn entry_count(&self) -> usize {
+        self.router.entry_count() + self.open.len() + self.bells.len()
     }
 
-    fn started(&mut self, now: Micros, id: &Id) -> Verdicts {
-        let Some(open) = self.open.get_mut(id) else { return Verdicts::default() };
-        let Some((_, sent)) = &open.out else { return Verdicts::default() };
+    fn started(&mut self, now: Micros, id: &Id) -> Decisions {
+        let Some(open) = self.open.get_mut(id) else { return Decisions::default() };
+        let Some((_, sent)) = &open.out else { return Decisions::default() };
         open.started = true;
         self.guard.answer_began(id);
         let (attempt, elapsed) = (open.attempts - 1, now.saturating_sub(*sent));
-        self.handle(now, Event::Headers { id: id.clone(), attempt, elapsed })
+        self.handle(now, Event::AnswerStarted { id: id.clone(), attempt, elapsed })
     }
 
     /// The end of the attempt that is out, if one is.
@@ -225,26 +236,26 @@
         id: &Id,
         outcome: Outcome,
         kept: u64,
-        load: Option<Load>,
+        load: Option<LoadReport>,
     ) -> Option<Event> {
         let open = self.open.get_mut(id)?;
         let (server, sent) = open.out.take()?;
         self.guard.attempt_ended(id, outcome);
-        Some(Event::Result {
+        Some(Event::AttemptEnded {
             id: id.clone(),
             attempt: open.attempts - 1,
             server,
             outcome,
             elapsed: now.saturating_sub(sent),
-            kept_tokens: kept,
+            cached_tokens: kept,
             finished: open.started || outcome == Outcome::Served,
             load,
         })
     }
 
-    fn left(&mut self, now: Micros, id: &Id) -> Verdicts {
+    fn left(&mut self, now: Micros, id: &Id) -> Decisions {
         let mut verdicts = self.handle(now, Event::ClientGone { id: id.clone() });
-        if let Some(called_off) = self.result(now, id, Outcome::CalledOff, 0, None) {
+        if let Some(called_off) = self.result(now, id, Outcome::Cancelled, 0, None) {
             self.feed(now, called_off, &mut verdicts);
         }
         self.open.remove(id);
@@ -252,13 +263,13 @@
         verdicts
     }
 
-    fn handle(&mut self, now: Micros, event: Event) -> Verdicts {
-        let mut verdicts = Verdicts::default();
+    fn handle(&mut self, now: Micros, event: Event) -> Decisions {
+        let mut verdicts = Decisions::default();
         self.feed(now, event, &mut verdicts);
         verdicts
     }
 
-    fn feed(&mut self, now: Micros, event: Event, verdicts: &mut Verdicts) {
+    fn feed(&mut self, now: Micros, event: Event, verdicts: &mut Decisions) {
         let mut actions = std::mem::take(&mut self.actions);
         self.router.handle(now, event, &mut actions);
         for action in actions.drain(..) {
@@ -267,7 +278,7 @@
         self.actions = actions;
     }
 
-    fn carry(&mut self, now: Micros, action: Action, verdicts: &mut Verdicts) {
+    fn carry(&mut self, now: Micros, action: Action, verdicts: &mut Decisions) {
         let (id, verdict) = match action {
             Action::Send { id, server, stop_at, send_by } => {
                 if let Err(violation) = self.guard.send(now, &id, &server) {
@@ -276,29 +287,29 @@
                 let open = self.open.entry(id.clone()).or_default();
                 open.attempts += 1;
                 open.out = Some((server.clone(), now));
-                (id, Verdict::Send { server, stop_at, send_by })
+                (id, Decision::Send { server, stop_at, send_by })
             }
-            Action::Cancel { id, .. } => (id, Verdict::Cancel),
-            Action::Decline { id, retry_after } => match self.guard.answer(&id, true) {
-                Ok(()) => (id, Verdict::Refuse { retry_after }),
+            Action::Cancel { id, .. } => (id, Decision::Cancel),
+            Action::Refuse { id, retry_after } => match self.guard.answer(&id, true) {
+                Ok(()) => (id, Decision::Refuse { retry_after }),
                 Err(violation) => {
                     verdicts.violations.push((id.clone(), violation));
                     if violation == Violation::SecondAnswer {
                         return;
                     }
                     // It promises nothing.
-                    (id, Verdict::Fail)
+                    (id, Decision::Fail)
                 }
             },
             Action::Fail { id } => match self.guard.answer(&id, false) {
-                Ok(()) => (id, Verdict::Fail),
+                Ok(()) => (id, Decision::Fail),
                 Err(violation) => return verdicts.violations.push((id, violation)),
             },
-            Action::DropState { id } => (id, Verdict::Release),
-            Action::Move { id } => (id, Verdict::Move),
+            Action::ReleaseCache { id } => (id, Decision::Release),
+            Action::MoveStream { id } => (id, Decision::Move),
             Action::Probe { server } => return verdicts.probes.push(server),
             Action::Watch => return verdicts.watch = true,
-            Action::Timer { delay, token } => {
+            Action::SetTimer { delay, token } => {
                 self.bells.insert((now + delay, token));
                 return;
             }
@@ -308,14 +319,22 @@
     }
 
     /// An attempt that would break a rule does not go out; to the decisions it has ended as never sent.
-    fn withhold(&mut self, now: Micros, id: Id, server: Id, violation: Violation, verdicts: &mut Verdicts) {
+    fn withhold(&mut self, now: Micros, id: Id, server: Id, violation: Violation, verdicts: &mut Decisions) {
         verdicts.violations.push((id.clone(), violation));
         let Some(open) = self.open.get_mut(&id) else { return };
         open.attempts += 1;
         let (attempt, outcome) = (open.attempts - 1, Outcome::NotSent);
         let finished = open.started;
-        let event =
-            Event::Result { id, attempt, server, outcome, elapsed: 0, kept_tokens: 0, finished, load: None };
+        let event = Event::AttemptEnded {
+            id,
+            attempt,
+            server,
+            outcome,
+            elapsed: 0,
+            cached_tokens: 0,
+            finished,
+            load: None,
+        };
         self.feed(now, event, verdicts);
     }
 }
--- a/src/guard.rs
+++ b/src/guard.rs
@@ -16,25 +16,25 @@
 pub enum Violation {
     /// Another attempt of the request is out.
     #[error("an attempt is out already")]
-    TwoOut,
+    ConcurrentAttempts,
     /// The request has its final answer, or its client has gone.
     #[error("sent after the request's end")]
     AfterEnd,
     /// The request has used up its attempts.
     #[error("more attempts than the class allows")]
-    TooMany,
+    TooManyAttempts,
     /// An attempt may have run, and the class allows no repeat there or then.
     #[error("a repeat that may take effect twice")]
-    Repeat,
+    UnsafeRepeat,
     /// The server drains, has gone or was never listed.
     #[error("sent to a server that takes nothing new")]
-    ClosedServer,
+    ServerNotAccepting,
     /// The request has its final answer.
     #[error("a second final answer")]
     SecondAnswer,
     /// Refused, though it may have run.
     #[error("refused although it may have run")]
-    Refused,
+    UnsafeRefusal,
     /// The conductor closes.
     #[error("begun after the conductor began to close")]
     Closing,
@@ -44,13 +44,13 @@
     /// The rule as it stands in figures.
     pub fn label(self) -> &'static str {
         match self {
-            Violation::TwoOut => "two_out",
+            Violation::ConcurrentAttempts => "two_out",
             Violation::AfterEnd => "after_end",
-            Violation::TooMany => "too_many_attempts",
-            Violation::Repeat => "repeat",
-            Violation::ClosedServer => "closed_server",
+            Violation::TooManyAttempts => "too_many_attempts",
+            Violation::UnsafeRepeat => "repeat",
+            Violation::ServerNotAccepting => "closed_server",
             Violation::SecondAnswer => "second_answer",
-            Violation::Refused => "refused",
+            Violation::UnsafeRefusal => "refused",
             Violation::Closing => "closing",
         }
     }
@@ -95,14 +95,14 @@
     }
 
     /// News of the list.
-    pub fn members(&mut self, form: ListForm, entries: &[Entry]) {
-        if matches!(form, ListForm::Full | ListForm::WarmCopy) {
+    pub fn members(&mut self, form: ListUpdateKind, entries: &[ServerEntry]) {
+        if matches!(form, ListUpdateKind::Full | ListUpdateKind::StaleCopy) {
             self.open.clear();
             self.places.clear();
         }
         for entry in entries {
-            let decodes = self.roles.get(entry.kind).is_none_or(|role| *role != Role::Read);
-            let place = Place { zone: entry.zone, cell: entry.cell, decodes, started: entry.started };
+            let decodes = self.roles.get(entry.kind).is_none_or(|role| *role != Role::Prefill);
+            let place = Place { zone: entry.zone, cell: entry.rack, decodes, started: entry.started };
             match entry.health {
                 Health::Up => {
                     self.open.insert(entry.server.clone());
@@ -134,7 +134,7 @@
             attempts: 0,
             out: None,
             ran: None,
-            came_back: query.came_back,
+            came_back: query.resumes_stream,
             ended: false,
         };
         self.requests.insert(query.id.clone(), account);
@@ -178,16 +178,16 @@
             return Err(Violation::AfterEnd);
         }
         if account.out.is_some() {
-            return Err(Violation::TwoOut);
+            return Err(Violation::ConcurrentAttempts);
         }
         if account.attempts >= account.max_attempts {
-            return Err(Violation::TooMany);
+            return Err(Violation::TooManyAttempts);
         }
         if !self.open.contains(server) {
-            return Err(Violation::ClosedServer);
+            return Err(Violation::ServerNotAccepting);
         }
         if !account.may_repeat(now, place) {
-            return Err(Violation::Repeat);
+            return Err(Violation::UnsafeRepeat);
         }
         account.attempts += 1;
         account.out = Some((place, now));
@@ -202,7 +202,7 @@
         }
         account.ended = true;
         match refused && !account.may_be_refused() {
-            true => Err(Violation::Refused),
+            true => Err(Violation::UnsafeRefusal),
             false => Ok(()),
         }
     }
@@ -216,9 +216,9 @@
             Effect::Unsafe => false,
             Effect::Keyed { scope, window } => {
                 let same = match (scope, first, to) {
-                    (Scope::All, ..) => true,
-                    (Scope::Zone, Some(first), Some(to)) => first.zone == to.zone,
-                    (Scope::Cell, Some(first), Some(to)) => first.cell == to.cell,
+                    (DedupScope::All, ..) => true,
+                    (DedupScope::Zone, Some(first), Some(to)) => first.zone == to.zone,
+                    (DedupScope::Rack, Some(first), Some(to)) => first.cell == to.cell,
                     _ => false,
                 };
                 same && now < sent + window
@@ -229,7 +229,7 @@
     /// What is out at a server that decodes may run yet.
     fn may_be_refused(&self) -> bool {
         let out = self.out.is_some_and(|(place, _)| place.is_none_or(|place| place.decodes));
-        let harmless = matches!(self.effect, Effect::Safe | Effect::Keyed { scope: Scope::All, .. });
+        let harmless = matches!(self.effect, Effect::Safe | Effect::Keyed { scope: DedupScope::All, .. });
         harmless || (self.ran.is_none() && !out && !self.came_back)
     }
 }
