--- a/src/interface.rs
+++ b/src/interface.rs
@@ -14,22 +14,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// Prefill only.
-    Read,
+    Prefill,
     /// Decode only.
-    Write,
+    Decode,
     /// Prefill and decode.
-    Both,
+    Mixed,
 }
 
 /// The servers that together drop repeats of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Scope {
+pub enum DedupScope {
     /// Every server.
     All,
     /// The servers of one zone.
     Zone,
     /// The servers of one cell.
-    Cell,
+    Rack,
 }
 
 /// What a repeat of a request of some class would do.
@@ -40,7 +40,7 @@
     /// Repeats are dropped within `scope`, for `window` after the first send that may have run.
     Keyed {
         /// The group that remembers.
-        scope: Scope,
+        scope: DedupScope,
         /// For how long.
         window: Micros,
     },
@@ -54,13 +54,13 @@
     /// Answered to the end.
     Served,
     /// The prompt is read; the state waits at the reader.
-    ReadDone,
+    PrefillDone,
     /// The server returned an error; it may have run.
     Failed,
     /// Turned away for want of room; it never ran.
-    TurnedAway,
+    Rejected,
     /// Turned away because no state was there to fetch; it never ran.
-    StateLost,
+    CacheMissing,
     /// No answer in time; it may have run or may still.
     NoAnswer,
     /// No connection; it never ran.
@@ -71,7 +71,7 @@
     /// tells of the connection's age rather than of the server.
     StaleConnection,
     /// Cancelled; it may have run.
-    CalledOff,
+    Cancelled,
     /// Never sent.
     NotSent,
 }
@@ -80,7 +80,7 @@
     /// Whether it proves that the attempt never ran; a read has no effect, however it ends.
     pub fn never_ran(self) -> bool {
         use Outcome::*;
-        matches!(self, TurnedAway | StateLost | NoConnection | NotSent | ReadDone)
+        matches!(self, Rejected | CacheMissing | NoConnection | NotSent | PrefillDone)
     }
 }
 
@@ -97,24 +97,24 @@
 
 /// What kind of report on the list of servers this is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListForm {
+pub enum ListUpdateKind {
     /// Only what changed.
     Changes,
     /// All of it; a server that is missing is gone.
     Full,
     /// All of it as last held, maybe stale.
-    WarmCopy,
+    StaleCopy,
     /// A call or the subscription failed; the old list stands.
-    Lost,
+    SourceUnavailable,
 }
 
 /// One line of the list of servers.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Entry {
+pub struct ServerEntry {
     /// The server.
     pub server: Id,
     /// Its cell (rack).
-    pub cell: u64,
+    pub rack: u64,
     /// Its kind, an index into [`Settings::roles`].
     pub kind: usize,
     /// Its zone.
@@ -127,7 +127,7 @@
 
 /// A server's own report of its load; a hint, late and noisy.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Load {
+pub struct LoadReport {
     /// Share of its memory that is held.
     pub memory: Option<f64>,
     /// Prompt tokens waiting to be read or fetched, in thousands.
@@ -142,19 +142,19 @@
 
 /// A class of requests. Each request holds its own, so that new settings change nothing for open ones.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Class {
+pub struct RequestClass {
     /// Its name.
     pub name: Id,
     /// Attempts allowed for one request.
     pub max_attempts: u32,
     /// The first token is wanted within this time.
-    pub aim: Micros,
+    pub first_token_target: Micros,
     /// What each 1,000 prompt tokens add to the aim.
-    pub aim_per_ktoken: Micros,
+    pub first_token_target_per_ktoken: Micros,
     /// The client's whole patience, over all its tries.
     pub deadline: Micros,
     /// Wanted time between tokens.
-    pub token_aim: Micros,
+    pub inter_token_target: Micros,
     /// What a repeat would do.
     pub effect: Effect,
     /// Worth of an answer in time.
@@ -176,23 +176,23 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
     /// How many routers there are.
-    pub balancers: u32,
+    pub conductors: u32,
     /// This router's zone.
     pub zone: usize,
     /// Shortest time between two calls.
-    pub tick: Micros,
+    pub min_call_interval: Micros,
     /// The role of each kind.
     pub roles: Vec<Role>,
     /// Memory of each kind, in tokens; 0 where not known.
     pub memory_tokens: Vec<u64>,
     /// The classes.
-    pub classes: Vec<Arc<Class>>,
+    pub classes: Vec<Arc<RequestClass>>,
     /// The customers; may be none.
     pub tenants: Vec<Tenant>,
     /// What a request beyond its customer's quota is worth.
-    pub over_share_worth: f64,
+    pub over_quota_worth: f64,
     /// Two attempts of one request may be out at a time.
-    pub parallel_tries: bool,
+    pub parallel_attempts: bool,
     /// An attempt may be cancelled.
     pub may_cancel: bool,
     /// Servers may be probed.
@@ -202,29 +202,29 @@
     /// Advice to stay away reaches clients, up to this long; 0 where it does not.
     pub max_retry_after: Micros,
     /// A writer reads a prompt itself when there is no state.
-    pub self_prefill: bool,
+    pub decode_can_prefill: bool,
     /// A broken or moved stream goes on from its last token.
     pub resume: bool,
     /// A state or place must be taken or let go within this time.
-    pub release: Micros,
+    pub cache_release_timeout: Micros,
     /// A connection that has not come up within this time never will.
     pub connect_timeout: Micros,
     /// A server closes a connection that has been idle this long, or earlier.
-    pub conn_idle: Micros,
+    pub connection_idle_timeout: Micros,
     /// Slack after a client's deadline within which a final answer counts.
     pub answer_slack: Micros,
     /// Nothing may go to a server later than this after it is known to drain.
     pub drain_grace: Micros,
     /// A server starts with at least this share of its capacity.
-    pub cold_from: f64,
+    pub slow_start_initial_share: f64,
     /// It is warm within this time.
-    pub warm_within: Micros,
+    pub slow_start_duration: Micros,
     /// It falls over beyond this multiple of what it can do,
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// kept up for this long.
-    pub fall: Micros,
+    pub overload_duration: Micros,
     /// Where the list of servers must be asked for: ask at least this often. `None`: it is pushed.
-    pub ask_within: Option<Micros>,
+    pub list_poll_interval: Option<Micros>,
 }
 
 /// A client's request.
@@ -243,15 +243,15 @@
     /// Most tokens that the answer may have.
     pub max_tokens: u64,
     /// Its class, as the settings had it when the request came.
-    pub class: Arc<Class>,
+    pub class: Arc<RequestClass>,
     /// Its customer.
     pub tenant: Option<usize>,
     /// Time left before the client gives this try up.
     pub budget: Micros,
     /// A repeat by the client.
-    pub resent: bool,
+    pub is_client_retry: bool,
     /// Back after a broken or moved stream.
-    pub came_back: bool,
+    pub resumes_stream: bool,
 }
 
 /// What has happened.
@@ -260,14 +260,14 @@
     /// News of the list of servers.
     Members {
         /// What kind of news.
-        form: ListForm,
+        form: ListUpdateKind,
         /// The lines.
-        entries: Vec<Entry>,
+        entries: Vec<ServerEntry>,
     },
     /// A client asks.
     Query(Query),
     /// An answer has started to stream.
-    Headers {
+    AnswerStarted {
         /// The request.
         id: Id,
         /// Which attempt, from 0.
@@ -276,7 +276,7 @@
         elapsed: Micros,
     },
     /// An attempt has ended.
-    Result {
+    AttemptEnded {
         /// The request.
         id: Id,
         /// Which attempt, from 0.
@@ -288,20 +288,20 @@
         /// Time since the send.
         elapsed: Micros,
         /// Prompt tokens that the server still had.
-        kept_tokens: u64,
+        cached_tokens: u64,
         /// The request has its final answer.
         finished: bool,
         /// The server's load report, if one came along.
-        load: Option<Load>,
+        load: Option<LoadReport>,
     },
     /// A place asked for ahead was held or not.
-    Place {
+    SlotReservation {
         /// The request.
         id: Id,
         /// The server.
         server: Id,
         /// Held.
-        held: bool,
+        reserved: bool,
     },
     /// The client has left, or its time is up.
     ClientGone {
@@ -309,25 +309,25 @@
         id: Id,
     },
     /// A probe came back.
-    Probed {
+    ProbeEnded {
         /// The server.
         server: Id,
         /// How it ended.
         outcome: Outcome,
         /// The server's load report, if one came along.
-        load: Option<Load>,
+        load: Option<LoadReport>,
     },
     /// This router's part of what all routers share has changed: of 1, and never 0.
-    Share {
+    QuotaShare {
         /// The part.
-        part: f64,
+        share: f64,
     },
     /// New settings, for all that comes from now on.
     Settings(Settings),
     /// The router is about to stop: each request that has not begun to stream is owed its answer now.
     Closing,
     /// A timer that was asked for.
-    Bell {
+    TimerFired {
         /// Its token.
         token: u64,
     },
@@ -355,7 +355,7 @@
         attempt: u32,
     },
     /// Final answer: refused, trying again is harmless.
-    Decline {
+    Refuse {
         /// The request.
         id: Id,
         /// How long the client should stay away; 0 for no advice.
@@ -367,12 +367,12 @@
         id: Id,
     },
     /// Let go of every state and place held for the request.
-    DropState {
+    ReleaseCache {
         /// The request.
         id: Id,
     },
     /// End a running stream; its client comes back and goes on.
-    Move {
+    MoveStream {
         /// The request.
         id: Id,
     },
@@ -384,7 +384,7 @@
     /// Subscribe to the list of servers.
     Watch,
     /// Ring after `delay`.
-    Timer {
+    SetTimer {
         /// From now.
         delay: Micros,
         /// Comes back with the bell.
@@ -394,16 +394,16 @@
     Log(String),
 }
 
-impl Class {
+impl RequestClass {
     /// A class whose repeats are harmless, for examples and tests.
     pub fn example() -> Self {
-        Class {
+        RequestClass {
             name: "ask".into(),
             max_attempts: 4,
-            aim: 1_000_000,
-            aim_per_ktoken: 50_000,
+            first_token_target: 1_000_000,
+            first_token_target_per_ktoken: 50_000,
             deadline: 5_000_000,
-            token_aim: 60_000,
+            inter_token_target: 60_000,
             effect: Effect::Safe,
             worth: 1.0,
             late_share: 0.2,
@@ -411,15 +411,15 @@
     }
 }
 
-impl Default for Class {
+impl Default for RequestClass {
     fn default() -> Self {
-        Class::example()
+        RequestClass::example()
     }
 }
 
 impl Settings {
     /// The class of this name.
-    pub fn class(&self, name: &str) -> Option<Arc<Class>> {
+    pub fn class(&self, name: &str) -> Option<Arc<RequestClass>> {
         self.classes.iter().find(|class| &*class.name == name).cloned()
     }
 
@@ -436,31 +436,31 @@
     /// A small fleet of readers, writers and mixed servers with one class, for examples and tests.
     pub fn example() -> Self {
         Settings {
-            balancers: 1,
+            conductors: 1,
             zone: 0,
-            tick: 1_000,
-            roles: vec![Role::Read, Role::Write, Role::Both],
+            min_call_interval: 1_000,
+            roles: vec![Role::Prefill, Role::Decode, Role::Mixed],
             memory_tokens: vec![200_000; 3],
-            classes: vec![Arc::new(Class::example())],
+            classes: vec![Arc::new(RequestClass::example())],
             tenants: Vec::new(),
-            over_share_worth: 1.0,
-            parallel_tries: false,
+            over_quota_worth: 1.0,
+            parallel_attempts: false,
             may_cancel: true,
             may_probe: false,
             may_hold: false,
             max_retry_after: 0,
-            self_prefill: false,
+            decode_can_prefill: false,
             resume: false,
-            release: 500_000,
+            cache_release_timeout: 500_000,
             connect_timeout: 250_000,
-            conn_idle: 30_000_000,
+            connection_idle_timeout: 30_000_000,
             answer_slack: 10_000,
             drain_grace: 500_000,
-            cold_from: 0.25,
-            warm_within: 10_000_000,
-            fall_multiple: 2.5,
-            fall: 1_000_000,
-            ask_within: None,
+            slow_start_initial_share: 0.25,
+            slow_start_duration: 10_000_000,
+            overload_multiple: 2.5,
+            overload_duration: 1_000_000,
+            list_poll_interval: None,
         }
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -5,25 +5,25 @@
 //! back, in order. It keeps no clock: time is what the caller says.
 //!
 //! ```
-//! use frosttrail::{Action, Entry, Event, Health, ListForm, Query, Role, Router, Settings};
+//! use frosttrail::{Action, Event, Health, ListUpdateKind, Query, Role, Router, ServerEntry, Settings};
 //!
 //! let settings = Settings {
-//!     roles: vec![Role::Read, Role::Write],
+//!     roles: vec![Role::Prefill, Role::Decode],
 //!     memory_tokens: vec![200_000, 150_000],
 //!     ..Settings::example()
 //! };
 //! let mut router = Router::new(settings, 7);
 //! let mut actions = Vec::new();
-//! let server = |name: &str, kind| Entry {
+//! let server = |name: &str, kind| ServerEntry {
 //!     server: name.into(),
-//!     cell: 0,
+//!     rack: 0,
 //!     kind,
 //!     zone: 0,
 //!     started: 0,
 //!     health: Health::Up,
 //! };
 //! let entries = vec![server("10.0.0.1:9000", 0), server("10.0.0.2:9000", 1)];
-//! router.handle(1_000, Event::Members { form: ListForm::Full, entries }, &mut actions);
+//! router.handle(1_000, Event::Members { form: ListUpdateKind::Full, entries }, &mut actions);
 //! let query = Query {
 //!     id: "request-1".into(),
 //!     session: "session-1".into(),
@@ -34,8 +34,8 @@
 //!     class: Default::default(),
 //!     tenant: None,
 //!     budget: 5_000_000,
-//!     resent: false,
-//!     came_back: false,
+//!     is_client_retry: false,
+//!     resumes_stream: false,
 //! };
 //! router.handle(2_000, Event::Query(query), &mut actions);
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { .. })));
@@ -53,7 +53,7 @@
 mod scheduler;
 pub mod setup;
 
-pub use facade::{Facade, Report, Verdict, Verdicts};
+pub use facade::{Decision, Decisions, Facade, Report};
 pub use guard::{Guard, Violation};
 pub use interface::*;
 pub use scheduler::handover::{OpenWork, Snapshot};
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -198,8 +198,8 @@
     /// A router that knows no server yet.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let quotas = settings.tenants.iter().map(|t| (t.quota_per_s, 0)).collect();
-        let watch_at = settings.ask_within.map(|_| 0);
-        let routers = f64::from(settings.balancers);
+        let watch_at = settings.list_poll_interval.map(|_| 0);
+        let routers = f64::from(settings.conductors);
         let pace = [100.0, 50.0, 150.0];
         Router { settings, seed, pace, quotas, watch_at, routers, ..Router::default() }
     }
@@ -214,15 +214,15 @@
         match event {
             Event::Members { form, entries } => self.members(form, entries, out),
             Event::Query(query) => self.query(query, out),
-            Event::Headers { id, attempt, elapsed } => self.headers(&id, attempt, elapsed),
-            Event::Result { id, attempt, outcome, elapsed, kept_tokens, finished, .. } => {
-                self.result(&id, attempt, outcome, elapsed, kept_tokens, finished, out);
+            Event::AnswerStarted { id, attempt, elapsed } => self.headers(&id, attempt, elapsed),
+            Event::AttemptEnded { id, attempt, outcome, elapsed, cached_tokens, finished, .. } => {
+                self.result(&id, attempt, outcome, elapsed, cached_tokens, finished, out);
             }
             Event::ClientGone { id } => self.end(&id, false, out),
             Event::Closing => self.close(out),
             Event::Settings(settings) => self.reconfigure(settings),
-            Event::Share { part } => self.routers = 1.0 / part.clamp(1e-6, 1.0),
-            Event::Bell { token } if token == self.bell => {
+            Event::QuotaShare { share: part } => self.routers = 1.0 / part.clamp(1e-6, 1.0),
+            Event::TimerFired { token } if token == self.bell => {
                 self.sweep(out);
                 self.ring(out);
                 // Hundreds of routers ring often; what time alone opens can wait a little there.
@@ -230,14 +230,14 @@
                     return;
                 }
             }
-            Event::Probed { server, outcome, load } => self.probed(&server, outcome, load, out),
-            Event::Place { .. } | Event::Bell { .. } => {}
+            Event::ProbeEnded { server, outcome, load } => self.probed(&server, outcome, load, out),
+            Event::SlotReservation { .. } | Event::TimerFired { .. } => {}
         }
         self.release(out);
     }
 
     /// A reader says what all routers together have there.
-    fn probed(&mut self, id: &Id, outcome: Outcome, load: Option<Load>, out: &mut Vec<Action>) {
+    fn probed(&mut self, id: &Id, outcome: Outcome, load: Option<LoadReport>, out: &mut Vec<Action>) {
         let Some(&w) = self.index.get(id) else { return };
         self.servers[w].asked = false;
         self.servers[w].said = self.now;
@@ -266,18 +266,20 @@
 
     fn ring(&mut self, out: &mut Vec<Action>) {
         self.bell += 1;
-        out.push(Action::Timer { delay: SWEEP.max(self.settings.tick), token: self.bell });
+        out.push(Action::SetTimer { delay: SWEEP.max(self.settings.min_call_interval), token: self.bell });
     }
 
     // The list of servers.
 
-    fn members(&mut self, form: ListForm, entries: Vec<Entry>, out: &mut Vec<Action>) {
+    fn members(&mut self, form: ListUpdateKind, entries: Vec<ServerEntry>, out: &mut Vec<Action>) {
         match form {
-            ListForm::Lost if self.settings.ask_within.is_some() => {
+            ListUpdateKind::SourceUnavailable if self.settings.list_poll_interval.is_some() => {
                 self.watch_at = Some(self.now + OPEN_FIRST);
             }
             // A complete list that lacks a server means that it is gone.
-            ListForm::Full | ListForm::WarmCopy => self.servers.iter_mut().for_each(|w| w.up = false),
+            ListUpdateKind::Full | ListUpdateKind::StaleCopy => {
+                self.servers.iter_mut().for_each(|w| w.up = false)
+            }
             _ => {}
         }
         let mut restarted = Vec::new();
@@ -293,7 +295,7 @@
                 self.servers[w] = Server { hash, id, kind, role: stage_of(role), ..Server::default() };
             }
             let server = &mut self.servers[w];
-            (server.up, server.cell, server.zone) = (entry.health == Health::Up, entry.cell, entry.zone);
+            (server.up, server.cell, server.zone) = (entry.health == Health::Up, entry.rack, entry.zone);
             if known.is_none() || entry.started > server.started {
                 server.started = entry.started;
                 (server.fails, server.open_until) = (0, 0);
@@ -341,10 +343,11 @@
         }
         let class = &query.class;
         let per_token = |us: Micros| us.saturating_mul(query.prompt_tokens) / 1_000;
-        let deadline = class.deadline + 2 * per_token(class.aim_per_ktoken);
+        let deadline = class.deadline + 2 * per_token(class.first_token_target_per_ktoken);
         // A repeat has waited before: what its client has left of its patience tells how long.
-        let waited = if query.resent { deadline.saturating_sub(query.budget) } else { 0 };
-        let aim = (class.aim + per_token(class.aim_per_ktoken)).saturating_sub(waited);
+        let waited = if query.is_client_retry { deadline.saturating_sub(query.budget) } else { 0 };
+        let aim = (class.first_token_target + per_token(class.first_token_target_per_ktoken))
+            .saturating_sub(waited);
         let over_quota = query.tenant.is_some_and(|t| self.over_quota(t));
         let request = Request {
             key: hash(query.prefix.as_ref().unwrap_or(&query.session), 0),
@@ -414,26 +417,26 @@
         let released_beside = request.released_beside.take();
         // Heard of meanwhile, so that the attempt is likely to have arrived.
         let alive = self.servers[w].pending.is_some_and(|pending| pending > sent);
-        if outcome == Outcome::TurnedAway || (alive && outcome == Outcome::NoAnswer) {
+        if outcome == Outcome::Rejected || (alive && outcome == Outcome::NoAnswer) {
             request.state = request.state.or(released_beside.map(|at| (at, self.now)));
         }
-        request.holds |= reading && (outcome == Outcome::ReadDone || !outcome.never_ran());
-        if outcome == Outcome::ReadDone {
+        request.holds |= reading && (outcome == Outcome::PrefillDone || !outcome.never_ran());
+        if outcome == Outcome::PrefillDone {
             (request.phase, request.state) = (Phase::Read, Some((w, self.now)));
         } else if (phase == Phase::Reading && request.holds)
-            || matches!(outcome, Outcome::StateLost | Outcome::Failed)
+            || matches!(outcome, Outcome::CacheMissing | Outcome::Failed)
             || (released_beside.is_some() && request.state.is_none() && outcome != Outcome::Served)
         {
             // A reader that broke off or is cut off from the writer may still hold the state. A writer that
             // answered, though badly, had fetched it: another would only turn the request away.
             request.state = None;
-            out.push(Action::DropState { id: id.clone() });
-        } else if outcome == Outcome::TurnedAway {
+            out.push(Action::ReleaseCache { id: id.clone() });
+        } else if outcome == Outcome::Rejected {
             // Only an answer proves that the attempt had arrived and had taken what is held until then.
             request.state.iter_mut().for_each(|state| state.1 = self.now);
         }
         request.since = self.now;
-        request.crowded |= matches!(outcome, Outcome::TurnedAway | Outcome::NoAnswer);
+        request.crowded |= matches!(outcome, Outcome::Rejected | Outcome::NoAnswer);
         let server = &mut self.servers[w];
         let open = server.fails >= TRIP;
         server.silent -= u32::from(std::mem::take(&mut request.silent));
@@ -442,16 +445,16 @@
         *count = count.saturating_sub(1);
         self.index_server(w);
         match outcome {
-            Outcome::ReadDone => self.succeeded(id, w, stage, elapsed, prompt.saturating_sub(kept)),
-            Outcome::Served | Outcome::StateLost => self.heard(w),
-            Outcome::TurnedAway => {
+            Outcome::PrefillDone => self.succeeded(id, w, stage, elapsed, prompt.saturating_sub(kept)),
+            Outcome::Served | Outcome::CacheMissing => self.heard(w),
+            Outcome::Rejected => {
                 // Full: others send there too. It rests, longer each time in a row, so that no herd returns.
                 let rest = self.spread((FULL_REST << self.servers[w].full.min(6)).min(REST_MOST), w);
                 let server = &mut self.servers[w];
                 (server.full, server.rest) = (server.full + 1, self.now + rest);
                 self.heard(w);
             }
-            Outcome::CalledOff | Outcome::NotSent | Outcome::StaleConnection => {}
+            Outcome::Cancelled | Outcome::NotSent | Outcome::StaleConnection => {}
             Outcome::NoAnswer if cut => {}
             Outcome::NoAnswer => {
                 // A wait that was given up is a sample too: when all are slow, waits grow longer.
@@ -472,7 +475,7 @@
             return;
         }
         let Some(request) = self.requests.get_mut(id) else { return };
-        if outcome != Outcome::ReadDone {
+        if outcome != Outcome::PrefillDone {
             if outcome != Outcome::StaleConnection {
                 request.failed.push(w);
             }
@@ -497,11 +500,12 @@
             return;
         }
         // What is not read yet wants a reader and a writer, where nobody does both.
-        let whole = self.settings.self_prefill || !self.listed(Stage::Whole).is_empty();
+        let whole = self.settings.decode_can_prefill || !self.listed(Stage::Whole).is_empty();
         let steps = if request.phase == Phase::Held && !whole { 2 } else { 1 };
         let spent = request.attempts + steps > request.query.class.max_attempts;
         let waited = self.now > request.since;
-        let held = (waited || self.now < self.shed + request.query.class.aim) && self.hopeless(request);
+        let held = (waited || self.now < self.shed + request.query.class.first_token_target)
+            && self.hopeless(request);
         let late = self.closing || self.now + self.margin() >= request.deadline || held;
         let stuck = matches!((request.query.class.effect, request.ran), (Effect::Unsafe, Some(_)));
         if spent || late || stuck {
@@ -513,7 +517,7 @@
             if let Some(w) = self.pick_writer(request).filter(|_| !pinned) {
                 self.send(id, w, out);
             } else if pinned {
-                out.push(Action::DropState { id: id.clone() });
+                out.push(Action::ReleaseCache { id: id.clone() });
                 let Some(request) = self.requests.get_mut(id) else { return };
                 (request.phase, request.state) = (Phase::Held, None);
                 self.held.insert(id.clone());
@@ -538,7 +542,7 @@
         let tokens = if reading { self.cost(query, w) } else { footprint(query) };
         let last = request.attempts + 1 >= query.class.max_attempts;
         let limit = self.patience(stage, query.prompt_tokens, PATIENCE).max(PATIENCE_FLOOR);
-        let latest = request.deadline.saturating_sub(self.settings.tick + 1_000);
+        let latest = request.deadline.saturating_sub(self.settings.min_call_interval + 1_000);
         let half = self.now + (latest.saturating_sub(self.now)) * 6 / 10;
         let stop_at =
             if last { latest } else { (self.now + limit).min(half.max(self.now + limit / 2)).min(latest) };
@@ -574,8 +578,8 @@
         if owed {
             let class = &request.query.class;
             // A client that is back for the rest of a stream had it from an attempt that did run.
-            let harmless = (request.ran.is_none() && !request.query.came_back)
-                || matches!(class.effect, Effect::Safe | Effect::Keyed { scope: Scope::All, .. });
+            let harmless = (request.ran.is_none() && !request.query.resumes_stream)
+                || matches!(class.effect, Effect::Safe | Effect::Keyed { scope: DedupScope::All, .. });
             // Those that are refused together must not come back together.
             let spread = 0.5 + 0.5 * share_of(hash(id, self.seed));
             // One whose attempts went wrong met no backlog: it may be in time if it comes back soon.
@@ -583,12 +587,12 @@
             let most = self.settings.max_retry_after.min(if spent { SPENT_RETRY } else { Micros::MAX });
             let retry_after = (most as f64 * spread) as Micros;
             let id = id.clone();
-            out.push(if harmless { Action::Decline { id, retry_after } } else { Action::Fail { id } });
+            out.push(if harmless { Action::Refuse { id, retry_after } } else { Action::Fail { id } });
         }
         if request.out.is_none() {
             // Whatever waits for it anywhere goes now; a stream that began has let go of the rest.
             if request.attempts > 0 && request.phase != Phase::Streaming {
-                out.push(Action::DropState { id: id.clone() });
+                out.push(Action::ReleaseCache { id: id.clone() });
             }
             self.requests.remove(id);
             return;
@@ -619,7 +623,7 @@
     /// quota that comes early. Harms where late answers are worth much and few others wait.
     fn hopeless(&self, r: &Request) -> bool {
         let patience = (r.deadline - r.arrived) as f64 * SURPLUS_SHARE;
-        let little = r.over_quota && self.settings.over_share_worth < 1.0;
+        let little = r.over_quota && self.settings.over_quota_worth < 1.0;
         let surplus = little && self.now >= r.arrived + patience as Micros;
         r.phase == Phase::Held && (surplus || self.now >= self.last_start(r))
     }
@@ -634,7 +638,7 @@
 
     /// Time before a deadline in which nothing can be won any more.
     fn margin(&self) -> Micros {
-        2 * self.settings.tick + SWEEP
+        2 * self.settings.min_call_interval + SWEEP
     }
 
     /// Tokens that this server is likely to read: it keeps a session's last prompt, if it read it, and
@@ -669,7 +673,7 @@
 
     /// What is held for so long is let go, so that the release has time of its own.
     fn release_by(&self) -> Micros {
-        (self.settings.release as f64 * UNHEARD_SHARE) as Micros
+        (self.settings.cache_release_timeout as f64 * UNHEARD_SHARE) as Micros
     }
 
     /// Lets go of what is held for attempts that may never have arrived, in time for the rule.
@@ -679,7 +683,7 @@
             let unheard = request.phase == Phase::Writing && request.silent;
             if unheard && request.state.is_some_and(|(_, since)| self.now >= since + limit) {
                 request.released_beside = request.state.take().map(|state| state.0);
-                out.push(Action::DropState { id: id.clone() });
+                out.push(Action::ReleaseCache { id: id.clone() });
             }
         }
     }
--- a/src/scheduler/candidates.rs
+++ b/src/scheduler/candidates.rs
@@ -139,9 +139,9 @@
             (Effect::Keyed { scope, window }, Some((first, sent))) => {
                 let first = &self.servers[first];
                 let group = match scope {
-                    Scope::All => true,
-                    Scope::Zone => first.zone == server.zone,
-                    Scope::Cell => first.cell == server.cell,
+                    DedupScope::All => true,
+                    DedupScope::Zone => first.zone == server.zone,
+                    DedupScope::Rack => first.cell == server.cell,
                 };
                 group && self.now + self.settings.connect_timeout < sent + window
             }
--- a/src/scheduler/fleet_index.rs
+++ b/src/scheduler/fleet_index.rs
@@ -75,7 +75,7 @@
 
 impl Router {
     /// How many looks at single servers the decisions have taken since the start: what an event costs.
-    pub fn looks(&self) -> u64 {
+    pub fn scan_count(&self) -> u64 {
         self.fleet.looks()
     }
 
@@ -150,7 +150,7 @@
     /// What a warm server of a role takes from here on average, a second.
     pub(super) fn warm_rate(&self, role: Stage) -> f64 {
         *self.fleet.warm_rates[role as usize].get_or_init(|| {
-            let warm = |v: &&Server| v.started + self.settings.warm_within < self.now;
+            let warm = |v: &&Server| v.started + self.settings.slow_start_duration < self.now;
             let warm = self.listed(role).iter().map(|&v| &self.servers[v]).filter(warm);
             let rates = warm.map(|v| decay(v.rate, self.now - v.rate_at));
             let (sum, count) = rates.fold((0.0, 0.0_f64), |(s, n), rate| (s + rate, n + 1.0));
--- a/src/scheduler/health.rs
+++ b/src/scheduler/health.rs
@@ -88,7 +88,7 @@
             let all = self.now + rest(usual, self.part(WAIT_SLOTS) * self.listed(role).len() as f64);
             self.ready[role as usize] = self.ready[role as usize].max(all);
         }
-        let aim = self.settings.classes.iter().map(|c| c.aim).min().unwrap_or(0);
+        let aim = self.settings.classes.iter().map(|c| c.first_token_target).min().unwrap_or(0);
         if elapsed as f64 > aim as f64 * REST_AIM {
             self.servers[w].rest = self.servers[w].rest.max(self.now + rest(elapsed, self.part(READ_SLOTS)));
         }
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -52,8 +52,8 @@
             (None, Some(m)) => Some(m),
             // Prefill servers are gone or full: a decode server that can read by itself takes a short prompt
             // whole.
-            (None, None) if self.settings.self_prefill => {
-                let waited = self.now - request.arrived > request.query.class.aim / 4;
+            (None, None) if self.settings.decode_can_prefill => {
+                let waited = self.now - request.arrived > request.query.class.first_token_target / 4;
                 let able = |w: usize| !two_stages || no_prefill || (waited && short(w));
                 decode.homes(1, |w| able(w) && room(w)).first().copied()
             }
--- a/src/scheduler/queue.rs
+++ b/src/scheduler/queue.rs
@@ -30,9 +30,9 @@
         let ahead = order.first().map(|first| first.id.clone());
         // Those before were tried with the event before.
         let tried = std::mem::take(&mut self.tried).min(order.len());
-        let looks_most = self.looks() + LOOKS_MOST;
+        let looks_most = self.scan_count() + LOOKS_MOST;
         for (nth, Waiting { arrived, id, .. }) in order.into_iter().enumerate().skip(tried) {
-            if self.looks() > looks_most {
+            if self.scan_count() > looks_most {
                 self.tried = nth;
                 return;
             }
--- a/src/scheduler/reconfigure.rs
+++ b/src/scheduler/reconfigure.rs
@@ -9,8 +9,8 @@
         let left = |t: &Tenant| self.settings.tenant(&t.name).map(|i| self.quotas[i]);
         let quota = |t: &Tenant| left(t).unwrap_or((t.quota_per_s, self.now));
         self.quotas = settings.tenants.iter().map(quota).collect();
-        if settings.balancers != self.settings.balancers {
-            self.routers = f64::from(settings.balancers);
+        if settings.conductors != self.settings.conductors {
+            self.routers = f64::from(settings.conductors);
         }
         self.settings = settings;
     }
--- a/src/scheduler/slow_start.rs
+++ b/src/scheduler/slow_start.rs
@@ -12,7 +12,7 @@
     /// Whether it started a short while ago.
     pub(super) fn in_slow_start(&self, w: usize) -> bool {
         let server = &self.servers[w];
-        server.started != 0 && self.now < server.started + self.settings.warm_within
+        server.started != 0 && self.now < server.started + self.settings.slow_start_duration
     }
 
     /// Time between sends to a server that started a short while ago; `None` for a warm one.
@@ -26,7 +26,8 @@
         }
         // What warm peers of the role take from here bounds from below what it can do when warm.
         let warm = self.warm_rate(self.servers[w].role);
-        let per_s = warm * self.settings.cold_from * self.settings.fall_multiple * COLD_SHARE;
+        let per_s =
+            warm * self.settings.slow_start_initial_share * self.settings.overload_multiple * COLD_SHARE;
         Some((1e6 / per_s.max(least)) as Micros)
     }
 
@@ -34,7 +35,7 @@
     /// stays cold. There, of what it would get if it were warm, a share goes at once: of what has just come,
     /// as all that is held would come together, and no overflow, which has no bound.
     pub(super) fn warms(&self, request: &Request, w: usize) -> bool {
-        let share = self.settings.cold_from * self.settings.fall_multiple * COLD_SHARE;
+        let share = self.settings.slow_start_initial_share * self.settings.overload_multiple * COLD_SHARE;
         let server = &self.servers[w];
         let drawn = || share_of(hash(&request.query.session, server.hash)) < share;
         let wait = if self.asks() { SAID_FOR } else { 0 };
--- a/src/setup.rs
+++ b/src/setup.rs
@@ -2,7 +2,7 @@
 //!
 //! Both programs use it: the adapter reads the object from the simulator's first message, the
 //! conductor from its configuration. The settings name kinds, zones, classes and customers; the
-//! library speaks of them by index, and [`Names`] keeps what the indices stand for.
+//! library speaks of them by index, and [`ConfiguredNames`] keeps what the indices stand for.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -77,18 +77,18 @@
 
 /// The names that indices stand for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Names {
+pub struct ConfiguredNames {
     kinds: Vec<String>,
     zones: Vec<String>,
 }
 
 /// The value, or the complaint that `key` lacks it.
-pub fn want<T>(value: Option<T>, key: &str) -> Result<T, SetupError> {
+pub fn required<T>(value: Option<T>, key: &str) -> Result<T, SetupError> {
     value.ok_or_else(|| SetupError::Missing(key.into()))
 }
 
 /// A whole number that may be written with a fraction; never below zero.
-pub fn number(value: &Value) -> Option<u64> {
+pub fn whole_number(value: &Value) -> Option<u64> {
     value.as_u64().or_else(|| value.as_f64().filter(|x| x.is_finite()).map(|x| x.max(0.0) as u64))
 }
 
@@ -98,38 +98,38 @@
 }
 
 fn float_of(setup: &Value, key: &str) -> Result<f64, SetupError> {
-    want(dig(setup, key).and_then(Value::as_f64), key)
+    required(dig(setup, key).and_then(Value::as_f64), key)
 }
 
 fn whole_of(setup: &Value, key: &str) -> Result<u64, SetupError> {
-    want(dig(setup, key).and_then(number), key)
+    required(dig(setup, key).and_then(whole_number), key)
 }
 
 /// A number that only the network code needs; the adapter's operators may leave it out.
 fn whole_or(setup: &Value, key: &str, usual: Micros) -> Result<Micros, SetupError> {
-    dig(setup, key).map_or(Ok(usual), |value| want(number(value), key))
+    dig(setup, key).map_or(Ok(usual), |value| required(whole_number(value), key))
 }
 
 fn flag_of(setup: &Value, key: &str) -> Result<bool, SetupError> {
-    want(dig(setup, key).and_then(Value::as_bool), key)
+    required(dig(setup, key).and_then(Value::as_bool), key)
 }
 
 fn list_of<'a>(setup: &'a Value, key: &str) -> Result<&'a Vec<Value>, SetupError> {
-    want(dig(setup, key).and_then(Value::as_array), key)
+    required(dig(setup, key).and_then(Value::as_array), key)
 }
 
 fn names_of(setup: &Value, key: &str) -> Result<Vec<String>, SetupError> {
-    list_of(setup, key)?.iter().map(|v| want(v.as_str().map(str::to_string), key)).collect()
+    list_of(setup, key)?.iter().map(|v| required(v.as_str().map(str::to_string), key)).collect()
 }
 
 /// The name of a member of a list.
 fn name_of(member: &Value) -> Result<Id, SetupError> {
-    want(member.get("name").and_then(Value::as_str).map(Id::from), "name")
+    required(member.get("name").and_then(Value::as_str).map(Id::from), "name")
 }
 
 /// A whole number above zero, up to a bound.
 fn positive_of(setup: &Value, key: &str, most: u64) -> Result<u64, SetupError> {
-    let value = want(dig(setup, key), key)?;
+    let value = required(dig(setup, key), key)?;
     let whole = |x: &f64| x.fract() == 0.0 && *x >= 0.0 && *x <= most as f64;
     let number = value.as_u64().or_else(|| value.as_f64().filter(whole).map(|x| x as u64));
     let number = number.filter(|n| (1..=most).contains(n));
@@ -147,10 +147,10 @@
     Ok(())
 }
 
-impl Names {
+impl ConfiguredNames {
     /// Reads the names from the settings.
     pub fn new(setup: &Value) -> Result<Self, SetupError> {
-        Ok(Names { kinds: names_of(setup, "kinds")?, zones: names_of(setup, "zones")? })
+        Ok(ConfiguredNames { kinds: names_of(setup, "kinds")?, zones: names_of(setup, "zones")? })
     }
 
     /// The kinds of machine.
@@ -164,8 +164,8 @@
     }
 }
 
-/// The index of a name in one of the lists of [`Names`].
-pub fn index(names: &[String], name: &str, key: &str) -> Result<usize, SetupError> {
+/// The index of a name in one of the lists of [`ConfiguredNames`].
+pub fn index_of(names: &[String], name: &str, key: &str) -> Result<usize, SetupError> {
     names
         .iter()
         .position(|n| n == name)
@@ -174,9 +174,9 @@
 
 fn role(value: &Value) -> Result<Role, SetupError> {
     match value.as_str() {
-        Some("read") => Ok(Role::Read),
-        Some("write") => Ok(Role::Write),
-        Some("both") => Ok(Role::Both),
+        Some("read") => Ok(Role::Prefill),
+        Some("write") => Ok(Role::Decode),
+        Some("both") => Ok(Role::Mixed),
         _ => Err(SetupError::Missing("specifics.kind-role".into())),
     }
 }
@@ -186,29 +186,29 @@
     aim_per_ktoken: Micros,
     token_aim: Micros,
     max_attempts: u32,
-) -> Result<Class, SetupError> {
+) -> Result<RequestClass, SetupError> {
     let named = |e: SetupError| e.within("grades");
     let effect = match dig(grade, "effect").and_then(Value::as_str) {
         Some("retryable") => Effect::Safe,
         Some("fragile") => Effect::Unsafe,
         Some("dedup") => Effect::Keyed {
             scope: match dig(grade, "dedup-scope").and_then(Value::as_str) {
-                Some("all") => Scope::All,
-                Some("zone") => Scope::Zone,
-                Some("cell") => Scope::Cell,
+                Some("all") => DedupScope::All,
+                Some("zone") => DedupScope::Zone,
+                Some("cell") => DedupScope::Rack,
                 _ => return Err(named(SetupError::Missing("dedup-scope".into()))),
             },
             window: whole_of(grade, "dedup-window").map_err(named)?,
         },
         _ => return Err(named(SetupError::Missing("effect".into()))),
     };
-    Ok(Class {
+    Ok(RequestClass {
         name: name_of(grade).map_err(named)?,
         max_attempts,
-        aim: whole_of(grade, "slo").map_err(named)?,
-        aim_per_ktoken,
+        first_token_target: whole_of(grade, "slo").map_err(named)?,
+        first_token_target_per_ktoken: aim_per_ktoken,
         deadline: positive_of(grade, "deadline", DEADLINE_MAX).map_err(named)?,
-        token_aim,
+        inter_token_target: token_aim,
         effect,
         worth: float_of(grade, "points").map_err(named)?,
         late_share: float_of(grade, "late-share").map_err(named)?,
@@ -220,13 +220,13 @@
 }
 
 /// Reads the settings.
-pub fn settings(setup: &Value, names: &Names) -> Result<Settings, SetupError> {
+pub fn settings(setup: &Value, names: &ConfiguredNames) -> Result<Settings, SetupError> {
     let roles = list_of(setup, "specifics.kind-role")?.iter().map(role).collect::<Result<Vec<_>, _>>()?;
     if roles.len() != names.kinds.len() {
         return Err(SetupError::Roles);
     }
     let per_class = |key| -> Result<Vec<u64>, SetupError> {
-        list_of(setup, key)?.iter().map(|v| want(number(v), key)).collect()
+        list_of(setup, key)?.iter().map(|v| required(whole_number(v), key)).collect()
     };
     let (per_ktoken, token_aim) =
         (per_class("specifics.aim-us-per-1000-prompt-tokens")?, per_class("specifics.token-aim")?);
@@ -243,18 +243,18 @@
     let tenants = list_of(setup, "tenants")?.iter().map(|t| tenant(t).map_err(|e| e.within("tenants")));
     let tenants = tenants.collect::<Result<Vec<_>, SetupError>>()?;
     check_unique(tenants.iter().map(|tenant| &tenant.name), "tenants")?;
-    let zone = want(dig(setup, "zone").and_then(Value::as_str), "zone")?;
-    let mode = want(dig(setup, "membership-mode").and_then(Value::as_str), "membership-mode")?;
+    let zone = required(dig(setup, "zone").and_then(Value::as_str), "zone")?;
+    let mode = required(dig(setup, "membership-mode").and_then(Value::as_str), "membership-mode")?;
     Ok(Settings {
-        balancers: whole_of(setup, "balancers")?.clamp(1, u64::from(u32::MAX)) as u32,
-        zone: index(&names.zones, zone, "zone")?,
-        tick: whole_of(setup, "tick")?,
+        conductors: whole_of(setup, "balancers")?.clamp(1, u64::from(u32::MAX)) as u32,
+        zone: index_of(&names.zones, zone, "zone")?,
+        min_call_interval: whole_of(setup, "tick")?,
         memory_tokens: per_class("specifics.kv-tokens")?,
         roles,
         classes,
         tenants,
-        over_share_worth: float_of(setup, "over-share-worth")?,
-        parallel_tries: flag_of(setup, "limits.parallel-tries")?,
+        over_quota_worth: float_of(setup, "over-share-worth")?,
+        parallel_attempts: flag_of(setup, "limits.parallel-tries")?,
         may_cancel: flag_of(setup, "limits.cancel")?,
         may_probe: flag_of(setup, "limits.may-probe")?,
         may_hold: flag_of(setup, "specifics.holds-allowed")?,
@@ -262,18 +262,18 @@
             true => whole_of(setup, "limits.max-retry-after")?,
             false => 0,
         },
-        self_prefill: flag_of(setup, "specifics.self-prefill")?,
+        decode_can_prefill: flag_of(setup, "specifics.self-prefill")?,
         resume: flag_of(setup, "specifics.resume")?,
-        release: whole_of(setup, "specifics.release")?,
+        cache_release_timeout: whole_of(setup, "specifics.release")?,
         connect_timeout: whole_or(setup, "limits.connect-timeout", CONNECT_TIMEOUT)?,
-        conn_idle: whole_or(setup, "limits.conn-idle", CONN_IDLE)?,
+        connection_idle_timeout: whole_or(setup, "limits.conn-idle", CONN_IDLE)?,
         answer_slack: whole_of(setup, "rules.grace-to-answer")?,
         drain_grace: whole_of(setup, "rules.drain-grace")?,
-        cold_from: float_of(setup, "rules.cold-from")?,
-        warm_within: whole_of(setup, "rules.warm-within")?,
-        fall_multiple: float_of(setup, "rules.fall-multiple")?,
-        fall: whole_of(setup, "rules.fall")?,
-        ask_within: match mode {
+        slow_start_initial_share: float_of(setup, "rules.cold-from")?,
+        slow_start_duration: whole_of(setup, "rules.warm-within")?,
+        overload_multiple: float_of(setup, "rules.fall-multiple")?,
+        overload_duration: whole_of(setup, "rules.fall")?,
+        list_poll_interval: match mode {
             "push" => None,
             "ask" => Some(whole_of(setup, "rules.ask-within")?),
             _ => return Err(SetupError::Missing("membership-mode".into())),
@@ -282,10 +282,10 @@
 }
 
 /// A load report; columns that are not known are skipped.
-pub fn load(report: &Value) -> Result<Load, SetupError> {
-    let report = want(report.as_object(), "telemetry")?;
+pub fn load_report(report: &Value) -> Result<LoadReport, SetupError> {
+    let report = required(report.as_object(), "telemetry")?;
     let column = |name| report.get(name).and_then(Value::as_f64);
-    Ok(Load {
+    Ok(LoadReport {
         memory: column("x0"),
         waiting_ktokens: column("x1"),
         slots: column("utilization"),
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -1,13 +1,13 @@
 //! What is decided without the decisions: at the door, and at the end of a request's time.
 
 mod support;
-use frosttrail::admission::{admits, answer_within, release_within, retry_after, RunAccount};
+use frosttrail::admission::{admits, answer_timeout, release_timeout, retry_after, ExecutionRecord};
 use frosttrail::*;
 use support::{query, MS, SEC};
 
-fn account(effect: Effect) -> RunAccount {
-    let class = std::sync::Arc::new(Class { effect, ..Class::example() });
-    RunAccount::new(&Query { class, ..query("q", 100) })
+fn account(effect: Effect) -> ExecutionRecord {
+    let class = std::sync::Arc::new(RequestClass { effect, ..RequestClass::example() });
+    ExecutionRecord::new(&Query { class, ..query("q", 100) })
 }
 
 #[test]
@@ -26,8 +26,8 @@
 
 #[test]
 fn an_answer_and_a_release_come_within_their_times() {
-    assert_eq!((answer_within(2 * SEC), answer_within(0)), (2 * SEC, 50 * MS));
-    assert!(release_within(SEC) < SEC && release_within(SEC) > SEC * 3 / 4);
+    assert_eq!((answer_timeout(2 * SEC), answer_timeout(0)), (2 * SEC, 50 * MS));
+    assert!(release_timeout(SEC) < SEC && release_timeout(SEC) > SEC * 3 / 4);
 }
 
 #[test]
@@ -35,8 +35,8 @@
     let keyed = |scope| Effect::Keyed { scope, window: SEC };
     for (effect, harmless) in [
         (Effect::Safe, true),
-        (keyed(Scope::All), true),
-        (keyed(Scope::Zone), false),
+        (keyed(DedupScope::All), true),
+        (keyed(DedupScope::Zone), false),
         (Effect::Unsafe, false),
     ] {
         let mut run = account(effect);
--- a/tests/cost.rs
+++ b/tests/cost.rs
@@ -23,22 +23,22 @@
     }
 }
 
-fn fleet(size: usize) -> Vec<Entry> {
+fn fleet(size: usize) -> Vec<ServerEntry> {
     (0..size)
-        .map(|n| Entry { cell: n as u64 / 16, ..entry(&format!("s{n}"), usize::from(n % 4 > 0)) })
+        .map(|n| ServerEntry { rack: n as u64 / 16, ..entry(&format!("s{n}"), usize::from(n % 4 > 0)) })
         .collect()
 }
 
 /// Requests at 100 a second, a part of which is answered late, while a quarter of the servers restarts.
-fn play(size: usize, balancers: u32, may_probe: bool) -> Cost {
-    let settings = Settings { balancers, may_probe, ..Settings::example() };
+fn play(size: usize, conductors: u32, may_probe: bool) -> Cost {
+    let settings = Settings { conductors, may_probe, ..Settings::example() };
     let (mut bench, servers) = (Bench::seeded(settings, 7), fleet(size));
-    bench.list(ListForm::Full, servers.clone());
+    bench.list(ListUpdateKind::Full, servers.clone());
     let mut cost = Cost { worst: 0, events: 0, all: 0 };
     let mut counted = |bench: &mut Bench, step: &mut dyn FnMut(&mut Bench) -> Vec<Action>| {
-        let before = bench.router.looks();
+        let before = bench.router.scan_count();
         let out = step(bench);
-        let looks = bench.router.looks() - before;
+        let looks = bench.router.scan_count() - before;
         (cost.worst, cost.events, cost.all) = (cost.worst.max(looks), cost.events + 1, cost.all + looks);
         out
     };
@@ -48,23 +48,23 @@
             let part = size / 200;
             let restarted = (0..part).map(|n| {
                 let server = (nth * part / 20 + n) % size;
-                Entry { started: bench.now, ..servers[server].clone() }
+                ServerEntry { started: bench.now, ..servers[server].clone() }
             });
-            let entries: Vec<Entry> = restarted.collect();
-            counted(&mut bench, &mut |bench| bench.list(ListForm::Changes, entries.clone()));
+            let entries: Vec<ServerEntry> = restarted.collect();
+            counted(&mut bench, &mut |bench| bench.list(ListUpdateKind::Changes, entries.clone()));
         }
         let mut due = counted(&mut bench, &mut |bench| bench.ask(query(&format!("q{nth}"), 900)));
         due.extend(counted(&mut bench, &mut |bench| {
             bench.now += 10 * MS;
-            bench.step(Event::Bell { token: bench.token })
+            bench.step(Event::TimerFired { token: bench.token })
         }));
         let probes = due.iter().filter_map(|action| match action {
             Action::Probe { server } => Some(server.clone()),
             _ => None,
         });
         for server in probes.collect::<Vec<_>>() {
-            let load = Some(Load { outstanding: Some(1.0), ..Load::default() });
-            let probed = Event::Probed { server, outcome: Outcome::Served, load };
+            let load = Some(LoadReport { outstanding: Some(1.0), ..LoadReport::default() });
+            let probed = Event::ProbeEnded { server, outcome: Outcome::Served, load };
             due.extend(counted(&mut bench, &mut |bench| bench.step(probed.clone())));
         }
         // Every tenth read is not heard of, and given up after a second.
@@ -78,7 +78,7 @@
             counted(&mut bench, &mut |bench| bench.end(&id, 0, &server, Outcome::NoAnswer));
         }
         for (id, server) in sends(&due) {
-            let first = counted(&mut bench, &mut |bench| bench.end(&id, 0, &server, Outcome::ReadDone));
+            let first = counted(&mut bench, &mut |bench| bench.end(&id, 0, &server, Outcome::PrefillDone));
             for (id, _) in sends(&first).iter().filter(|sent| sent.0 == id) {
                 counted(&mut bench, &mut |bench| bench.begin(id, 1));
             }
@@ -89,17 +89,17 @@
 
 #[test]
 fn an_event_costs_no_multiple_of_servers_and_held_requests() {
-    for (balancers, may_probe) in [(8, false), (48, false), (300, true)] {
-        let costs = SIZES.map(|size| (size, play(size, balancers, may_probe)));
+    for (conductors, may_probe) in [(8, false), (48, false), (300, true)] {
+        let costs = SIZES.map(|size| (size, play(size, conductors, may_probe)));
         for (size, cost) in &costs {
             let most = FIXED + 4 * *size as u64;
-            assert!(cost.worst <= most, "{size} servers, {balancers}: {} of {most}", cost.worst);
+            assert!(cost.worst <= most, "{size} servers, {conductors}: {} of {most}", cost.worst);
         }
         for (size, cost) in &costs {
             let mean = cost.mean();
             // The small fleets' parts can't take what is asked of them: requests are held.
             let most = if *size <= SIZES[1] { 10_000.0 } else { *size as f64 / 2.0 };
-            assert!(mean <= most, "{size} servers, {balancers}: {mean} looks an event");
+            assert!(mean <= most, "{size} servers, {conductors}: {mean} looks an event");
         }
     }
 }
@@ -107,18 +107,18 @@
 #[test]
 fn a_thousand_held_requests_before_servers_that_all_start_cost_no_more() {
     for size in SIZES {
-        let settings = Settings { balancers: 8, ..Settings::example() };
+        let settings = Settings { conductors: 8, ..Settings::example() };
         let mut bench = Bench::seeded(settings, 7);
         let started = bench.now;
-        let cold = fleet(size).into_iter().map(|server| Entry { started, ..server }).collect();
-        bench.list(ListForm::Full, cold);
+        let cold = fleet(size).into_iter().map(|server| ServerEntry { started, ..server }).collect();
+        bench.list(ListUpdateKind::Full, cold);
         for nth in 0..1_000 {
             bench.ask(query(&format!("q{nth}"), 900));
         }
         for _ in 0..20 {
-            let before = bench.router.looks();
+            let before = bench.router.scan_count();
             bench.wait(10 * MS);
-            let (looks, most) = (bench.router.looks() - before, FIXED + 4 * size as u64);
+            let (looks, most) = (bench.router.scan_count() - before, FIXED + 4 * size as u64);
             assert!(looks <= most, "{size} servers: {looks} of {most}");
         }
     }
--- a/tests/floors.rs
+++ b/tests/floors.rs
@@ -17,8 +17,8 @@
 
 /// Two classes of either effect, three tenants within their quotas.
 fn settings() -> Settings {
-    let fragile = Class { name: "book".into(), effect: Effect::Unsafe, ..Class::example() };
-    let classes = vec![Arc::new(Class::example()), Arc::new(fragile)];
+    let fragile = RequestClass { name: "book".into(), effect: Effect::Unsafe, ..RequestClass::example() };
+    let classes = vec![Arc::new(RequestClass::example()), Arc::new(fragile)];
     let tenants = ["t0", "t1", "t2"].map(|name| Tenant { name: name.into(), quota_per_s: 100.0 });
     Settings { classes, tenants: tenants.to_vec(), ..Settings::example() }
 }
@@ -35,7 +35,7 @@
 
 /// Requests that come evenly but for chance, at so many times what the servers can do. Lengths are spread
 /// over a factor of 20, with a mean at which reading and answering are in balance.
-fn load(seed: u64, times: f64, budget: Micros, classes: &[Arc<Class>]) -> Vec<(Micros, Query)> {
+fn load(seed: u64, times: f64, budget: Micros, classes: &[Arc<RequestClass>]) -> Vec<(Micros, Query)> {
     let (mut draws, mut at, mut queries) = (Draws(seed), 0.0, Vec::new());
     while at < TIME as f64 {
         at += -(1.0 - draws.next()).ln() / (PER_S * times) * 1e6;
@@ -128,7 +128,7 @@
 fn short_patience_and_half_of_the_capacity_make_refusals_not_failures() {
     for seed in [11, 12, 13] {
         let mut settings = settings();
-        settings.classes.iter_mut().for_each(|class| Arc::make_mut(class).aim = 4 * SEC);
+        settings.classes.iter_mut().for_each(|class| Arc::make_mut(class).first_token_target = 4 * SEC);
         let budget = 1_200 * MS;
         let queries = load(seed, 0.9, budget, &settings.classes);
         let mut fleet = Fleet::new(settings, seed, PAIRS, PAIRS);
@@ -136,8 +136,8 @@
             fleet.ask_at(*at, query.clone());
         }
         fleet.run(TIME / 3);
-        let gone = |name: &str, kind| Entry { health: Health::Gone, ..entry(name, kind) };
-        fleet.tell(ListForm::Changes, vec![gone("p1", 0), gone("d1", 1)]);
+        let gone = |name: &str, kind| ServerEntry { health: Health::Gone, ..entry(name, kind) };
+        fleet.tell(ListUpdateKind::Changes, vec![gone("p1", 0), gone("d1", 1)]);
         fleet.run(TIME + 20 * SEC);
         let of = |what: End| fleet.ends.values().filter(|end| **end == what).count();
         let (failed, refused) = (of(End::Failed), of(End::Refused));
@@ -196,9 +196,20 @@
     times: f64,
     seed: u64,
 ) -> Vec<(f64, f64)> {
-    let slow = Class { name: "slow".into(), aim, aim_per_ktoken: per_ktoken, deadline, ..Class::example() };
-    let quick = Class { name: "quick".into(), aim: aim / 2, deadline: deadline / 2, ..slow.clone() };
-    let fragile = Class { name: "fragile".into(), effect: Effect::Unsafe, ..slow.clone() };
+    let slow = RequestClass {
+        name: "slow".into(),
+        first_token_target: aim,
+        first_token_target_per_ktoken: per_ktoken,
+        deadline,
+        ..RequestClass::example()
+    };
+    let quick = RequestClass {
+        name: "quick".into(),
+        first_token_target: aim / 2,
+        deadline: deadline / 2,
+        ..slow.clone()
+    };
+    let fragile = RequestClass { name: "fragile".into(), effect: Effect::Unsafe, ..slow.clone() };
     let classes = [slow, fragile, quick].map(Arc::new).to_vec();
     let (mut draws, mut at, mut queries) = (Draws(seed), 0.0, Vec::new());
     let mut fleet = Fleet::new(Settings { classes: classes.clone(), ..settings() }, seed, PAIRS, PAIRS);
@@ -253,21 +264,23 @@
 /// a prefix, a tenant or a class, no set of requests is refused throughout.
 #[test]
 fn on_a_quiet_load_no_session_and_no_set_of_them_is_shut_out() {
-    for (balancers, mixed, cold) in
+    for (conductors, mixed, cold) in
         [(1, 0, false), (1, 2, true), (4, 2, false), (4, 0, true), (24, 0, false), (24, 2, true)]
     {
         for seed in [31, 32, 33] {
-            let settings = Settings { balancers, ..settings() };
+            let settings = Settings { conductors, ..settings() };
             let classes = settings.classes.clone();
             let mut fleet = Fleet::new(settings, seed, 4, 4);
-            let starts =
-                |name: String, kind| Entry { started: if cold { 99 * SEC } else { 0 }, ..entry(&name, kind) };
+            let starts = |name: String, kind| ServerEntry {
+                started: if cold { 99 * SEC } else { 0 },
+                ..entry(&name, kind)
+            };
             let more = (0..mixed).map(|n| starts(format!("m{n}"), 2));
             let half = (0..2).flat_map(|n| [starts(format!("p{n}"), 0), starts(format!("d{n}"), 1)]);
-            fleet.tell(ListForm::Changes, more.chain(half).collect());
+            fleet.tell(ListUpdateKind::Changes, more.chain(half).collect());
             // This router's part of a quiet load, and three times as much where there are several: traffic is
             // uneven.
-            let per_s = PER_S * 2.0 * 0.5 / f64::from(balancers) * if balancers > 1 { 3.0 } else { 1.0 };
+            let per_s = PER_S * 2.0 * 0.5 / f64::from(conductors) * if conductors > 1 { 3.0 } else { 1.0 };
             let (mut draws, mut at, mut queries) = (Draws(seed), 0.0, Vec::new());
             while at < 4.0 * TIME as f64 {
                 at += -(1.0 - draws.next()).ln() / per_s * 1e6;
@@ -300,7 +313,7 @@
                     *set = (set.0 + 1, set.1 + refused);
                 }
             }
-            let name = format!("{balancers} routers, {mixed} mixed, cold: {cold}, seed {seed}");
+            let name = format!("{conductors} routers, {mixed} mixed, cold: {cold}, seed {seed}");
             for (set, (asked, refused)) in &sets {
                 assert!(*asked < 4 || refused * 2 <= *asked, "{name}: {set}: {refused} of {asked} refused");
             }
--- a/tests/guard.rs
+++ b/tests/guard.rs
@@ -5,15 +5,15 @@
 use frosttrail::*;
 use support::*;
 
-fn class(effect: Effect) -> std::sync::Arc<Class> {
-    std::sync::Arc::new(Class { effect, max_attempts: 3, ..Class::example() })
+fn class(effect: Effect) -> std::sync::Arc<RequestClass> {
+    std::sync::Arc::new(RequestClass { effect, max_attempts: 3, ..RequestClass::example() })
 }
 
 /// A prefill server and two decode servers in different zones, and one request.
 fn guard(effect: Effect) -> (Guard, Id) {
     let mut guard = Guard::new(&Settings::example());
-    let entries = [entry("r", 0), entry("w1", 1), Entry { zone: 1, ..entry("w2", 1) }];
-    guard.members(ListForm::Full, &entries);
+    let entries = [entry("r", 0), entry("w1", 1), ServerEntry { zone: 1, ..entry("w2", 1) }];
+    guard.members(ListUpdateKind::Full, &entries);
     guard.asked(&Query { class: class(effect), ..query("a", 900) });
     (guard, "a".into())
 }
@@ -27,20 +27,20 @@
     let (mut guard, id) = guard(Effect::Safe);
     for _ in 0..3 {
         assert_eq!(sent(&mut guard, &id, "r"), Ok(()));
-        assert_eq!(sent(&mut guard, &id, "w1"), Err(Violation::TwoOut));
+        assert_eq!(sent(&mut guard, &id, "w1"), Err(Violation::ConcurrentAttempts));
         guard.attempt_ended(&id, Outcome::NoConnection);
     }
-    assert_eq!(sent(&mut guard, &id, "r"), Err(Violation::TooMany));
+    assert_eq!(sent(&mut guard, &id, "r"), Err(Violation::TooManyAttempts));
 }
 
 #[test]
 fn nothing_goes_to_a_server_that_drains_or_is_not_listed() {
     let (mut guard, id) = guard(Effect::Safe);
-    guard.members(ListForm::Changes, &[Entry { health: Health::Draining, ..entry("w1", 1) }]);
-    assert_eq!(sent(&mut guard, &id, "w1"), Err(Violation::ClosedServer));
-    assert_eq!(sent(&mut guard, &id, "nobody"), Err(Violation::ClosedServer));
-    guard.members(ListForm::Full, &[entry("w1", 1)]);
-    assert_eq!(sent(&mut guard, &id, "r"), Err(Violation::ClosedServer));
+    guard.members(ListUpdateKind::Changes, &[ServerEntry { health: Health::Draining, ..entry("w1", 1) }]);
+    assert_eq!(sent(&mut guard, &id, "w1"), Err(Violation::ServerNotAccepting));
+    assert_eq!(sent(&mut guard, &id, "nobody"), Err(Violation::ServerNotAccepting));
+    guard.members(ListUpdateKind::Full, &[entry("w1", 1)]);
+    assert_eq!(sent(&mut guard, &id, "r"), Err(Violation::ServerNotAccepting));
     assert_eq!(sent(&mut guard, &id, "w1"), Ok(()));
 }
 
@@ -65,9 +65,9 @@
     for (effect, near, far, late, refused) in [
         (Effect::Safe, true, true, true, true),
         (Effect::Unsafe, false, false, false, false),
-        (keyed(Scope::All), true, true, false, true),
-        (keyed(Scope::Zone), true, false, false, false),
-        (keyed(Scope::Cell), true, true, false, false),
+        (keyed(DedupScope::All), true, true, false, true),
+        (keyed(DedupScope::Zone), true, false, false, false),
+        (keyed(DedupScope::Rack), true, true, false, false),
     ] {
         for (server, now, allowed) in
             [("w1", 2 * SEC, near), ("w2", 2 * SEC, far), ("w1", SEC + window, late)]
@@ -79,16 +79,20 @@
             assert_eq!(sent(&mut guard, &id, "w1"), Ok(()));
             guard.attempt_ended(&id, Outcome::ConnectionLost);
             let repeat = guard.send(now, &id, &server.into());
-            assert_eq!(repeat, if allowed { Ok(()) } else { Err(Violation::Repeat) }, "{effect:?} {server}");
+            assert_eq!(
+                repeat,
+                if allowed { Ok(()) } else { Err(Violation::UnsafeRepeat) },
+                "{effect:?} {server}"
+            );
             let refusal = guard.answer(&id, true);
-            assert_eq!(refusal, if refused { Ok(()) } else { Err(Violation::Refused) }, "{effect:?}");
+            assert_eq!(refusal, if refused { Ok(()) } else { Err(Violation::UnsafeRefusal) }, "{effect:?}");
         }
     }
 }
 
 #[test]
 fn what_is_out_at_a_server_that_decodes_is_not_refused() {
-    for (server, expected) in [("r", Ok(())), ("w1", Err(Violation::Refused))] {
+    for (server, expected) in [("r", Ok(())), ("w1", Err(Violation::UnsafeRefusal))] {
         let (mut guard, id) = guard(Effect::Unsafe);
         assert_eq!(sent(&mut guard, &id, server), Ok(()));
         assert_eq!(guard.answer(&id, true), expected, "{server}");
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -7,8 +7,8 @@
 
 const FLEET: [(&str, usize); 3] = [("r", 0), ("w1", 1), ("w2", 1)];
 
-fn cold_writer(now: Micros) -> Entry {
-    Entry { started: now - SEC, ..entry("cold", 1) }
+fn cold_writer(now: Micros) -> ServerEntry {
+    ServerEntry { started: now - SEC, ..entry("cold", 1) }
 }
 
 /// Serves so many requests, one after another, in a second.
@@ -16,7 +16,7 @@
     for n in 0..requests {
         let id = format!("served-{n}");
         b.ask(query(&id, 900));
-        b.end(&id, 0, "r", Outcome::ReadDone);
+        b.end(&id, 0, "r", Outcome::PrefillDone);
         b.begin(&id, 1);
         let writer = if n % 2 == 0 { "w1" } else { "w2" };
         b.end(&id, 1, writer, Outcome::Served);
@@ -30,7 +30,7 @@
     for n in 0..40 {
         let id = format!("cold-{n}");
         b.ask(query(&id, 900));
-        let sent = sends(&b.end(&id, 0, "r", Outcome::ReadDone));
+        let sent = sends(&b.end(&id, 0, "r", Outcome::PrefillDone));
         let writer = sent.first().map(|send| send.1.clone()).unwrap_or_default();
         count += usize::from(writer == "cold");
         b.begin(&id, 1);
@@ -45,7 +45,7 @@
     let mut snapshot: Snapshot = serde_json::from_str(&text).unwrap();
     let mut next = Bench::seeded(Settings::example(), 8);
     next.now = b.now + ahead;
-    next.list(ListForm::Full, FLEET.iter().map(|(name, kind)| entry(name, *kind)).collect());
+    next.list(ListUpdateKind::Full, FLEET.iter().map(|(name, kind)| entry(name, *kind)).collect());
     let now = next.now;
     next.router.restore(now, 0, &mut snapshot);
     assert!(snapshot.is_empty());
@@ -60,7 +60,7 @@
     let mut fresh = Bench::new(Settings::example(), &FLEET);
     for bench in [&mut b, &mut next, &mut fresh] {
         let cold = cold_writer(bench.now);
-        bench.list(ListForm::Changes, vec![cold]);
+        bench.list(ListUpdateKind::Changes, vec![cold]);
     }
     let [before, after, without] = [&mut b, &mut next, &mut fresh].map(sends_to_cold);
     assert!(after + 1 >= before && before + 1 >= after && after > without, "{before}, {after}, {without}");
@@ -70,24 +70,25 @@
 fn a_server_that_failed_is_left_alone_by_the_successor_too() {
     let mut b = Bench::new(Settings::example(), &FLEET);
     b.ask(query("a", 900));
-    b.end("a", 0, "r", Outcome::ReadDone);
+    b.end("a", 0, "r", Outcome::PrefillDone);
     b.end("a", 1, "w1", Outcome::ConnectionLost);
-    assert_eq!(successor(&b, 100 * SEC).router.usable(), b.router.usable());
+    assert_eq!(successor(&b, 100 * SEC).router.usable_servers(), b.router.usable_servers());
 }
 
 #[test]
 fn nothing_is_taken_over_for_a_server_that_has_restarted_since() {
     let mut b = Bench::new(Settings::example(), &FLEET);
     b.ask(query("a", 900));
-    b.end("a", 0, "r", Outcome::ReadDone);
+    b.end("a", 0, "r", Outcome::PrefillDone);
     b.end("a", 1, "w1", Outcome::ConnectionLost);
     let mut snapshot = b.router.snapshot(b.now);
     let mut next = Bench::seeded(Settings::example(), 8);
-    let restarted = FLEET.iter().map(|(name, kind)| Entry { started: next.now - SEC, ..entry(name, *kind) });
-    next.list(ListForm::Full, restarted.collect());
+    let restarted =
+        FLEET.iter().map(|(name, kind)| ServerEntry { started: next.now - SEC, ..entry(name, *kind) });
+    next.list(ListUpdateKind::Full, restarted.collect());
     let now = next.now;
     next.router.restore(now, 0, &mut snapshot);
-    assert_eq!(next.router.usable(), 3);
+    assert_eq!(next.router.usable_servers(), 3);
 }
 
 #[test]
@@ -96,11 +97,11 @@
     serve(&mut b, 4);
     let mut snapshot = b.router.snapshot(b.now);
     let mut next = Bench::seeded(Settings::example(), 8);
-    next.list(ListForm::Full, vec![entry("r", 0)]);
+    next.list(ListUpdateKind::Full, vec![entry("r", 0)]);
     let now = next.now;
     next.router.restore(now, 0, &mut snapshot);
     assert!(!snapshot.is_empty());
-    next.list(ListForm::Full, FLEET.iter().map(|(name, kind)| entry(name, *kind)).collect());
+    next.list(ListUpdateKind::Full, FLEET.iter().map(|(name, kind)| entry(name, *kind)).collect());
     next.router.restore(now, 0, &mut snapshot);
     assert!(snapshot.is_empty());
 }
@@ -138,9 +139,9 @@
         new.router.set_foreign_work(old.router.open_work());
     }
     assert_eq!(new.router.open_work(), OpenWork::default());
-    new.list(ListForm::Full, Vec::new());
+    new.list(ListUpdateKind::Full, Vec::new());
     new.wait(3 * SEC);
     new.router.set_foreign_work(OpenWork::default());
-    new.list(ListForm::Full, FLEET.iter().map(|(name, kind)| entry(name, *kind)).collect());
+    new.list(ListUpdateKind::Full, FLEET.iter().map(|(name, kind)| entry(name, *kind)).collect());
     assert!(reads_at_once(&mut new, "back") > 0);
 }
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -7,7 +7,7 @@
 
 /// One of three routers: its part is four reads at a reader, or 4,000 tokens.
 fn small() -> Settings {
-    Settings { balancers: 3, ..Settings::example() }
+    Settings { conductors: 3, ..Settings::example() }
 }
 
 const PAIR: [(&str, usize); 2] = [("r", 0), ("w", 1)];
@@ -17,7 +17,7 @@
 fn a_request_is_read_then_written_then_forgotten() {
     let mut b = Bench::new(small(), &PAIR);
     assert_eq!(sends(&b.ask(query("a", 900))), [("a".into(), "r".into())]);
-    let out = b.end("a", 0, "r", Outcome::ReadDone);
+    let out = b.end("a", 0, "r", Outcome::PrefillDone);
     assert_eq!(sends(&out), [("a".into(), "w".into())]);
     b.begin("a", 1);
     let out = b.end("a", 1, "w", Outcome::Served);
@@ -33,7 +33,7 @@
     }
     assert!(sends(&b.ask(query("long", 4_000))).is_empty(), "the reader is at its cap");
     assert!(sends(&b.ask(query("short", 300))).is_empty());
-    let out = b.end("first-0", 0, "r", Outcome::ReadDone);
+    let out = b.end("first-0", 0, "r", Outcome::PrefillDone);
     assert_eq!(sends(&out)[1], ("short".into(), "r".into()));
 }
 
@@ -46,7 +46,7 @@
     b.ask(query("long", 2_000));
     b.wait(800 * MS);
     b.ask(query("short", 300));
-    let out = b.end("first-0", 0, "r", Outcome::ReadDone);
+    let out = b.end("first-0", 0, "r", Outcome::PrefillDone);
     assert_eq!(sends(&out)[1].0, "long");
 }
 
@@ -65,7 +65,7 @@
     }
     let mut left = Vec::new();
     for i in 0..4 {
-        left.extend(sends(&b.end(&format!("first-{i}"), 0, "r", Outcome::ReadDone)));
+        left.extend(sends(&b.end(&format!("first-{i}"), 0, "r", Outcome::PrefillDone)));
     }
     let read: Vec<_> = left.iter().filter(|(_, w)| w == "r").map(|(id, _)| &id[..4]).collect();
     assert_eq!(read, ["long", "shor", "shor", "shor"], "one starved request is promoted at a time");
@@ -94,14 +94,14 @@
 
 /// Writers of states that were read by `r` in cell 0, so many one after another, each stream left running.
 fn writers_of(fleet: &[(&str, usize, u64)], states: usize) -> Vec<String> {
-    let mut b = Bench::new(Settings { balancers: 2, ..Settings::example() }, &[("r", 0)]);
-    let one = |(name, kind, cell): &(&str, usize, u64)| Entry { cell: *cell, ..entry(name, *kind) };
-    b.list(ListForm::Changes, fleet.iter().map(one).collect());
+    let mut b = Bench::new(Settings { conductors: 2, ..Settings::example() }, &[("r", 0)]);
+    let one = |(name, kind, cell): &(&str, usize, u64)| ServerEntry { rack: *cell, ..entry(name, *kind) };
+    b.list(ListUpdateKind::Changes, fleet.iter().map(one).collect());
     let of = |i: usize| {
         let id = format!("{i}");
         // A long prompt is not read whole by a mixed server.
         b.ask(query(&id, 4_000));
-        let writer = sends(&b.end(&id, 0, "r", Outcome::ReadDone)).remove(0).1;
+        let writer = sends(&b.end(&id, 0, "r", Outcome::PrefillDone)).remove(0).1;
         b.begin(&id, 1);
         writer
     };
@@ -146,7 +146,7 @@
         b.ask(query(&format!("{i}"), 900));
     }
     for i in 0..4 {
-        b.end(&format!("{i}"), 0, "r", Outcome::ReadDone);
+        b.end(&format!("{i}"), 0, "r", Outcome::PrefillDone);
     }
     assert!(sends(&b.ask(query("next", 900))).is_empty(), "four have not begun");
     assert_eq!(sends(&b.begin("0", 1)).len(), 1);
@@ -168,8 +168,8 @@
 fn a_lost_state_is_let_go_and_read_again() {
     let mut b = Bench::new(small(), &PAIR);
     b.ask(query("a", 900));
-    b.end("a", 0, "r", Outcome::ReadDone);
-    let out = b.end("a", 1, "w", Outcome::StateLost);
+    b.end("a", 0, "r", Outcome::PrefillDone);
+    let out = b.end("a", 1, "w", Outcome::CacheMissing);
     assert!(dropped(&out, "a"), "its reader may only be cut off and still hold it");
     assert_eq!(sends(&out), [("a".into(), "r".into())]);
 }
@@ -178,11 +178,11 @@
 fn a_writers_bad_answer_leads_back_to_a_reader_while_a_read_and_a_write_are_left() {
     let mut b = Bench::new(Settings::example(), &[("r", 0), ("w1", 1), ("w2", 1)]);
     b.ask(query("a", 900));
-    b.end("a", 0, "r", Outcome::ReadDone);
+    b.end("a", 0, "r", Outcome::PrefillDone);
     let out = b.end("a", 1, "w1", Outcome::Failed);
     assert_eq!(sends(&out), [("a".to_string(), "r".to_string())]);
     assert!(dropped(&out, "a"));
-    assert_eq!(sends(&b.end("a", 2, "r", Outcome::ReadDone)).len(), 1);
+    assert_eq!(sends(&b.end("a", 2, "r", Outcome::PrefillDone)).len(), 1);
 }
 
 #[test]
@@ -225,7 +225,7 @@
         let id = format!("q{i}");
         if let Some((_, w)) = sends(&b.ask(query(&id, 100))).first() {
             assert_eq!(*w, other);
-            b.end(&id, 0, w, Outcome::ReadDone);
+            b.end(&id, 0, w, Outcome::PrefillDone);
             b.begin(&id, 1);
         }
     }
@@ -245,7 +245,7 @@
         b.now += 50 * MS;
         let Some((_, w)) = sends(&b.ask(of(&id, &id))).first().cloned() else { continue };
         if w != silent {
-            b.end(&id, 0, &w, Outcome::ReadDone);
+            b.end(&id, 0, &w, Outcome::PrefillDone);
             b.begin(&id, 1);
             other = Some(w);
         }
@@ -264,7 +264,7 @@
 #[test]
 fn requests_beyond_a_quota_are_refused_early_when_held() {
     let tenants = vec![Tenant { name: "t".into(), quota_per_s: 1.0 }];
-    let mut b = Bench::new(Settings { tenants, over_share_worth: 0.1, ..small() }, &[]);
+    let mut b = Bench::new(Settings { tenants, over_quota_worth: 0.1, ..small() }, &[]);
     let of = |id: &str| Query { tenant: Some(0), ..query(id, 900) };
     b.ask(of("within"));
     b.ask(of("beyond"));
@@ -275,16 +275,16 @@
 #[test]
 fn a_broken_stream_that_returns_is_served_as_a_request_of_its_own() {
     let mut b = Bench::new(Settings { resume: true, ..small() }, &PAIR);
-    let again = Query { came_back: true, resent: true, ..query("a2", 1_000) };
+    let again = Query { resumes_stream: true, is_client_retry: true, ..query("a2", 1_000) };
     assert_eq!(sends(&b.ask(again)).len(), 1);
 }
 
 #[test]
 fn the_list_is_asked_for_where_it_is_not_pushed_and_again_when_that_fails() {
-    let mut b = Bench::new(Settings { ask_within: Some(10 * SEC), ..small() }, &PAIR);
+    let mut b = Bench::new(Settings { list_poll_interval: Some(10 * SEC), ..small() }, &PAIR);
     let asks = |out: &[Action]| out.iter().filter(|a| matches!(a, Action::Watch)).count();
     assert_eq!(asks(&b.wait(SEC)), 1);
-    b.list(ListForm::Lost, Vec::new());
+    b.list(ListUpdateKind::SourceUnavailable, Vec::new());
     assert_eq!(asks(&b.wait(SEC)), 1);
 }
 
@@ -295,7 +295,7 @@
     let home = sends(&b.ask(of("a", 900)))[0].1.clone();
     let other = sends(&b.end("a", 0, &home, Outcome::ConnectionLost))[0].1.clone();
     assert_ne!(home, other);
-    b.end("a", 1, &other, Outcome::ReadDone);
+    b.end("a", 1, &other, Outcome::PrefillDone);
     b.begin("a", 2);
     b.end("a", 2, "w1", Outcome::Served);
     b.wait(SEC);
@@ -309,7 +309,7 @@
         let mut router = Router::new(small(), seed);
         let mut out = Vec::new();
         let entries = fleet.iter().map(|(n, k)| entry(n, *k)).collect();
-        router.handle(SEC, Event::Members { form: ListForm::Full, entries }, &mut out);
+        router.handle(SEC, Event::Members { form: ListUpdateKind::Full, entries }, &mut out);
         router.handle(SEC, Event::Query(Query { session: session.into(), ..query("a", 900) }), &mut out);
         sends(&out)[0].1.clone()
     };
@@ -324,8 +324,8 @@
 
 #[test]
 fn writers_that_can_read_take_short_prompts_when_readers_are_full() {
-    let start = |self_prefill| {
-        let mut b = Bench::new(Settings { self_prefill, ..small() }, &TRIO);
+    let start = |decode_can_prefill| {
+        let mut b = Bench::new(Settings { decode_can_prefill, ..small() }, &TRIO);
         for i in 0..12 {
             b.ask(query(&format!("{i}"), 3_900));
         }
@@ -340,7 +340,7 @@
 /// What a client is told: the ids that were refused, with the advice.
 fn advice(actions: &[Action]) -> Vec<(String, Micros)> {
     let pair = |a: &Action| match a {
-        Action::Decline { id, retry_after } => Some((id.to_string(), *retry_after)),
+        Action::Refuse { id, retry_after } => Some((id.to_string(), *retry_after)),
         _ => None,
     };
     actions.iter().filter_map(pair).collect()
@@ -349,7 +349,7 @@
 #[test]
 fn a_held_request_that_cannot_be_in_time_is_refused_then_and_told_when_to_return() {
     let mut b = Bench::new(Settings { max_retry_after: 400 * MS, ..small() }, &PAIR);
-    b.list(ListForm::Full, Vec::new());
+    b.list(ListUpdateKind::Full, Vec::new());
     b.ask(query("a", 900));
     b.now += 3 * MS;
     b.ask(query("b", 900));
@@ -364,9 +364,9 @@
 fn a_request_whose_attempts_went_wrong_is_told_to_come_back_soon() {
     let mut b = Bench::new(Settings { max_retry_after: 2 * SEC, ..small() }, &TRIO);
     b.ask(query("a", 900));
-    b.end("a", 0, "r", Outcome::ReadDone);
+    b.end("a", 0, "r", Outcome::PrefillDone);
     b.end("a", 1, "w1", Outcome::Failed);
-    b.end("a", 2, "r", Outcome::ReadDone);
+    b.end("a", 2, "r", Outcome::PrefillDone);
     let told = advice(&b.end("a", 3, "w2", Outcome::Failed));
     assert!(told.len() == 1 && (1..=200 * MS).contains(&told[0].1), "{told:?}");
 }
@@ -383,7 +383,7 @@
     let mut b = Bench::new(small(), &PAIR);
     b.ask(query("a", 900));
     b.now += 2 * SEC;
-    b.list(ListForm::Full, vec![entry("w", 1)]);
+    b.list(ListUpdateKind::Full, vec![entry("w", 1)]);
     let mut out = b.end("a", 0, "r", Outcome::NoAnswer);
     out.extend(b.wait(20 * MS));
     assert!(declined(&out, "a") && dropped(&out, "a"));
@@ -392,21 +392,21 @@
 #[test]
 fn what_would_be_late_leaves_after_what_can_be_in_time_but_is_not_refused_while_there_is_room() {
     let mut b = Bench::new(small(), &TRIO);
-    let repeat = |id: &str| Query { resent: true, budget: SEC, ..query(id, 300) };
+    let repeat = |id: &str| Query { is_client_retry: true, budget: SEC, ..query(id, 300) };
     assert_eq!(sends(&b.ask(repeat("room"))).len(), 1, "its client has waited 4 s, but there is room");
     for i in 0..3 {
         b.ask(query(&format!("first-{i}"), 500));
     }
     b.ask(query("fresh", 900));
     b.ask(repeat("late"));
-    let out = b.end("first-0", 0, "r", Outcome::ReadDone);
+    let out = b.end("first-0", 0, "r", Outcome::PrefillDone);
     assert_eq!(sends(&out)[1].0, "fresh");
     assert!(declined(&b.wait(20 * MS), "late"));
 }
 
-fn two_zones() -> Vec<Entry> {
-    let near = (0..4).map(|i| Entry { zone: 0, ..entry(&format!("near{i}"), 0) });
-    let far = (0..8).map(|i| Entry { zone: 1, cell: 1, ..entry(&format!("far{i}"), 0) });
+fn two_zones() -> Vec<ServerEntry> {
+    let near = (0..4).map(|i| ServerEntry { zone: 0, ..entry(&format!("near{i}"), 0) });
+    let far = (0..8).map(|i| ServerEntry { zone: 1, rack: 1, ..entry(&format!("far{i}"), 0) });
     near.chain(far).chain([entry("w", 1), entry("w2", 1)]).collect()
 }
 
@@ -425,7 +425,7 @@
             if far {
                 times.push(b.now);
             }
-            let outcome = if far { Outcome::NoConnection } else { Outcome::ReadDone };
+            let outcome = if far { Outcome::NoConnection } else { Outcome::PrefillDone };
             out = b.end(&id, *n, &w, outcome);
             *n += 1;
             if !far {
@@ -441,7 +441,7 @@
 #[test]
 fn a_lost_zone_is_cut_off_as_one_though_it_holds_most_of_a_role() {
     let mut b = Bench::new(small(), &[]);
-    b.list(ListForm::Changes, two_zones());
+    b.list(ListUpdateKind::Changes, two_zones());
     let times = far_sends(&mut b, 10 * SEC);
     // Eight breakers and a panic would send there all the time; a few find out and a few try again.
     assert!((3..=12).contains(&times.len()), "{} sends into the lost zone", times.len());
@@ -451,7 +451,7 @@
 fn routers_do_not_try_a_lost_zone_again_in_step() {
     let tries = |seed| {
         let mut b = Bench::seeded(small(), seed);
-        b.list(ListForm::WarmCopy, two_zones());
+        b.list(ListUpdateKind::StaleCopy, two_zones());
         far_sends(&mut b, 4 * SEC)
     };
     let all: std::collections::BTreeSet<_> = (1..9).map(tries).collect();
@@ -463,8 +463,8 @@
     let mut b = Bench::new(small(), &[]);
     b.ask(query("waited", 900));
     assert!(declined(&b.wait(950 * MS), "waited"));
-    b.list(ListForm::Changes, PAIR.iter().map(|(n, k)| entry(n, *k)).collect());
-    let repeat = |id: &str| Query { resent: true, budget: SEC, ..query(id, 300) };
+    b.list(ListUpdateKind::Changes, PAIR.iter().map(|(n, k)| entry(n, *k)).collect());
+    let repeat = |id: &str| Query { is_client_retry: true, budget: SEC, ..query(id, 300) };
     let out = b.ask(repeat("late"));
     assert!(declined(&out, "late") && sends(&out).is_empty(), "answered at once");
     assert_eq!(sends(&b.ask(query("fresh", 300))).len(), 1);
@@ -478,11 +478,11 @@
         let settings = Settings { max_retry_after: 2 * SEC, ..small() };
         let mut b = Bench::new(settings, fleet);
         b.ask(query("a", 900));
-        b.end("a", 0, "r1", Outcome::ReadDone);
+        b.end("a", 0, "r1", Outcome::PrefillDone);
         b.end("a", 1, "w1", Outcome::ConnectionLost);
-        let out = b.end("a", 2, "w2", Outcome::StateLost);
+        let out = b.end("a", 2, "w2", Outcome::CacheMissing);
         out.iter().find_map(|a| match a {
-            Action::Decline { retry_after, .. } => Some(*retry_after),
+            Action::Refuse { retry_after, .. } => Some(*retry_after),
             _ => None,
         })
     };
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -15,7 +15,7 @@
 fn written(effect: Effect, fleet: &[(&str, usize)]) -> Bench {
     let mut b = Bench::new(with(effect), fleet);
     b.ask(query("a", 900));
-    b.end("a", 0, "r", Outcome::ReadDone);
+    b.end("a", 0, "r", Outcome::PrefillDone);
     b
 }
 
@@ -42,7 +42,7 @@
 fn an_unsafe_request_whose_client_is_back_for_the_rest_is_never_refused() {
     for (effect, refused) in [(Effect::Unsafe, false), (Effect::Safe, true)] {
         let mut b = Bench::new(with(effect), &[]);
-        b.ask(Query { came_back: true, ..query("a", 900) });
+        b.ask(Query { resumes_stream: true, ..query("a", 900) });
         let out = b.wait(5 * SEC);
         assert_eq!((declined(&out, "a"), failed(&out, "a")), (refused, !refused), "{effect:?}");
     }
@@ -51,7 +51,7 @@
 #[test]
 fn an_unsafe_request_that_never_ran_is_tried_again() {
     let mut b = written(Effect::Unsafe, &FLEET);
-    assert_eq!(sends(&b.end("a", 1, "w1", Outcome::TurnedAway)).len(), 1);
+    assert_eq!(sends(&b.end("a", 1, "w1", Outcome::Rejected)).len(), 1);
 }
 
 #[test]
@@ -63,23 +63,23 @@
 
 #[test]
 fn a_keyed_request_is_repeated_in_its_group_and_window_only() {
-    let groups = [(Scope::All, true), (Scope::Zone, false), (Scope::Cell, false)];
+    let groups = [(DedupScope::All, true), (DedupScope::Zone, false), (DedupScope::Rack, false)];
     for (scope, crosses) in groups {
         // A connection to the next one may take its whole time to come up, and only then is the send made.
         let connect = Settings::example().connect_timeout;
         let short = SEC + connect;
         for (window, in_time) in [(10 * SEC, true), (short + MS, true), (short, false), (SEC, false)] {
             let mut b = Bench::new(with(Effect::Keyed { scope, window }), &[("r", 0), ("w1", 1)]);
-            let far = Entry { cell: 9, zone: 1, ..entry("w2", 1) };
-            b.list(ListForm::Changes, vec![far]);
+            let far = ServerEntry { rack: 9, zone: 1, ..entry("w2", 1) };
+            b.list(ListUpdateKind::Changes, vec![far]);
             b.ask(query("a", 900));
-            assert_eq!(sends(&b.end("a", 0, "r", Outcome::ReadDone))[0].1, "w1");
+            assert_eq!(sends(&b.end("a", 0, "r", Outcome::PrefillDone))[0].1, "w1");
             b.now += SEC;
             let mut sent = sends(&b.end("a", 1, "w1", Outcome::ConnectionLost));
             // It may never have arrived: what it was to fetch has waited too long, and is read anew first.
             assert!(sent.iter().all(|s| s.1 == "r"), "{scope:?} {window}");
             if !sent.is_empty() {
-                sent.extend(sends(&b.end("a", 2, "r", Outcome::ReadDone)));
+                sent.extend(sends(&b.end("a", 2, "r", Outcome::PrefillDone)));
             }
             let to_far = sent.iter().any(|s| s.1 == "w2");
             assert_eq!(to_far, crosses && in_time, "{scope:?} {window}");
@@ -92,19 +92,19 @@
 fn nothing_goes_to_a_server_that_drains_or_is_gone() {
     for health in [Health::Draining, Health::Gone] {
         let mut b = Bench::new(Settings::example(), &FLEET);
-        b.list(ListForm::Changes, vec![Entry { health, ..entry("r", 0) }]);
+        b.list(ListUpdateKind::Changes, vec![ServerEntry { health, ..entry("r", 0) }]);
         assert!(sends(&b.ask(query("a", 900))).is_empty());
     }
     let mut b = Bench::new(Settings::example(), &FLEET);
-    b.list(ListForm::Full, vec![entry("w1", 1)]);
+    b.list(ListUpdateKind::Full, vec![entry("w1", 1)]);
     assert!(sends(&b.ask(query("a", 900))).is_empty(), "missing in a full list is gone");
 }
 
 #[test]
 fn a_cold_server_gets_a_trickle_and_only_this_routers_part_of_it() {
-    let sent = |balancers| {
-        let mut b = Bench::new(Settings { balancers, ..Settings::example() }, &[("w", 1)]);
-        b.list(ListForm::Changes, vec![Entry { started: b.now, ..entry("r", 0) }]);
+    let sent = |conductors| {
+        let mut b = Bench::new(Settings { conductors, ..Settings::example() }, &[("w", 1)]);
+        b.list(ListUpdateKind::Changes, vec![ServerEntry { started: b.now, ..entry("r", 0) }]);
         let mut n = 0;
         for i in 0..200 {
             b.now += 10 * MS;
@@ -118,12 +118,12 @@
 
 #[test]
 fn a_router_that_is_told_its_part_acts_like_one_of_as_many() {
-    let run = |balancers, part: Option<f64>| {
-        let mut b = Bench::new(Settings { balancers, ..Settings::example() }, &FLEET);
+    let run = |conductors, part: Option<f64>| {
+        let mut b = Bench::new(Settings { conductors, ..Settings::example() }, &FLEET);
         if let Some(part) = part {
-            b.step(Event::Share { part });
+            b.step(Event::QuotaShare { share: part });
         }
-        b.list(ListForm::Changes, vec![Entry { started: b.now, ..entry("r", 0) }]);
+        b.list(ListUpdateKind::Changes, vec![ServerEntry { started: b.now, ..entry("r", 0) }]);
         let mut all = Vec::new();
         for i in 0..60 {
             b.now += 10 * MS;
@@ -145,8 +145,8 @@
 fn a_state_is_let_go_when_no_writer_can_be_named() {
     let mut b = Bench::new(Settings::example(), &FLEET);
     b.ask(query("a", 900));
-    b.list(ListForm::Full, vec![entry("r", 0)]);
-    assert!(sends(&b.end("a", 0, "r", Outcome::ReadDone)).is_empty());
+    b.list(ListUpdateKind::Full, vec![entry("r", 0)]);
+    assert!(sends(&b.end("a", 0, "r", Outcome::PrefillDone)).is_empty());
     assert!(dropped(&b.wait(480 * MS), "a"));
 }
 
@@ -154,13 +154,13 @@
 /// waits in its server's queue; once it is given up, what it waited for is still held.
 #[test]
 fn a_release_beside_an_attempt_that_had_arrived_is_made_again_at_its_end() {
-    for outcome in [Outcome::NoAnswer, Outcome::ConnectionLost, Outcome::TurnedAway, Outcome::NoConnection] {
+    for outcome in [Outcome::NoAnswer, Outcome::ConnectionLost, Outcome::Rejected, Outcome::NoConnection] {
         let mut b = Bench::new(Settings::example(), &[("r", 0), ("w", 1)]);
         b.ask(query("a", 900));
-        b.end("a", 0, "r", Outcome::ReadDone);
+        b.end("a", 0, "r", Outcome::PrefillDone);
         assert!(dropped(&b.wait(800 * MS), "a"), "in time for an attempt that never arrived");
         // Nobody takes it from here on: no other attempt can begin.
-        b.list(ListForm::Full, Vec::new());
+        b.list(ListUpdateKind::Full, Vec::new());
         let at_its_end = dropped(&b.end("a", 1, "w", outcome), "a");
         assert!(at_its_end || dropped(&b.wait(480 * MS), "a"), "{outcome:?}: within the settings' time");
     }
@@ -171,7 +171,7 @@
     let mut b = Bench::new(Settings::example(), &FLEET);
     b.ask(query("a", 900));
     b.step(Event::ClientGone { id: "a".into() });
-    let out = b.end("a", 0, "r", Outcome::ReadDone);
+    let out = b.end("a", 0, "r", Outcome::PrefillDone);
     assert!(dropped(&out, "a") && sends(&out).is_empty());
 }
 
@@ -205,7 +205,7 @@
     effect: Effect,
     random: u64,
     now: Micros,
-    fleet: Vec<Entry>,
+    fleet: Vec<ServerEntry>,
     bells: Vec<(Micros, u64)>,
     seen: BTreeMap<String, Seen>,
     log: Vec<Action>,
@@ -214,13 +214,21 @@
 impl World {
     fn new(seed: u64, effect: Effect) -> Self {
         // Few routers and many: a part of several requests, and of less than one.
-        let balancers = if seed % 2 == 0 { 2 } else { 14 };
+        let conductors = if seed % 2 == 0 { 2 } else { 14 };
         // Shorter than most attempts take, or longer.
         let release = if seed % 3 == 0 { 300 * MS } else { SEC };
-        let settings = Settings { balancers, release, max_retry_after: 500 * MS, ..with(effect) };
+        let settings = Settings {
+            conductors,
+            cache_release_timeout: release,
+            max_retry_after: 500 * MS,
+            ..with(effect)
+        };
         let names = [("r1", 0), ("r2", 0), ("r3", 0), ("w1", 1), ("w2", 1), ("w3", 1), ("m1", 2), ("m2", 2)];
-        let place =
-            |(i, (n, k)): (usize, &(&str, usize))| Entry { cell: i as u64 % 3, zone: i % 2, ..entry(n, *k) };
+        let place = |(i, (n, k)): (usize, &(&str, usize))| ServerEntry {
+            rack: i as u64 % 3,
+            zone: i % 2,
+            ..entry(n, *k)
+        };
         let fleet: Vec<_> = names.iter().enumerate().map(place).collect();
         let mut world = World {
             router: Router::new(settings.clone(), seed),
@@ -233,7 +241,7 @@
             seen: BTreeMap::new(),
             log: Vec::new(),
         };
-        world.feed(Event::Members { form: ListForm::WarmCopy, entries: fleet });
+        world.feed(Event::Members { form: ListUpdateKind::StaleCopy, entries: fleet });
         world
     }
 
@@ -256,27 +264,27 @@
     fn check(&mut self, action: &Action) {
         let now = self.now;
         match action {
-            Action::Timer { delay, token } => self.bells.push((now + delay, *token)),
+            Action::SetTimer { delay, token } => self.bells.push((now + delay, *token)),
             Action::Send { id, server, stop_at, send_by } => {
                 self.check_repeat_by(id, *send_by);
                 self.check_send(id, server, *stop_at);
             }
-            Action::Decline { id, .. } | Action::Fail { id } => {
+            Action::Refuse { id, .. } | Action::Fail { id } => {
                 let seen = self.seen.get_mut(&**id).expect("an answer for a request that was asked");
                 assert!(!seen.ended, "a second answer for {id}");
                 assert!(now <= seen.deadline + self.settings.answer_slack, "{id} answered late");
                 seen.ended = true;
-                let all = matches!(self.effect, Effect::Safe | Effect::Keyed { scope: Scope::All, .. });
+                let all = matches!(self.effect, Effect::Safe | Effect::Keyed { scope: DedupScope::All, .. });
                 let advice =
-                    |a: &Action| matches!(a, Action::Decline { retry_after, .. } if *retry_after > 500 * MS);
+                    |a: &Action| matches!(a, Action::Refuse { retry_after, .. } if *retry_after > 500 * MS);
                 assert!(!advice(action), "{id}: advised beyond the stated limit");
-                let refused = matches!(action, Action::Decline { .. });
+                let refused = matches!(action, Action::Refuse { .. });
                 assert!(
                     !refused || all || (seen.ran.is_empty() && seen.out.is_none()),
                     "{id} refused unsafely"
                 );
             }
-            Action::DropState { id } => {
+            Action::ReleaseCache { id } => {
                 // Takes only what no attempt waits for.
                 let seen = self.seen.get_mut(&**id).expect("known");
                 let waits = seen.out.is_some_and(|(w, ..)| self.fleet[w].kind != 0);
@@ -287,10 +295,10 @@
                 let seen = self.seen.get_mut(&**id).expect("known");
                 assert!(*attempt < seen.attempts, "cancelled what was never sent");
                 if let Some((_, _, at, how, false)) = &mut seen.out {
-                    (*at, *how) = (due, Some(Outcome::CalledOff));
+                    (*at, *how) = (due, Some(Outcome::Cancelled));
                 }
             }
-            Action::Move { .. } | Action::Probe { .. } | Action::Watch | Action::Log(_) => {}
+            Action::MoveStream { .. } | Action::Probe { .. } | Action::Watch | Action::Log(_) => {}
         }
     }
 
@@ -319,9 +327,9 @@
             Effect::Keyed { scope, window } => {
                 now + self.settings.connect_timeout < sent + window
                     && match scope {
-                        Scope::All => true,
-                        Scope::Zone => fleet[first].zone == fleet[w].zone,
-                        Scope::Cell => fleet[first].cell == fleet[w].cell,
+                        DedupScope::All => true,
+                        DedupScope::Zone => fleet[first].zone == fleet[w].zone,
+                        DedupScope::Rack => fleet[first].rack == fleet[w].rack,
                     }
             }
         };
@@ -331,12 +339,12 @@
         let how = match fate {
             0..=4 => Outcome::ConnectionLost,
             5..=9 => Outcome::NoConnection,
-            10..=14 => Outcome::TurnedAway,
+            10..=14 => Outcome::Rejected,
             15..=17 => Outcome::Failed,
             18..=24 => Outcome::NoAnswer,
             25 => Outcome::NotSent,
-            26..=29 if !reader => Outcome::StateLost,
-            _ if reader => Outcome::ReadDone,
+            26..=29 if !reader => Outcome::CacheMissing,
+            _ if reader => Outcome::PrefillDone,
             _ => Outcome::Served,
         };
         let at = if how == Outcome::NoAnswer { stop_at } else { (now + delay).min(stop_at) };
@@ -354,20 +362,20 @@
             seen.out = Some((w, sent, at + more, Some(how), true));
             seen.state = None;
             let attempt = seen.attempts - 1;
-            return self.feed(Event::Headers { id: id.into(), attempt, elapsed: now - sent });
+            return self.feed(Event::AnswerStarted { id: id.into(), attempt, elapsed: now - sent });
         }
         seen.out = None;
         let reader = self.fleet[w].kind == 0;
         use Outcome::*;
         match how {
-            ReadDone => seen.state = Some(now),
+            PrefillDone => seen.state = Some(now),
             // A reader whose connection broke may have read to the end.
             ConnectionLost | Failed if reader => seen.state = lingers.then_some(now),
-            NoAnswer | CalledOff | TurnedAway | NoConnection | NotSent if reader => seen.state = None,
-            StateLost | Served => seen.state = None,
+            NoAnswer | Cancelled | Rejected | NoConnection | NotSent if reader => seen.state = None,
+            CacheMissing | Served => seen.state = None,
             _ => seen.state = seen.state.map(|_| now),
         }
-        if !reader && matches!(how, Served | Failed | NoAnswer | ConnectionLost | CalledOff) {
+        if !reader && matches!(how, Served | Failed | NoAnswer | ConnectionLost | Cancelled) {
             seen.ran.push((w, sent));
         }
         let finished = seen.ended || how == Served;
@@ -375,16 +383,26 @@
         let attempt = seen.attempts - 1;
         let server = self.fleet[w].server.clone();
         let elapsed = now - sent;
-        let (id, kept_tokens, load) = (id.into(), 0, None);
-        self.feed(Event::Result { id, attempt, server, outcome: how, elapsed, kept_tokens, finished, load });
+        let (id, cached_tokens, load) = (id.into(), 0, None);
+        self.feed(Event::AttemptEnded {
+            id,
+            attempt,
+            server,
+            outcome: how,
+            elapsed,
+            cached_tokens,
+            finished,
+            load,
+        });
     }
 
     /// News of the list: drains, ends, restarts, stale and lost lists.
     fn shake(&mut self) {
         let w = self.below(self.fleet.len() as u64) as usize;
         let health = *[Health::Draining, Health::Gone].get(self.below(8) as usize).unwrap_or(&Health::Up);
-        let form = [ListForm::Changes, ListForm::Full, ListForm::Lost][self.below(3) as usize];
-        if form == ListForm::Lost {
+        let form = [ListUpdateKind::Changes, ListUpdateKind::Full, ListUpdateKind::SourceUnavailable]
+            [self.below(3) as usize];
+        if form == ListUpdateKind::SourceUnavailable {
             // Tells nothing: the list that is held stays in force until the change that follows.
             self.feed(Event::Members { form, entries: Vec::new() });
         }
@@ -393,10 +411,10 @@
         }
         self.fleet[w].health = health;
         let entries = match form {
-            ListForm::Full => self.fleet.iter().filter(|e| e.health != Health::Gone).cloned().collect(),
+            ListUpdateKind::Full => self.fleet.iter().filter(|e| e.health != Health::Gone).cloned().collect(),
             _ => vec![self.fleet[w].clone()],
         };
-        let form = if form == ListForm::Lost { ListForm::Changes } else { form };
+        let form = if form == ListUpdateKind::SourceUnavailable { ListUpdateKind::Changes } else { form };
         self.feed(Event::Members { form, entries });
     }
 
@@ -404,17 +422,25 @@
     fn odd(&mut self) {
         let n = self.seen.len() as u64 + 3;
         let id: Id = format!("q{}", self.below(n)).as_str().into();
-        let (server, load) = (self.fleet[0].server.clone(), Some(Load::default()));
+        let (server, load) = (self.fleet[0].server.clone(), Some(LoadReport::default()));
         let known = self.seen.contains_key(&*id);
         match self.below(5) {
-            0 => self.feed(Event::Bell { token: 1 << 40 }),
-            1 => self.feed(Event::Place { id, server, held: false }),
-            2 => self.feed(Event::Probed { server, outcome: Outcome::NoConnection, load }),
+            0 => self.feed(Event::TimerFired { token: 1 << 40 }),
+            1 => self.feed(Event::SlotReservation { id, server, reserved: false }),
+            2 => self.feed(Event::ProbeEnded { server, outcome: Outcome::NoConnection, load }),
             3 if !known => {
-                let (outcome, finished) = (Outcome::ReadDone, false);
-                let (attempt, elapsed, kept_tokens) = (9, 1, 0);
-                let event =
-                    Event::Result { id, attempt, server, outcome, elapsed, kept_tokens, finished, load };
+                let (outcome, finished) = (Outcome::PrefillDone, false);
+                let (attempt, elapsed, cached_tokens) = (9, 1, 0);
+                let event = Event::AttemptEnded {
+                    id,
+                    attempt,
+                    server,
+                    outcome,
+                    elapsed,
+                    cached_tokens,
+                    finished,
+                    load,
+                };
                 self.feed(event);
             }
             _ => {
@@ -435,7 +461,7 @@
             let now = self.now;
             let due: Vec<u64> = self.bells.iter().filter(|b| b.0 <= now).map(|b| b.1).collect();
             self.bells.retain(|b| b.0 > now);
-            due.into_iter().for_each(|token| self.feed(Event::Bell { token }));
+            due.into_iter().for_each(|token| self.feed(Event::TimerFired { token }));
             let over = |s: &Seen| s.out.is_some_and(|o| o.2 <= now);
             let ids: Vec<String> =
                 self.seen.iter().filter(|(_, s)| over(s)).map(|(id, _)| id.clone()).collect();
@@ -457,7 +483,8 @@
             }
             for (id, seen) in &self.seen {
                 let waits = seen.out.is_none();
-                let pinned = waits && seen.state.is_some_and(|at| now > at + self.settings.release);
+                let pinned =
+                    waits && seen.state.is_some_and(|at| now > at + self.settings.cache_release_timeout);
                 assert!(!pinned, "{id}: its state is neither taken nor let go");
                 let late = waits && !seen.ended && now > seen.deadline + self.settings.answer_slack;
                 assert!(!late, "{id}: no answer in time");
@@ -472,9 +499,9 @@
     let effects = [
         Effect::Safe,
         Effect::Unsafe,
-        Effect::Keyed { scope: Scope::All, window },
-        Effect::Keyed { scope: Scope::Zone, window },
-        Effect::Keyed { scope: Scope::Cell, window },
+        Effect::Keyed { scope: DedupScope::All, window },
+        Effect::Keyed { scope: DedupScope::Zone, window },
+        Effect::Keyed { scope: DedupScope::Rack, window },
     ];
     for effect in effects {
         for seed in 0..12 {
@@ -496,7 +523,7 @@
 /// The final answers among the actions: `Some` advice for a refusal, `None` for a failure.
 fn answers(actions: &[Action]) -> Vec<Option<Micros>> {
     let answer = |a: &Action| match a {
-        Action::Decline { retry_after, .. } => Some(Some(*retry_after)),
+        Action::Refuse { retry_after, .. } => Some(Some(*retry_after)),
         Action::Fail { .. } => Some(None),
         _ => None,
     };
@@ -518,21 +545,21 @@
     let mut b = Bench::new(settings(Effect::Safe), &FLEET);
     assert!(advised(one(b.ask(Query { budget: 0, ..query("none", 900) }))));
     b.ask(query("spent", 900));
-    b.end("spent", 0, "r", Outcome::ReadDone);
-    assert!(advised(one(b.end("spent", 1, "w1", Outcome::TurnedAway))));
+    b.end("spent", 0, "r", Outcome::PrefillDone);
+    assert!(advised(one(b.end("spent", 1, "w1", Outcome::Rejected))));
 
     // It may have run: a refusal where a repeat is harmless, else a failure, which gives no advice.
     let effects = [
         (Effect::Safe, true),
-        (keyed(Scope::All), true),
-        (keyed(Scope::Zone), false),
-        (keyed(Scope::Cell), false),
+        (keyed(DedupScope::All), true),
+        (keyed(DedupScope::Zone), false),
+        (keyed(DedupScope::Rack), false),
         (Effect::Unsafe, false),
     ];
     for (effect, harmless) in effects {
         let mut b = Bench::new(settings(effect), &FLEET);
         b.ask(query("a", 900));
-        b.end("a", 0, "r", Outcome::ReadDone);
+        b.end("a", 0, "r", Outcome::PrefillDone);
         let told = one(b.end("a", 1, "w1", Outcome::NoAnswer));
         assert!(if harmless { advised(told) } else { told.is_none() }, "{effect:?}: {told:?}");
     }
@@ -542,8 +569,8 @@
     b.ask(query("left", 900));
     b.ask(query("served", 900));
     let mut out = b.step(Event::ClientGone { id: "left".into() });
-    out.extend(b.end("left", 0, "r", Outcome::ReadDone));
-    b.end("served", 0, "r", Outcome::ReadDone);
+    out.extend(b.end("left", 0, "r", Outcome::PrefillDone));
+    b.end("served", 0, "r", Outcome::PrefillDone);
     b.begin("served", 1);
     out.extend(b.end("served", 1, "w1", Outcome::Served));
     out.extend(b.wait(6 * SEC));
@@ -575,7 +602,7 @@
     let tenant = |name: &str| Tenant { name: name.into(), quota_per_s: 1.0 };
     let of = |names: &[&str]| {
         let tenants = names.iter().map(|name| tenant(name)).collect();
-        Settings { tenants, over_share_worth: 0.1, ..Settings::example() }
+        Settings { tenants, over_quota_worth: 0.1, ..Settings::example() }
     };
     let mut b = Bench::new(of(&["spent", "other"]), &[]);
     b.ask(Query { tenant: Some(0), ..query("first", 900) });
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -8,14 +8,14 @@
 const ROUTERS: u32 = 100;
 
 fn large() -> Settings {
-    Settings { balancers: ROUTERS, ..Settings::example() }
+    Settings { conductors: ROUTERS, ..Settings::example() }
 }
 
 fn named(kind: usize, letter: char, n: usize) -> Vec<(String, usize)> {
     (0..n).map(|i| (format!("{letter}{i}"), kind)).collect()
 }
 
-fn fleet(readers: usize, writers: usize) -> Vec<Entry> {
+fn fleet(readers: usize, writers: usize) -> Vec<ServerEntry> {
     let names = [named(0, 'r', readers), named(1, 'w', writers)].concat();
     names.iter().map(|(name, kind)| entry(name, *kind)).collect()
 }
@@ -28,10 +28,10 @@
         side.run(15 * SEC);
         let from = side.now;
         let kind = usize::from(back.starts_with('w'));
-        side.tell(&[Entry { started: from, ..entry(back, kind) }]);
+        side.tell(&[ServerEntry { started: from, ..entry(back, kind) }]);
         side.run(8 * SEC);
         // A warm peer takes 20 a second here, and can do at least that.
-        let budget = 20.0 * settings.cold_from * settings.fall_multiple;
+        let budget = 20.0 * settings.slow_start_initial_share * settings.overload_multiple;
         let most = side.busiest_second(back, from);
         assert!(most > 0, "{back}: a cold server must be filled");
         assert!(most as f64 <= budget, "{back}: {most} sends in a second, budget {budget}");
@@ -48,13 +48,13 @@
         side.run(before * SEC);
         let from = side.now;
         let kind = usize::from(back.starts_with('w'));
-        side.tell(&[Entry { started: from, ..entry(back, kind) }]);
+        side.tell(&[ServerEntry { started: from, ..entry(back, kind) }]);
         side.run(8 * SEC);
         let to = |server: &str| side.sent.iter().filter(|s| &*s.1 == server && s.0 >= from).count();
         let peers: usize = (1..10).map(|i| to(&format!("{}{i}", &back[..1]))).sum();
         let (cold, warm) = (to(back), peers / 9);
         // Half of what it may be sent, were a warm one at its limit; most of that is to arrive.
-        let due = warm as f64 * settings.cold_from * settings.fall_multiple / 2.0;
+        let due = warm as f64 * settings.slow_start_initial_share * settings.overload_multiple / 2.0;
         assert!(cold as f64 >= 0.8 * due, "{back} after {before} s: {cold} sends, a warm peer has {warm}");
     }
 }
@@ -64,14 +64,14 @@
     let mut side = Side::new(&large(), &fleet(10, 10));
     side.run(15 * SEC);
     let from = side.now;
-    side.tell(&[Entry { started: from, ..entry("r99", 0) }]);
+    side.tell(&[ServerEntry { started: from, ..entry("r99", 0) }]);
     side.run(200 * MS);
     assert!(side.busiest_second("r99", from) <= 3);
 }
 
-fn router(settings: Settings, entries: Vec<Entry>) -> Bench {
+fn router(settings: Settings, entries: Vec<ServerEntry>) -> Bench {
     let mut b = Bench::new(settings, &[]);
-    b.list(ListForm::Changes, entries);
+    b.list(ListUpdateKind::Changes, entries);
     b
 }
 
@@ -79,7 +79,7 @@
 fn turns_of_one_session_meet_at_one_reader_though_their_routers_differ() {
     let read_at = |seed: u64, session: &str| {
         let mut b = Bench::seeded(large(), seed);
-        b.list(ListForm::WarmCopy, fleet(12, 4));
+        b.list(ListUpdateKind::StaleCopy, fleet(12, 4));
         let q = Query { prefix: Some("p".into()), session: session.into(), ..query("a", 900) };
         sends(&b.ask(q))[0].1.clone()
     };
@@ -118,8 +118,8 @@
 }
 
 fn says(b: &mut Bench, server: &str, outcome: Outcome, outstanding: f64) -> Vec<Action> {
-    let load = Some(Load { outstanding: Some(outstanding), ..Load::default() });
-    b.step(Event::Probed { server: server.into(), outcome, load })
+    let load = Some(LoadReport { outstanding: Some(outstanding), ..LoadReport::default() });
+    b.step(Event::ProbeEnded { server: server.into(), outcome, load })
 }
 
 #[test]
@@ -196,13 +196,13 @@
     let of = |id: &str| Query { session: "s".into(), ..query(id, 900) };
     let home = sends(&b.ask(of("a")))[0].1.clone();
     b.now += 600 * MS;
-    let slow = Event::Result {
+    let slow = Event::AttemptEnded {
         id: "a".into(),
         attempt: 0,
         server: home.as_str().into(),
-        outcome: Outcome::ReadDone,
+        outcome: Outcome::PrefillDone,
         elapsed: 600 * MS,
-        kept_tokens: 0,
+        cached_tokens: 0,
         finished: false,
         load: None,
     };
@@ -216,7 +216,7 @@
 fn a_server_that_turned_a_request_away_rests_and_comes_back() {
     let mut b = Bench::new(Settings::example(), &[("m1", 2), ("m2", 2)]);
     let first = sends(&b.ask(query("a", 900)))[0].1.clone();
-    b.end("a", 0, &first, Outcome::TurnedAway);
+    b.end("a", 0, &first, Outcome::Rejected);
     let taken = |b: &mut Bench, round: &str| {
         let ids = (0..3).map(|i| format!("{round}{i}"));
         ids.filter(|id| sends(&b.ask(query(id, 900))).iter().any(|s| s.1 == first)).count()
@@ -230,7 +230,7 @@
 fn a_reader_heavy_rack_does_not_pile_its_reads_on_its_one_writer() {
     let mut entries = fleet(4, 6);
     for e in &mut entries {
-        e.cell = if e.kind == 0 || &*e.server == "w0" { 1 } else { 2 };
+        e.rack = if e.kind == 0 || &*e.server == "w0" { 1 } else { 2 };
     }
     let mut side = Side::new(&large(), &entries);
     side.run(15 * SEC);
@@ -241,12 +241,12 @@
 
 #[test]
 fn a_large_list_that_shrinks_to_none_and_returns_is_no_trouble() {
-    for balancers in [1, 1_000] {
-        let mut b = router(Settings { balancers, ..Settings::example() }, fleet(50, 50));
-        b.list(ListForm::Full, Vec::new());
+    for conductors in [1, 1_000] {
+        let mut b = router(Settings { conductors, ..Settings::example() }, fleet(50, 50));
+        b.list(ListUpdateKind::Full, Vec::new());
         assert!(sends(&b.ask(query("a", 900))).is_empty());
         // A clock that jumps by far more than the client's patience: the answer is still the first thing.
-        let out = b.list(ListForm::Full, fleet(50, 50));
+        let out = b.list(ListUpdateKind::Full, fleet(50, 50));
         assert_eq!(sends(&out).len(), 1);
         b.now += 60 * SEC;
         let out = b.end("a", 0, &sends(&out)[0].1, Outcome::NoAnswer);
@@ -258,26 +258,26 @@
 fn ill_valued_reports_and_tiny_quotas_are_no_trouble() {
     let settings = Settings {
         tenants: vec![Tenant { name: "t".into(), quota_per_s: 0.001 }],
-        over_share_worth: 0.1,
-        balancers: 1_000,
+        over_quota_worth: 0.1,
+        conductors: 1_000,
         ..Settings::example()
     };
     let mut b = router(settings, fleet(3, 3));
     let first = sends(&b.ask(Query { tenant: Some(0), ..query("a", 900) }));
-    let load = Some(Load {
+    let load = Some(LoadReport {
         memory: Some(f64::NAN),
         waiting_ktokens: Some(-1e300),
         slots: None,
         queued: None,
         outstanding: Some(f64::NAN),
     });
-    let out = b.step(Event::Result {
+    let out = b.step(Event::AttemptEnded {
         id: "a".into(),
         attempt: 0,
         server: first[0].1.as_str().into(),
-        outcome: Outcome::ReadDone,
+        outcome: Outcome::PrefillDone,
         elapsed: u64::MAX / 4,
-        kept_tokens: u64::MAX,
+        cached_tokens: u64::MAX,
         finished: false,
         load,
     });
@@ -288,7 +288,7 @@
 fn what_waits_at_the_writers_holds_the_next_read() {
     let mut b = router(large(), fleet(40, 10));
     let reader = sends(&b.ask(query("a", 900)))[0].1.clone();
-    b.end("a", 0, &reader, Outcome::ReadDone);
+    b.end("a", 0, &reader, Outcome::PrefillDone);
     assert!(sends(&b.ask(query("b", 900))).is_empty(), "a part of ten writers is 1.2");
     assert_eq!(sends(&[b.begin("a", 1), b.wait(200 * MS)].concat()).len(), 1);
 }
@@ -296,7 +296,7 @@
 #[test]
 fn starved_requests_of_many_routers_do_not_all_leave_ahead() {
     // At 120 routers a tenth of the rate of promotions is each router's part.
-    let settings = Settings { balancers: 120, ..Settings::example() };
+    let settings = Settings { conductors: 120, ..Settings::example() };
     let mut b = router(settings, fleet(0, 30));
     for i in 0..3 {
         b.ask(query(&format!("long-{i}"), 2_000));
@@ -305,11 +305,11 @@
     for i in 0..6 {
         b.ask(query(&format!("short-{i}"), 300));
     }
-    let left = sends(&b.list(ListForm::Changes, fleet(30, 0)));
+    let left = sends(&b.list(ListUpdateKind::Changes, fleet(30, 0)));
     let kinds: Vec<_> = left.iter().map(|s| &s.0[..4]).collect();
     assert_eq!(kinds, ["long", "shor", "shor"], "the readers' parts together are three");
     b.wait(100 * MS);
-    let next = sends(&b.end(&left[0].0, 0, &left[0].1, Outcome::ReadDone));
+    let next = sends(&b.end(&left[0].0, 0, &left[0].1, Outcome::PrefillDone));
     assert!(next[1].0.starts_with("short"), "{next:?}");
 }
 
@@ -338,15 +338,15 @@
         due.retain(|d| d.0 > b.now);
         for (_, id, server) in over {
             let (id, server): (Id, Id) = (id.as_str().into(), server.as_str().into());
-            let (outcome, elapsed, kept_tokens, load) = (Outcome::ReadDone, 800 * MS, 0, None);
+            let (outcome, elapsed, cached_tokens, load) = (Outcome::PrefillDone, 800 * MS, 0, None);
             let (attempt, finished) = (0, false);
-            out.extend(b.step(Event::Result {
+            out.extend(b.step(Event::AttemptEnded {
                 id,
                 attempt,
                 server,
                 outcome,
                 elapsed,
-                kept_tokens,
+                cached_tokens,
                 finished,
                 load,
             }));
@@ -361,15 +361,15 @@
     // Rack 1 has three readers and one writer, rack 2 one reader and five writers.
     let mut entries = fleet(4, 6);
     for e in &mut entries {
-        e.cell = if matches!(&*e.server, "r0" | "r1" | "r2" | "w0") { 1 } else { 2 };
+        e.rack = if matches!(&*e.server, "r0" | "r1" | "r2" | "w0") { 1 } else { 2 };
     }
     let mut shares = [0, 0];
     for i in 0..200u64 {
         let mut b = Bench::seeded(large(), i);
-        b.list(ListForm::WarmCopy, entries.clone());
+        b.list(ListUpdateKind::StaleCopy, entries.clone());
         let id = format!("q{i}");
         let reader = sends(&b.ask(query(&id, 900)))[0].1.clone();
-        let writer = sends(&b.end(&id, 0, &reader, Outcome::ReadDone))[0].1.clone();
+        let writer = sends(&b.end(&id, 0, &reader, Outcome::PrefillDone))[0].1.clone();
         if reader != "r3" {
             shares[usize::from(writer == "w0")] += 1;
         } else {
@@ -385,13 +385,13 @@
     let mut b = router(large(), fleet(9, 9));
     let hung = sends(&b.ask(query("a", 900)))[0].1.clone();
     b.now += 3 * SEC;
-    b.step(Event::Result {
+    b.step(Event::AttemptEnded {
         id: "a".into(),
         attempt: 0,
         server: hung.as_str().into(),
         outcome: Outcome::NoAnswer,
         elapsed: 3 * SEC,
-        kept_tokens: 0,
+        cached_tokens: 0,
         finished: false,
         load: None,
     });
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -14,7 +14,7 @@
 /// How long the start is watched.
 const TIME: Micros = 6 * SEC;
 
-fn servers() -> Vec<Entry> {
+fn servers() -> Vec<ServerEntry> {
     let of = |kind, letter| (0..SERVERS).map(move |n| entry(&format!("{letter}{n}"), kind));
     of(0, 'r').chain(of(1, 'w')).collect()
 }
@@ -43,7 +43,7 @@
 /// The most that the new server got in a window of the settings, over its budget there; and the share of the
 /// budgets of the whole time that it got.
 fn start(routers: u32, case: Case, seed: u64, kind: usize) -> (f64, f64, f64) {
-    let settings = Settings { balancers: routers, ..Settings::example() };
+    let settings = Settings { conductors: routers, ..Settings::example() };
     let mut side = Side::new(&settings, &servers());
     side.whose = Box::new(move |asked, routers| {
         let drawn = draw(seed, asked);
@@ -55,7 +55,7 @@
     });
     side.run(8 * SEC);
     let (begin, name) = (side.now, if kind == 0 { "new-r" } else { "new-w" });
-    let news = [Entry { started: begin, ..entry(name, kind) }];
+    let news = [ServerEntry { started: begin, ..entry(name, kind) }];
     let mut late = Vec::new();
     for i in 0..routers as usize {
         match case {
@@ -79,10 +79,11 @@
         });
     }
     let times: Vec<Micros> = side.sent.iter().filter(|s| &*s.1 == name).map(|s| s.0).collect();
-    let within = |&t: &Micros| times.iter().filter(|&&u| u >= t && u < t + settings.fall).count();
+    let within =
+        |&t: &Micros| times.iter().filter(|&&u| u >= t && u < t + settings.overload_duration).count();
     let most = times.iter().map(within).max().unwrap_or(0) as f64;
-    let per_s = WARM_PER_S * settings.cold_from * settings.fall_multiple;
-    let budget = per_s * settings.fall as f64 / 1e6;
+    let per_s = WARM_PER_S * settings.slow_start_initial_share * settings.overload_multiple;
+    let budget = per_s * settings.overload_duration as f64 / 1e6;
     (most, budget, times.len() as f64 / (per_s * TIME as f64 / 1e6))
 }
 
--- a/tests/support/fleet.rs
+++ b/tests/support/fleet.rs
@@ -76,11 +76,11 @@
         };
         let names =
             (0..prefill).map(|n| (format!("p{n}"), 0)).chain((0..decode).map(|n| (format!("d{n}"), 1)));
-        fleet.tell(ListForm::WarmCopy, names.map(|(name, kind)| super::entry(&name, kind)).collect());
+        fleet.tell(ListUpdateKind::StaleCopy, names.map(|(name, kind)| super::entry(&name, kind)).collect());
         fleet
     }
 
-    pub fn tell(&mut self, form: ListForm, entries: Vec<Entry>) {
+    pub fn tell(&mut self, form: ListUpdateKind, entries: Vec<ServerEntry>) {
         for entry in &entries {
             let server = self.servers.entry(entry.server.clone()).or_default();
             server.slots.resize(SLOTS, 0);
@@ -117,7 +117,7 @@
 
     fn happens(&mut self, due: Due) {
         match due {
-            Due::Bell(token) => self.feed(Event::Bell { token }),
+            Due::Bell(token) => self.feed(Event::TimerFired { token }),
             Due::Asks(n) => {
                 let query = self.queries[n].clone();
                 self.asked.insert(query.id.clone(), (self.now, query.prompt_tokens));
@@ -126,9 +126,9 @@
             Due::Begins(id, attempt) => {
                 let Some((_, sent)) = self.is_out(&id, attempt) else { return };
                 self.ends.insert(id.clone(), End::Served(self.now - self.asked[&id].0));
-                self.feed(Event::Headers { id, attempt, elapsed: self.now - sent });
+                self.feed(Event::AnswerStarted { id, attempt, elapsed: self.now - sent });
             }
-            Due::Read(id, attempt) => self.ended(id, attempt, Outcome::ReadDone),
+            Due::Read(id, attempt) => self.ended(id, attempt, Outcome::PrefillDone),
             Due::Ends(id, attempt) => self.ended(id, attempt, Outcome::Served),
             Due::GivenUp(id, attempt) => match self.ends.get(&id) {
                 Some(End::Served(_)) => {}
@@ -141,9 +141,18 @@
         let Some((server, sent)) = self.is_out(&id, attempt) else { return };
         self.out.remove(&id);
         let (elapsed, finished) = (self.now - sent, outcome == Outcome::Served);
-        let kept_tokens = 0;
+        let cached_tokens = 0;
         let load = None;
-        self.feed(Event::Result { id, attempt, server, outcome, elapsed, kept_tokens, finished, load });
+        self.feed(Event::AttemptEnded {
+            id,
+            attempt,
+            server,
+            outcome,
+            elapsed,
+            cached_tokens,
+            finished,
+            load,
+        });
     }
 
     fn send(&mut self, id: Id, server: Id, stop_at: Micros) {
@@ -176,10 +185,10 @@
         for action in out {
             match action {
                 Action::Send { id, server, stop_at, .. } => self.send(id, server, stop_at),
-                Action::Timer { delay, token } => self.plan(self.now + delay, Due::Bell(token)),
-                Action::Decline { id, .. } => drop(self.ends.insert(id, End::Refused)),
+                Action::SetTimer { delay, token } => self.plan(self.now + delay, Due::Bell(token)),
+                Action::Refuse { id, .. } => drop(self.ends.insert(id, End::Refused)),
                 Action::Fail { id } => drop(self.ends.insert(id, End::Failed)),
-                Action::Cancel { id, attempt } => self.ended(id, attempt, Outcome::CalledOff),
+                Action::Cancel { id, attempt } => self.ended(id, attempt, Outcome::Cancelled),
                 Action::Log(line) => self.log.push(line),
                 _ => {}
             }
--- a/tests/support/history.rs
+++ b/tests/support/history.rs
@@ -26,7 +26,7 @@
     facade: Facade,
     draws: SmallRng,
     now: Micros,
-    servers: Vec<Entry>,
+    servers: Vec<ServerEntry>,
     settings: Settings,
     attempts: BTreeMap<Id, u32>,
     due: BTreeSet<(Micros, u64, Due)>,
@@ -36,25 +36,26 @@
 
 const OUTCOMES: [Outcome; 8] = [
     Outcome::Served,
-    Outcome::ReadDone,
+    Outcome::PrefillDone,
     Outcome::Failed,
-    Outcome::TurnedAway,
-    Outcome::StateLost,
+    Outcome::Rejected,
+    Outcome::CacheMissing,
     Outcome::NoAnswer,
     Outcome::NoConnection,
     Outcome::ConnectionLost,
 ];
 
 fn settings(draws: &mut SmallRng) -> Settings {
-    let class = |name: &str, effect| Arc::new(Class { name: name.into(), effect, ..Class::example() });
-    let keyed = Effect::Keyed { scope: Scope::Zone, window: 400 * MS };
+    let class =
+        |name: &str, effect| Arc::new(RequestClass { name: name.into(), effect, ..RequestClass::example() });
+    let keyed = Effect::Keyed { scope: DedupScope::Zone, window: 400 * MS };
     Settings {
-        balancers: [1, 2, 8, 48, 300][draws.random_range(0..5)],
+        conductors: [1, 2, 8, 48, 300][draws.random_range(0..5)],
         may_probe: draws.random_bool(0.5),
-        self_prefill: draws.random_bool(0.3),
+        decode_can_prefill: draws.random_bool(0.3),
         max_retry_after: SEC,
         tenants: vec![Tenant { name: "t".into(), quota_per_s: 20.0 }],
-        over_share_worth: 0.1,
+        over_quota_worth: 0.1,
         classes: vec![class("ask", Effect::Safe), class("book", Effect::Unsafe), class("keyed", keyed)],
         ..Settings::example()
     }
@@ -71,7 +72,7 @@
         for (kind, count) in counts.into_iter().enumerate() {
             for nth in 0..count {
                 let (zone, cell) = (draws.random_range(0..zones), draws.random_range(0..cells));
-                servers.push(Entry { zone, cell, ..entry(&format!("s{kind}-{nth}"), kind) });
+                servers.push(ServerEntry { zone, rack: cell, ..entry(&format!("s{kind}-{nth}"), kind) });
             }
         }
         let facade = Facade::new(settings.clone(), seed);
@@ -82,7 +83,7 @@
 
     /// Plays it; gives the digest of all decisions.
     pub fn play(mut self) -> u64 {
-        let verdicts = self.facade.members(self.now, ListForm::Full, self.servers.clone());
+        let verdicts = self.facade.update_servers(self.now, ListUpdateKind::Full, self.servers.clone());
         self.take(verdicts);
         let busy = self.draws.random_range(1..30) * MS;
         for nth in 0..STEPS {
@@ -117,15 +118,15 @@
             class: self.settings.classes[draws.random_range(0..3)].clone(),
             tenant: draws.random_bool(0.2).then_some(0),
             budget: draws.random_range(0..5 * SEC),
-            resent: draws.random_bool(0.1),
-            came_back: false,
+            is_client_retry: draws.random_bool(0.1),
+            resumes_stream: false,
         };
         let id = query.id.clone();
         if self.draws.random_bool(0.1) {
             let at = self.draws.random_range(0..SEC);
             self.at(at, Due::Leaves(id));
         }
-        if let Some(verdicts) = self.facade.pick(self.now, query) {
+        if let Some(verdicts) = self.facade.submit(self.now, query) {
             self.take(verdicts);
         }
     }
@@ -141,7 +142,7 @@
             _ => (server.health, server.started) = (Health::Up, self.now),
         }
         let entries = vec![server.clone()];
-        let verdicts = self.facade.members(self.now, ListForm::Changes, entries);
+        let verdicts = self.facade.update_servers(self.now, ListUpdateKind::Changes, entries);
         self.take(verdicts);
     }
 
@@ -153,14 +154,14 @@
     fn pass(&mut self, until: Micros) {
         loop {
             let due = self.due.first().map(|due| due.0).unwrap_or(Micros::MAX);
-            let wake = self.facade.wake_at().unwrap_or(Micros::MAX);
+            let wake = self.facade.next_timer_at().unwrap_or(Micros::MAX);
             let next = due.min(wake);
             if next > until {
                 break;
             }
             self.now = self.now.max(next);
             if wake <= due {
-                let verdicts = self.facade.tick(self.now);
+                let verdicts = self.facade.fire_timers(self.now);
                 self.take(verdicts);
             } else if let Some((_, _, due)) = self.due.pop_first() {
                 self.happen(due);
@@ -178,40 +179,40 @@
             }
             Due::Ends(id, attempt, outcome) if self.attempts.get(&id) == Some(&attempt) => {
                 let outcome = OUTCOMES[usize::from(outcome)];
-                let ended = Report::Ended { outcome, kept_tokens: 100, load: None };
+                let ended = Report::Ended { outcome, cached_tokens: 100, load: None };
                 let mut verdicts = self.facade.report(now, &id, ended);
                 if outcome == Outcome::Served {
                     self.attempts.remove(&id);
-                    verdicts.requests.extend(self.facade.report(now, &id, Report::Left).requests);
+                    verdicts.requests.extend(self.facade.report(now, &id, Report::Closed).requests);
                 }
                 verdicts
             }
             Due::Answers(server, says) => {
-                let load = Some(Load { outstanding: Some(f64::from(says)), ..Load::default() });
+                let load = Some(LoadReport { outstanding: Some(f64::from(says)), ..LoadReport::default() });
                 let outcome = if says > 14 { Outcome::NoConnection } else { Outcome::Served };
-                self.facade.probed(now, server, outcome, load)
+                self.facade.probe_ended(now, server, outcome, load)
             }
             Due::Leaves(id) => {
                 self.attempts.remove(&id);
-                self.facade.report(now, &id, Report::Left)
+                self.facade.report(now, &id, Report::Closed)
             }
             _ => return,
         };
         self.take(verdicts);
     }
 
-    fn take(&mut self, verdicts: Verdicts) {
+    fn take(&mut self, verdicts: Decisions) {
         let now = self.now;
         for (id, verdict) in &verdicts.requests {
             self.fold(&format!("{now} {id} {verdict:?};"));
             match verdict {
-                Verdict::Send { server, stop_at, .. } => self.sent(id, server, *stop_at),
-                Verdict::Refuse { .. } | Verdict::Fail => self.at(0, Due::Leaves(id.clone())),
-                Verdict::Cancel => {
+                Decision::Send { server, stop_at, .. } => self.sent(id, server, *stop_at),
+                Decision::Refuse { .. } | Decision::Fail => self.at(0, Due::Leaves(id.clone())),
+                Decision::Cancel => {
                     let attempt = self.attempts.get(id).copied().unwrap_or_default();
                     self.at(0, Due::Ends(id.clone(), attempt, 5));
                 }
-                Verdict::Release | Verdict::Move => {}
+                Decision::Release | Decision::Move => {}
             }
         }
         for server in verdicts.probes {
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -12,9 +12,9 @@
 pub const MS: Micros = 1_000;
 pub const SEC: Micros = 1_000_000;
 
-pub fn entry(name: &str, kind: usize) -> Entry {
+pub fn entry(name: &str, kind: usize) -> ServerEntry {
     let (server, health) = (name.into(), Health::Up);
-    Entry { server, cell: 0, kind, zone: 0, started: 0, health }
+    ServerEntry { server, rack: 0, kind, zone: 0, started: 0, health }
 }
 
 pub fn query(id: &str, prompt_tokens: u64) -> Query {
@@ -28,8 +28,8 @@
         class: Default::default(),
         tenant: None,
         budget: 5 * SEC,
-        resent: false,
-        came_back: false,
+        is_client_retry: false,
+        resumes_stream: false,
     }
 }
 
@@ -40,7 +40,7 @@
     /// The bell that it asked for last.
     pub token: u64,
     /// The class of requests that name none.
-    class: Arc<Class>,
+    class: Arc<RequestClass>,
 }
 
 /// The same settings with so many attempts for each request.
@@ -55,7 +55,7 @@
     /// `fleet` holds names and kinds: 0 reads, 1 writes, 2 does both.
     pub fn new(settings: Settings, fleet: &[(&str, usize)]) -> Self {
         let mut bench = Bench::seeded(settings, 7);
-        bench.list(ListForm::WarmCopy, fleet.iter().map(|(n, k)| entry(n, *k)).collect());
+        bench.list(ListUpdateKind::StaleCopy, fleet.iter().map(|(n, k)| entry(n, *k)).collect());
         bench
     }
 
@@ -69,14 +69,14 @@
         let mut out = Vec::new();
         self.router.handle(self.now, event, &mut out);
         for action in &out {
-            if let Action::Timer { token, .. } = action {
+            if let Action::SetTimer { token, .. } = action {
                 self.token = *token;
             }
         }
         out
     }
 
-    pub fn list(&mut self, form: ListForm, entries: Vec<Entry>) -> Vec<Action> {
+    pub fn list(&mut self, form: ListUpdateKind, entries: Vec<ServerEntry>) -> Vec<Action> {
         self.step(Event::Members { form, entries })
     }
 
@@ -86,20 +86,20 @@
     }
 
     pub fn end(&mut self, id: &str, attempt: u32, server: &str, outcome: Outcome) -> Vec<Action> {
-        self.step(Event::Result {
+        self.step(Event::AttemptEnded {
             id: id.into(),
             attempt,
             server: server.into(),
             outcome,
             elapsed: 50 * MS,
-            kept_tokens: 0,
+            cached_tokens: 0,
             finished: outcome == Outcome::Served,
             load: None,
         })
     }
 
     pub fn begin(&mut self, id: &str, attempt: u32) -> Vec<Action> {
-        self.step(Event::Headers { id: id.into(), attempt, elapsed: 50 * MS })
+        self.step(Event::AnswerStarted { id: id.into(), attempt, elapsed: 50 * MS })
     }
 
     /// Rings the sweep's bell as often as `span` holds it.
@@ -107,7 +107,7 @@
         let (mut all, end) = (Vec::new(), self.now + span);
         while self.now < end {
             self.now += 10 * MS;
-            all.extend(self.step(Event::Bell { token: self.token }));
+            all.extend(self.step(Event::TimerFired { token: self.token }));
         }
         all
     }
@@ -123,7 +123,7 @@
 }
 
 pub fn declined(actions: &[Action], id: &str) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Decline { id: i, .. } if &**i == id))
+    actions.iter().any(|a| matches!(a, Action::Refuse { id: i, .. } if &**i == id))
 }
 
 pub fn failed(actions: &[Action], id: &str) -> bool {
@@ -131,5 +131,5 @@
 }
 
 pub fn dropped(actions: &[Action], id: &str) -> bool {
-    actions.iter().any(|a| matches!(a, Action::DropState { id: i } if &**i == id))
+    actions.iter().any(|a| matches!(a, Action::ReleaseCache { id: i } if &**i == id))
 }
--- a/tests/support/side.rs
+++ b/tests/support/side.rs
@@ -25,8 +25,8 @@
 }
 
 impl Side {
-    pub fn new(settings: &Settings, fleet: &[Entry]) -> Self {
-        let routers = (0..settings.balancers).map(|i| Router::new(settings.clone(), u64::from(i) * 7 + 1));
+    pub fn new(settings: &Settings, fleet: &[ServerEntry]) -> Self {
+        let routers = (0..settings.conductors).map(|i| Router::new(settings.clone(), u64::from(i) * 7 + 1));
         let mut side = Side {
             routers: routers.collect(),
             now: 100 * SEC,
@@ -43,16 +43,16 @@
         side
     }
 
-    pub fn tell(&mut self, entries: &[Entry]) {
+    pub fn tell(&mut self, entries: &[ServerEntry]) {
         (0..self.routers.len()).for_each(|i| self.tell_one(i, entries));
     }
 
-    pub fn tell_one(&mut self, i: usize, entries: &[Entry]) {
-        self.feed(i, Event::Members { form: ListForm::Changes, entries: entries.to_vec() });
+    pub fn tell_one(&mut self, i: usize, entries: &[ServerEntry]) {
+        self.feed(i, Event::Members { form: ListUpdateKind::Changes, entries: entries.to_vec() });
     }
 
     /// A router ends, and starts from nothing but the list.
-    pub fn restart(&mut self, i: usize, settings: &Settings, entries: &[Entry]) {
+    pub fn restart(&mut self, i: usize, settings: &Settings, entries: &[ServerEntry]) {
         self.due.retain(|due| due.1 != i);
         self.bells.retain(|(_, of), _| *of != i);
         self.routers[i] = Router::new(settings.clone(), 1_000_003 + i as u64);
@@ -72,11 +72,13 @@
                     self.sent.push((self.now, server, i));
                 }
                 Action::Probe { server } => {
-                    let load =
-                        Some(Load { outstanding: Some(self.holds(&server) as f64), ..Load::default() });
-                    self.feed(i, Event::Probed { server, outcome: Outcome::Served, load });
+                    let load = Some(LoadReport {
+                        outstanding: Some(self.holds(&server) as f64),
+                        ..LoadReport::default()
+                    });
+                    self.feed(i, Event::ProbeEnded { server, outcome: Outcome::Served, load });
                 }
-                Action::Timer { delay, token } => {
+                Action::SetTimer { delay, token } => {
                     self.bells.insert((self.now + delay, i), token);
                 }
                 _ => {}
@@ -96,21 +98,30 @@
             let now = self.now;
             while let Some((&(at, i), &token)) = self.bells.first_key_value().filter(|b| b.0 .0 <= now) {
                 self.bells.remove(&(at, i));
-                self.feed(i, Event::Bell { token });
+                self.feed(i, Event::TimerFired { token });
             }
             let (over, due) = std::mem::take(&mut self.due).into_iter().partition(|d| d.0 <= now);
             self.due = due;
             for (_, i, id, attempt, server) in Vec::from_iter::<Vec<_>>(over) {
                 let read = server.starts_with('r');
-                let outcome = if read { Outcome::ReadDone } else { Outcome::Served };
-                let (elapsed, kept_tokens, load) = (50 * MS, 0, None);
+                let outcome = if read { Outcome::PrefillDone } else { Outcome::Served };
+                let (elapsed, cached_tokens, load) = (50 * MS, 0, None);
                 if !read {
-                    self.feed(i, Event::Headers { id: id.clone(), attempt, elapsed });
+                    self.feed(i, Event::AnswerStarted { id: id.clone(), attempt, elapsed });
                 }
                 let finished = !read;
                 self.feed(
                     i,
-                    Event::Result { id, attempt, server, outcome, elapsed, kept_tokens, finished, load },
+                    Event::AttemptEnded {
+                        id,
+                        attempt,
+                        server,
+                        outcome,
+                        elapsed,
+                        cached_tokens,
+                        finished,
+                        load,
+                    },
                 );
             }
             self.asked += 1;
