--- a/rpc/src/client.rs
+++ b/rpc/src/client.rs
@@ -7,15 +7,15 @@
 
 use bytes::Bytes;
 use frosttrail::{Id, Query};
-use frosttrail_core::{Answer as Final, AnswerStream, CallError, Conductor, Request, StreamBroken};
+use frosttrail_core::{Answer as FinalAnswer, AnswerStream, CallError, Conductor, Request, StreamBroken};
 use futures_core::Stream;
 
 use crate::proto;
-use crate::upstream::{Answer, Call, GrpcUpstream};
+use crate::upstream::{EncodedRequest, GrpcAnswer, GrpcUpstream};
 
 /// A request.
 #[derive(Clone, Debug, Default)]
-pub struct Ask {
+pub struct GenerateRequest {
     /// Fresh on every try, a repeat included.
     pub id: String,
     /// The class, as the settings name it. One that is never sent twice is what to take where in doubt.
@@ -29,11 +29,11 @@
     /// Most tokens that the answer may have.
     pub max_tokens: u64,
     /// How long the first event is waited for.
-    pub patience: Duration,
+    pub first_event_timeout: Duration,
     /// A repeat of an earlier try.
-    pub resent: bool,
+    pub is_client_retry: bool,
     /// Back for the rest of a stream that broke.
-    pub came_back: bool,
+    pub resumes_stream: bool,
     /// What the server needs to read.
     pub body: Bytes,
 }
@@ -55,14 +55,14 @@
     IdInUse,
     /// The settings know no such class.
     #[error("no such class")]
-    Class,
+    UnknownClass,
     /// An id, a conversation or a body is longer than may travel, or missing.
     #[error("id and conversation have 1 to 1,024 bytes, the request at most 256 KiB")]
-    Size,
+    InvalidSize,
 }
 
 /// The longest id of a request or a conversation.
-const MOST_ID: usize = 1_024;
+const MAX_ID_BYTES: usize = 1_024;
 
 /// A conductor in this process.
 #[derive(Clone)]
@@ -77,55 +77,58 @@
     }
 
     /// Takes a request to the first event of its answer, or to its one final error.
-    pub async fn generate(&self, ask: Ask) -> Result<Events, GenerateError> {
-        let request = self.request(ask)?;
+    pub async fn generate(&self, request: GenerateRequest) -> Result<AnswerEvents, GenerateError> {
+        let request = self.to_conductor_request(request)?;
         match self.conductor.call(request).await {
-            Ok(Final::Served(events)) => Ok(Events(events)),
-            Ok(Final::Refused { retry_after, .. }) => Err(GenerateError::Refused { retry_after }),
-            Ok(Final::Failed { .. }) => Err(GenerateError::Failed),
+            Ok(FinalAnswer::Served(events)) => Ok(AnswerEvents(events)),
+            Ok(FinalAnswer::Refused { retry_after, .. }) => Err(GenerateError::Refused { retry_after }),
+            Ok(FinalAnswer::Failed { .. }) => Err(GenerateError::Failed),
             Err(CallError::IdInUse) => Err(GenerateError::IdInUse),
         }
     }
 
-    fn request(&self, ask: Ask) -> Result<Request<Call>, GenerateError> {
-        let class = self.conductor.settings().class(&ask.class).ok_or(GenerateError::Class)?;
-        let fits = |text: &str| (1..=MOST_ID).contains(&text.len());
-        if !fits(&ask.id) || !fits(&ask.conversation) {
-            return Err(GenerateError::Size);
+    fn to_conductor_request(
+        &self,
+        request: GenerateRequest,
+    ) -> Result<Request<EncodedRequest>, GenerateError> {
+        let class = self.conductor.settings().class(&request.class).ok_or(GenerateError::UnknownClass)?;
+        let has_valid_length = |text: &str| (1..=MAX_ID_BYTES).contains(&text.len());
+        if !has_valid_length(&request.id) || !has_valid_length(&request.conversation) {
+            return Err(GenerateError::InvalidSize);
         }
-        let (prefix, prefix_tokens) = ask.prefix.unzip();
+        let (prefix, prefix_tokens) = request.prefix.unzip();
         let query = Query {
-            id: Id::from(ask.id.as_str()),
-            session: Id::from(ask.conversation.as_str()),
+            id: Id::from(request.id.as_str()),
+            session: Id::from(request.conversation.as_str()),
             prefix: prefix.as_deref().map(Id::from),
             prefix_tokens: prefix_tokens.unwrap_or(0),
-            prompt_tokens: ask.prompt_tokens,
-            max_tokens: ask.max_tokens,
+            prompt_tokens: request.prompt_tokens,
+            max_tokens: request.max_tokens,
             class,
             tenant: None,
-            budget: ask.patience.as_micros() as u64,
-            is_client_retry: ask.resent,
-            resumes_stream: ask.came_back,
+            budget: request.first_event_timeout.as_micros() as u64,
+            is_client_retry: request.is_client_retry,
+            resumes_stream: request.resumes_stream,
         };
-        let call = Call::new(&proto::Request {
-            id: ask.id,
-            class: ask.class,
-            conversation: ask.conversation,
+        let call = EncodedRequest::new(&proto::Request {
+            id: request.id,
+            class: request.class,
+            conversation: request.conversation,
             prefix: prefix.unwrap_or_default(),
             prefix_tokens: query.prefix_tokens,
             prompt_tokens: query.prompt_tokens,
             max_tokens: query.max_tokens,
-            body: ask.body.to_vec(),
+            body: request.body.to_vec(),
         });
-        Ok(Request { query, call: call.ok_or(GenerateError::Size)? })
+        Ok(Request { query, call: call.ok_or(GenerateError::InvalidSize)? })
     }
 }
 
 /// The events of an answer as they come. It ends well only where the server's stream did.
 #[derive(Debug)]
-pub struct Events(AnswerStream<Answer>);
+pub struct AnswerEvents(AnswerStream<GrpcAnswer>);
 
-impl Stream for Events {
+impl Stream for AnswerEvents {
     type Item = Result<Bytes, StreamBroken>;
 
     fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Self::Item>> {
--- a/rpc/src/members.rs
+++ b/rpc/src/members.rs
@@ -14,41 +14,42 @@
     /// Its id, the same at every conductor.
     pub id: String,
     /// Where it is.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     /// Its kind, an index into [`Settings::roles`].
     pub kind: usize,
     /// Its zone.
     pub zone: usize,
     /// Its rack.
-    pub cell: u64,
+    pub rack: u64,
 }
 
 /// A list that does not change.
-pub struct Fixed(Option<MembershipUpdate>);
+pub struct StaticMembership(Option<MembershipUpdate>);
 
-impl Fixed {
+impl StaticMembership {
     /// Enters the members into the book.
-    pub fn new(members: &[Member], settings: &Settings, book: &Arc<AddressTable>) -> Self {
-        let known = members.iter().filter_map(|m| Some((m, settings.roles.get(m.kind)?)));
-        let entries = known.map(|(m, role)| {
-            book.set(Id::from(m.id.as_str()), m.at, *role);
+    pub fn new(members: &[Member], settings: &Settings, addresses: &Arc<AddressTable>) -> Self {
+        let members_with_role =
+            members.iter().filter_map(|member| Some((member, settings.roles.get(member.kind)?)));
+        let entries = members_with_role.map(|(member, role)| {
+            addresses.set(Id::from(member.id.as_str()), member.address, *role);
             ServerEntry {
-                server: Id::from(m.id.as_str()),
-                rack: m.cell,
-                kind: m.kind,
-                zone: m.zone,
+                server: Id::from(member.id.as_str()),
+                rack: member.rack,
+                kind: member.kind,
+                zone: member.zone,
                 started: 0,
                 health: Health::Up,
             }
         });
-        Fixed(Some(MembershipUpdate { form: ListUpdateKind::Full, entries: entries.collect() }))
+        StaticMembership(Some(MembershipUpdate { form: ListUpdateKind::Full, entries: entries.collect() }))
     }
 }
 
-impl MembershipSource for Fixed {
+impl MembershipSource for StaticMembership {
     async fn next(&mut self) -> Option<MembershipUpdate> {
         match self.0.take() {
-            Some(news) => Some(news),
+            Some(update) => Some(update),
             None => std::future::pending().await,
         }
     }
--- a/rpc/src/outcome.rs
+++ b/rpc/src/outcome.rs
@@ -4,48 +4,50 @@
 
 /// What the server itself said, in a status's details.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Said {
+pub enum StatusDetail {
     /// It never ran: no room here.
-    TurnedAway,
+    Rejected,
     /// It never ran: no state was there.
-    StateLost,
+    CacheMissing,
     /// Nothing of the kind.
-    Nothing,
+    Unspecified,
 }
 
 /// How an attempt ended before its first message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum AttemptEnd {
     /// No connection came up, or it broke or was closed.
-    Connection,
+    ConnectionFailed,
     /// The server closed its connection in good order, and named a last stream before this one.
-    BehindGoaway,
+    ExcludedByGoaway,
     /// The stream was reset with this code.
     Reset(h2::Reason),
     /// A status came, good or bad, with what the server said in its details.
-    Status(Said),
+    Status(StatusDetail),
     /// What came is no gRPC: another HTTP status, another type, no trailers, a message that can't be read.
-    NoGrpc,
+    InvalidResponse,
     /// Nothing came in time.
-    Time,
+    Timeout,
     /// Given up by us.
-    GivenUp,
+    Cancelled,
 }
 
 /// The outcome that the decisions hear of. `written`: the whole message and the end of our side have been
 /// handed to the connection and flushed; where that can't be told, it is true.
-pub fn outcome(end: End, written: bool) -> Outcome {
+pub fn outcome_of(end: AttemptEnd, is_written: bool) -> Outcome {
     match end {
         // The server's own word, and HTTP/2's two ways to say that a stream was not worked on.
-        End::Status(Said::TurnedAway) | End::BehindGoaway => Outcome::Rejected,
-        End::Reset(h2::Reason::REFUSED_STREAM) => Outcome::Rejected,
-        End::Status(Said::StateLost) => Outcome::CacheMissing,
-        End::GivenUp => Outcome::Cancelled,
+        AttemptEnd::Status(StatusDetail::Rejected) | AttemptEnd::ExcludedByGoaway => Outcome::Rejected,
+        AttemptEnd::Reset(h2::Reason::REFUSED_STREAM) => Outcome::Rejected,
+        AttemptEnd::Status(StatusDetail::CacheMissing) => Outcome::CacheMissing,
+        AttemptEnd::Cancelled => Outcome::Cancelled,
         // It starts with the last byte, which it has not got.
-        End::Connection | End::Time if !written => Outcome::NoConnection,
-        End::Connection => Outcome::ConnectionLost,
-        End::Time => Outcome::NoAnswer,
-        End::Reset(_) | End::Status(Said::Nothing) | End::NoGrpc => Outcome::Failed,
+        AttemptEnd::ConnectionFailed | AttemptEnd::Timeout if !is_written => Outcome::NoConnection,
+        AttemptEnd::ConnectionFailed => Outcome::ConnectionLost,
+        AttemptEnd::Timeout => Outcome::NoAnswer,
+        AttemptEnd::Reset(_)
+        | AttemptEnd::Status(StatusDetail::Unspecified)
+        | AttemptEnd::InvalidResponse => Outcome::Failed,
     }
 }
 
--- a/rpc/src/upstream/attempt.rs
+++ b/rpc/src/upstream/attempt.rs
@@ -14,188 +14,199 @@
 use prost::Message;
 use tokio::time::{timeout_at, Instant};
 
-use super::connection::{Lent, Place, Pool};
-use super::load_of;
-use super::messages::{end_of, status, Messages, Next};
-use crate::outcome::{outcome, End, Said};
+use super::connection::{ConnectionPool, StreamLease, StreamSlot};
+use super::load_report;
+use super::messages::{attempt_end, parse_status, MessageReader, StreamItem};
+use crate::outcome::{outcome_of, AttemptEnd, StatusDetail};
 use crate::proto;
 
-const SERVICE: &str = "frosttrail.box.v1.ModelBox";
+const SERVICE_NAME: &str = "frosttrail.box.v1.ModelBox";
 
 /// How an exchange ended that brought no message, and the server's load report, if it sent one.
-type Ended = (Outcome, Option<proto::Load>);
+type ExchangeFailure = (Outcome, Option<proto::Load>);
 
 /// Calls to one server.
-pub(super) struct Calls {
-    pub(super) at: SocketAddr,
-    pub(super) pool: Arc<Pool>,
-    pub(super) connect: Duration,
+pub(super) struct ServerClient {
+    pub(super) address: SocketAddr,
+    pub(super) pool: Arc<ConnectionPool>,
+    pub(super) connect_timeout: Duration,
     /// Asked before a call is sent.
     pub(super) permit: SendPermit,
 }
 
 /// What is known of a stream while it is out.
-struct Sent {
+struct SentRequest {
     response: ResponseFuture,
-    lent: Lent,
+    lease: StreamLease,
     /// What the socket had taken when the last byte was queued; `None` before that.
-    queued: Option<u64>,
+    written_before_last_byte: Option<u64>,
 }
 
-impl Sent {
+impl SentRequest {
     /// Where it can't be told, it was written.
-    fn written(&self) -> bool {
-        self.queued.is_some_and(|queued| self.lent.taken.bytes() > queued)
+    fn may_be_written(&self) -> bool {
+        self.written_before_last_byte
+            .is_some_and(|written_before| self.lease.written_bytes.bytes() > written_before)
     }
 }
 
 /// An end, and whether all of the request had been written by then.
-struct Failure {
-    end: End,
-    written: bool,
+struct SendFailure {
+    end: AttemptEnd,
+    may_be_written: bool,
     load: Option<proto::Load>,
 }
 
-impl From<Failure> for Ended {
-    fn from(failure: Failure) -> Ended {
-        (outcome(failure.end, failure.written), failure.load)
+impl From<SendFailure> for ExchangeFailure {
+    fn from(failure: SendFailure) -> ExchangeFailure {
+        (outcome_of(failure.end, failure.may_be_written), failure.load)
     }
 }
 
-impl Calls {
+impl ServerClient {
     /// To a reader.
-    pub(super) async fn read(&self, framed: Bytes, wait: Duration) -> AttemptReply<Answer> {
-        match self.unary::<proto::ReadDone>("Read", framed, wait).await {
-            Ok(done) => {
-                AttemptReply::PrefillDone { cached_tokens: done.cached_tokens, load: done.load.map(load_of) }
-            }
-            Err((outcome, load)) => AttemptReply::Ended(outcome, load.map(load_of)),
+    pub(super) async fn prefill(&self, encoded: Bytes, wait: Duration) -> AttemptReply<GrpcAnswer> {
+        match self.call_unary::<proto::ReadDone>("Read", encoded, wait).await {
+            Ok(done) => AttemptReply::PrefillDone {
+                cached_tokens: done.cached_tokens,
+                load: done.load.map(load_report),
+            },
+            Err((outcome, load)) => AttemptReply::Ended(outcome, load.map(load_report)),
         }
     }
 
     /// To a writer: until the first message.
-    pub(super) async fn write(&self, framed: Bytes, wait: Duration) -> AttemptReply<Answer> {
-        let begun = self.exchange("Write", framed, wait, |mut messages| async move {
-            let first = event(next(&mut messages).await)?;
+    pub(super) async fn decode(&self, encoded: Bytes, wait: Duration) -> AttemptReply<GrpcAnswer> {
+        let started = self.exchange("Write", encoded, wait, |mut messages| async move {
+            let first = decode_event(next_item(&mut messages).await)?;
             Ok((messages, first))
         });
-        match begun.await {
-            Ok(((messages, first), place)) => AttemptReply::Stream(Answer::new(messages, first, place)),
-            Err((outcome, load)) => AttemptReply::Ended(outcome, load.map(load_of)),
+        match started.await {
+            Ok(((messages, first), slot)) => AttemptReply::Stream(GrpcAnswer::new(messages, first, slot)),
+            Err((outcome, load)) => AttemptReply::Ended(outcome, load.map(load_report)),
         }
     }
 
     /// One message each way.
-    pub(super) async fn unary<M: Message + Default>(
+    pub(super) async fn call_unary<M: Message + Default>(
         &self,
         method: &str,
-        framed: Bytes,
+        encoded: Bytes,
         wait: Duration,
-    ) -> Result<M, Ended> {
-        let answered = self.exchange(method, framed, wait, |mut messages| async move {
-            let message = match next(&mut messages).await? {
-                Next::Message(message) => M::decode(message).map_err(|_| (End::NoGrpc, None))?,
-                Next::End(trailers) => return Err(no_message(&trailers)),
+    ) -> Result<M, ExchangeFailure> {
+        let answer = self.exchange(method, encoded, wait, |mut messages| async move {
+            let message = match next_item(&mut messages).await? {
+                StreamItem::Message(message) => {
+                    M::decode(message).map_err(|_| (AttemptEnd::InvalidResponse, None))?
+                }
+                StreamItem::End(trailers) => return Err(end_without_message(&trailers)),
             };
-            match next(&mut messages).await? {
-                Next::End(trailers) => match status(&trailers) {
+            match next_item(&mut messages).await? {
+                StreamItem::End(trailers) => match parse_status(&trailers) {
                     Some(Ok(())) => Ok(message),
-                    Some(Err((said, load))) => Err((End::Status(said), load)),
-                    None => Err((End::NoGrpc, None)),
+                    Some(Err((detail, load))) => Err((AttemptEnd::Status(detail), load)),
+                    None => Err((AttemptEnd::InvalidResponse, None)),
                 },
-                Next::Message(_) => Err((End::NoGrpc, None)),
+                StreamItem::Message(_) => Err((AttemptEnd::InvalidResponse, None)),
             }
         });
-        answered.await.map(|(message, _)| message)
+        answer.await.map(|(message, _)| message)
     }
 
     /// Sends a request and reads what comes back, as `read` says, until `wait` is over.
     async fn exchange<T, F>(
         &self,
         method: &str,
-        framed: Bytes,
+        encoded: Bytes,
         wait: Duration,
-        read: impl FnOnce(Messages) -> F,
-    ) -> Result<(T, Place), Ended>
+        read: impl FnOnce(MessageReader) -> F,
+    ) -> Result<(T, StreamSlot), ExchangeFailure>
     where
-        F: std::future::Future<Output = Result<T, (End, Option<proto::Load>)>>,
+        F: std::future::Future<Output = Result<T, (AttemptEnd, Option<proto::Load>)>>,
     {
-        let end = Instant::now() + wait;
-        let lending = self.pool.lend(self.at, self.connect);
-        let Ok(Some(lent)) = timeout_at(end, lending).await else {
+        let deadline = Instant::now() + wait;
+        let leasing = self.pool.lease_stream(self.address, self.connect_timeout);
+        let Ok(Some(lease)) = timeout_at(deadline, leasing).await else {
             return Err((Outcome::NoConnection, None));
         };
         if self.permit.check().is_err() {
             return Err((Outcome::NotSent, None));
         }
-        let mut sent = match timeout_at(end, self.send(lent, method, framed, wait)).await {
+        let mut sent = match timeout_at(deadline, self.send(lease, method, encoded, wait)).await {
             Ok(Ok(sent)) => sent,
             Ok(Err(failure)) => return Err(failure.into()),
             // The last byte was not even queued.
             Err(_) => return Err((Outcome::NoConnection, None)),
         };
         let answering = async {
-            let response = (&mut sent.response).await.map_err(|e| (end_of(&e), None))?;
+            let response = (&mut sent.response).await.map_err(|e| (attempt_end(&e), None))?;
             let (head, body) = response.into_parts();
-            if let Some(Err((said, load))) = status(&head.headers) {
-                return Err((End::Status(said), load));
+            if let Some(Err((detail, load))) = parse_status(&head.headers) {
+                return Err((AttemptEnd::Status(detail), load));
             }
-            let grpc = head
+            let is_grpc = head
                 .headers
                 .get("content-type")
                 .is_some_and(|t| t.as_bytes().starts_with(b"application/grpc"));
-            if head.status != StatusCode::OK || !grpc {
-                return Err((End::NoGrpc, None));
+            if head.status != StatusCode::OK || !is_grpc {
+                return Err((AttemptEnd::InvalidResponse, None));
             }
-            read(Messages::new(body)).await
+            read(MessageReader::new(body)).await
         };
-        let answered = timeout_at(end, answering).await.unwrap_or(Err((End::Time, None)));
+        let answered = timeout_at(deadline, answering).await.unwrap_or(Err((AttemptEnd::Timeout, None)));
         match answered {
-            Ok(got) => Ok((got, sent.lent.place)),
+            Ok(value) => Ok((value, sent.lease.slot)),
             Err((end, load)) => {
-                if matches!(end, End::BehindGoaway | End::Connection) {
-                    self.pool.forget(&sent.lent.taken);
+                if matches!(end, AttemptEnd::ExcludedByGoaway | AttemptEnd::ConnectionFailed) {
+                    self.pool.remove(&sent.lease.written_bytes);
                 }
-                Err(Failure { end, written: sent.written(), load }.into())
+                Err(SendFailure { end, may_be_written: sent.may_be_written(), load }.into())
             }
         }
     }
 
     /// Queues all of a request.
-    async fn send(&self, lent: Lent, method: &str, framed: Bytes, wait: Duration) -> Result<Sent, Failure> {
-        let unwritten = |end| Failure { end, written: false, load: None };
-        let mut ready = match lent.send.clone().ready().await {
+    async fn send(
+        &self,
+        lease: StreamLease,
+        method: &str,
+        encoded: Bytes,
+        wait: Duration,
+    ) -> Result<SentRequest, SendFailure> {
+        let unwritten = |end| SendFailure { end, may_be_written: false, load: None };
+        let mut ready = match lease.sender.clone().ready().await {
             Ok(ready) => ready,
             Err(_) => {
-                self.pool.forget(&lent.taken);
-                return Err(unwritten(End::Connection));
+                self.pool.remove(&lease.written_bytes);
+                return Err(unwritten(AttemptEnd::ConnectionFailed));
             }
         };
         let request = Request::builder()
             .method(Method::POST)
             .version(Version::HTTP_2)
-            .uri(format!("http://{}/{SERVICE}/{method}", self.at))
+            .uri(format!("http://{}/{SERVICE_NAME}/{method}", self.address))
             .header("content-type", "application/grpc")
             .header("te", "trailers")
             .header("grpc-timeout", format!("{}m", wait.as_millis().min(99_999_999)))
             .body(());
-        let Ok(request) = request else { return Err(unwritten(End::NoGrpc)) };
-        let (response, mut stream) = ready.send_request(request, false).map_err(|e| unwritten(end_of(&e)))?;
-        let mut sent = Sent { response, lent, queued: None };
-        let mut rest = framed;
-        while !rest.is_empty() {
-            stream.reserve_capacity(rest.len());
+        let Ok(request) = request else { return Err(unwritten(AttemptEnd::InvalidResponse)) };
+        let (response, mut stream) =
+            ready.send_request(request, false).map_err(|e| unwritten(attempt_end(&e)))?;
+        let mut sent = SentRequest { response, lease, written_before_last_byte: None };
+        let mut remaining = encoded;
+        while !remaining.is_empty() {
+            stream.reserve_capacity(remaining.len());
             let capacity = match poll_fn(|cx| stream.poll_capacity(cx)).await {
                 Some(Ok(capacity)) => capacity,
-                Some(Err(e)) => return Err(unwritten(end_of(&e))),
+                Some(Err(e)) => return Err(unwritten(attempt_end(&e))),
                 // Reset, or closed: the head tells why.
                 None => return Ok(sent),
             };
-            let piece = rest.split_to(capacity.min(rest.len()));
-            if rest.is_empty() {
-                sent.queued = Some(sent.lent.taken.bytes());
+            let chunk = remaining.split_to(capacity.min(remaining.len()));
+            if remaining.is_empty() {
+                sent.written_before_last_byte = Some(sent.lease.written_bytes.bytes());
             }
-            if stream.send_data(piece, rest.is_empty()).is_err() {
+            if stream.send_data(chunk, remaining.is_empty()).is_err() {
                 return Ok(sent);
             }
         }
@@ -203,66 +214,70 @@
     }
 }
 
-async fn next(messages: &mut Messages) -> Result<Next, (End, Option<proto::Load>)> {
+async fn next_item(messages: &mut MessageReader) -> Result<StreamItem, (AttemptEnd, Option<proto::Load>)> {
     poll_fn(|cx| messages.poll_next(cx)).await.map_err(|end| (end, None))
 }
 
-fn event(next: Result<Next, (End, Option<proto::Load>)>) -> Result<proto::Event, (End, Option<proto::Load>)> {
-    match next? {
-        Next::Message(message) => proto::Event::decode(message).map_err(|_| (End::NoGrpc, None)),
-        Next::End(trailers) => Err(no_message(&trailers)),
+fn decode_event(
+    item: Result<StreamItem, (AttemptEnd, Option<proto::Load>)>,
+) -> Result<proto::Event, (AttemptEnd, Option<proto::Load>)> {
+    match item? {
+        StreamItem::Message(message) => {
+            proto::Event::decode(message).map_err(|_| (AttemptEnd::InvalidResponse, None))
+        }
+        StreamItem::End(trailers) => Err(end_without_message(&trailers)),
     }
 }
 
 /// It ended without a message: a good status is no answer either.
-fn no_message(trailers: &HeaderMap) -> (End, Option<proto::Load>) {
-    match status(trailers) {
-        Some(Err((said, load))) => (End::Status(said), load),
-        Some(Ok(())) => (End::Status(Said::Nothing), None),
-        None => (End::NoGrpc, None),
+fn end_without_message(trailers: &HeaderMap) -> (AttemptEnd, Option<proto::Load>) {
+    match parse_status(trailers) {
+        Some(Err((detail, load))) => (AttemptEnd::Status(detail), load),
+        Some(Ok(())) => (AttemptEnd::Status(StatusDetail::Unspecified), None),
+        None => (AttemptEnd::InvalidResponse, None),
     }
 }
 
 /// An answer that has begun. Dropping it resets its stream.
 #[derive(Debug)]
-pub struct Answer {
-    messages: Messages,
+pub struct GrpcAnswer {
+    messages: MessageReader,
     first: Option<proto::Event>,
     /// The last event has come; the trailers are to follow.
-    last: bool,
-    _place: Place,
+    has_last_event: bool,
+    _slot: StreamSlot,
 }
 
-impl Answer {
-    fn new(messages: Messages, first: proto::Event, place: Place) -> Self {
-        Answer { messages, first: Some(first), last: false, _place: place }
+impl GrpcAnswer {
+    fn new(messages: MessageReader, first: proto::Event, slot: StreamSlot) -> Self {
+        GrpcAnswer { messages, first: Some(first), has_last_event: false, _slot: slot }
     }
 
-    fn step(&mut self, event: proto::Event) -> StreamStep {
-        if self.last {
+    fn accept_event(&mut self, event: proto::Event) -> StreamStep {
+        if self.has_last_event {
             return StreamStep::Broken(Outcome::Failed);
         }
-        self.last = event.last;
+        self.has_last_event = event.last;
         StreamStep::Event(event.body.into())
     }
 }
 
-impl EventStream for Answer {
+impl EventStream for GrpcAnswer {
     fn poll_step(&mut self, cx: &mut Context<'_>) -> Poll<StreamStep> {
         if let Some(first) = self.first.take() {
-            return Poll::Ready(self.step(first));
+            return Poll::Ready(self.accept_event(first));
         }
         Poll::Ready(match ready!(self.messages.poll_next(cx)) {
-            Ok(Next::Message(message)) => match proto::Event::decode(message) {
-                Ok(event) => self.step(event),
+            Ok(StreamItem::Message(message)) => match proto::Event::decode(message) {
+                Ok(event) => self.accept_event(event),
                 Err(_) => StreamStep::Broken(Outcome::Failed),
             },
-            Ok(Next::End(trailers)) => match status(&trailers) {
+            Ok(StreamItem::End(trailers)) => match parse_status(&trailers) {
                 // Only an answer whose last event has come is whole.
-                Some(Ok(())) if self.last => StreamStep::End,
+                Some(Ok(())) if self.has_last_event => StreamStep::End,
                 _ => StreamStep::Broken(Outcome::Failed),
             },
-            Err(end) => StreamStep::Broken(outcome(end, true)),
+            Err(end) => StreamStep::Broken(outcome_of(end, true)),
         })
     }
 }
--- a/rpc/src/upstream/connection.rs
+++ b/rpc/src/upstream/connection.rs
@@ -11,49 +11,49 @@
 use tokio::time::timeout;
 use tokio_util::task::AbortOnDropHandle;
 
-use super::meter::{Meter, Taken};
+use super::meter::{CountingSocket, WrittenBytes};
 
 /// Connections to one server at most: a server holds only a limited number.
-const MOST: usize = 4;
+const MAX_CONNECTIONS_PER_SERVER: usize = 4;
 /// What a server may send ahead on one stream, and on all of a connection: a reader who stops is not sent
 /// more.
-const STREAM_WINDOW: u32 = 256 << 10;
-const CONNECTION_WINDOW: u32 = 8 << 20;
+const STREAM_WINDOW_BYTES: u32 = 256 << 10;
+const CONNECTION_WINDOW_BYTES: u32 = 8 << 20;
 
 /// One connection.
 pub(super) struct Connection {
-    pub(super) send: SendRequest<Bytes>,
-    pub(super) taken: Taken,
-    open: Arc<AtomicUsize>,
+    pub(super) sender: SendRequest<Bytes>,
+    pub(super) written_bytes: WrittenBytes,
+    open_streams: Arc<AtomicUsize>,
     task: AbortOnDropHandle<()>,
 }
 
 /// A place for one stream on a connection.
 #[derive(Debug)]
-pub(super) struct Place(Arc<AtomicUsize>);
+pub(super) struct StreamSlot(Arc<AtomicUsize>);
 
-impl Drop for Place {
+impl Drop for StreamSlot {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 /// What an attempt gets of a connection.
-pub(super) struct Lent {
-    pub(super) send: SendRequest<Bytes>,
-    pub(super) taken: Taken,
-    pub(super) place: Place,
+pub(super) struct StreamLease {
+    pub(super) sender: SendRequest<Bytes>,
+    pub(super) written_bytes: WrittenBytes,
+    pub(super) slot: StreamSlot,
 }
 
 impl Connection {
-    async fn open(to: SocketAddr, within: Duration) -> Option<Self> {
+    async fn open(address: SocketAddr, connect_timeout: Duration) -> Option<Self> {
         let opening = async {
-            let stream = TcpStream::connect(to).await.ok()?;
+            let stream = TcpStream::connect(address).await.ok()?;
             stream.set_nodelay(true).ok()?;
-            let (stream, taken) = Meter::new(stream);
-            let (send, connection) = h2::client::Builder::new()
-                .initial_window_size(STREAM_WINDOW)
-                .initial_connection_window_size(CONNECTION_WINDOW)
+            let (stream, written_bytes) = CountingSocket::new(stream);
+            let (sender, connection) = h2::client::Builder::new()
+                .initial_window_size(STREAM_WINDOW_BYTES)
+                .initial_connection_window_size(CONNECTION_WINDOW_BYTES)
                 .max_concurrent_reset_streams(64)
                 .enable_push(false)
                 .handshake(stream)
@@ -63,58 +63,76 @@
             let task = tokio::spawn(async move {
                 let _ = connection.await;
             });
-            Some(Connection { send, taken, open: Arc::default(), task: AbortOnDropHandle::new(task) })
+            Some(Connection {
+                sender,
+                written_bytes,
+                open_streams: Arc::default(),
+                task: AbortOnDropHandle::new(task),
+            })
         };
-        timeout(within, opening).await.ok().flatten()
+        timeout(connect_timeout, opening).await.ok().flatten()
     }
 
-    fn lend(&self) -> Lent {
-        self.open.fetch_add(1, Ordering::Relaxed);
-        Lent { send: self.send.clone(), taken: self.taken.clone(), place: Place(self.open.clone()) }
+    fn lease_stream(&self) -> StreamLease {
+        self.open_streams.fetch_add(1, Ordering::Relaxed);
+        StreamLease {
+            sender: self.sender.clone(),
+            written_bytes: self.written_bytes.clone(),
+            slot: StreamSlot(self.open_streams.clone()),
+        }
     }
 
-    fn has_room(&self) -> bool {
-        self.open.load(Ordering::Relaxed) < self.send.current_max_send_streams()
+    fn has_free_stream(&self) -> bool {
+        self.open_streams.load(Ordering::Relaxed) < self.sender.current_max_send_streams()
     }
 }
 
 /// All connections to one server.
 #[derive(Default)]
-pub(super) struct Pool {
+pub(super) struct ConnectionPool {
     connections: Mutex<Vec<Connection>>,
 }
 
-impl Pool {
+impl ConnectionPool {
     /// A place on a connection that is up, or on a new one.
-    pub(super) async fn lend(&self, to: SocketAddr, within: Duration) -> Option<Lent> {
-        let (known, full) = {
+    pub(super) async fn lease_stream(
+        &self,
+        address: SocketAddr,
+        connect_timeout: Duration,
+    ) -> Option<StreamLease> {
+        let (available, is_full) = {
             let mut connections = self.connections.lock().unwrap_or_else(|e| e.into_inner());
             connections.retain(|c| !c.task.is_finished());
-            let free = connections.iter().find(|c| c.has_room()).map(Connection::lend);
-            (free, connections.len() >= MOST)
+            let available = connections.iter().find(|c| c.has_free_stream()).map(Connection::lease_stream);
+            (available, connections.len() >= MAX_CONNECTIONS_PER_SERVER)
         };
-        if known.is_some() || full {
-            return known.or_else(|| self.any());
+        if available.is_some() || is_full {
+            return available.or_else(|| self.lease_least_used());
         }
-        let connection = Connection::open(to, within).await?;
-        let lent = connection.lend();
+        let connection = Connection::open(address, connect_timeout).await?;
+        let lease = connection.lease_stream();
         let mut connections = self.connections.lock().unwrap_or_else(|e| e.into_inner());
         connections.push(connection);
-        Some(lent)
+        Some(lease)
     }
 
     /// Where no server allows more streams, one waits for a place on the connection with the fewest.
-    fn any(&self) -> Option<Lent> {
+    fn lease_least_used(&self) -> Option<StreamLease> {
         let connections = self.connections.lock().unwrap_or_else(|e| e.into_inner());
-        connections.iter().min_by_key(|c| c.open.load(Ordering::Relaxed)).map(Connection::lend)
+        connections
+            .iter()
+            .min_by_key(|c| c.open_streams.load(Ordering::Relaxed))
+            .map(Connection::lease_stream)
     }
 
     /// Forgets a connection that turned out to be of no further use for new streams.
-    pub(super) fn forget(&self, taken: &Taken) {
+    pub(super) fn remove(&self, written_bytes: &WrittenBytes) {
         let mut connections = self.connections.lock().unwrap_or_else(|e| e.into_inner());
         // Streams that run on it go on: its task lives until they have ended.
-        if let Some(at) = connections.iter().position(|c| c.taken.is(taken)) {
-            let Connection { task, .. } = connections.swap_remove(at);
+        if let Some(index) =
+            connections.iter().position(|connection| connection.written_bytes.is_same_socket(written_bytes))
+        {
+            let Connection { task, .. } = connections.swap_remove(index);
             task.detach();
         }
     }
--- a/rpc/src/upstream/meter.rs
+++ b/rpc/src/upstream/meter.rs
@@ -11,11 +11,11 @@
 
 /// What a socket has taken.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Taken(Arc<AtomicU64>);
+pub(super) struct WrittenBytes(Arc<AtomicU64>);
 
-impl Taken {
+impl WrittenBytes {
     /// Whether both count the same socket.
-    pub(super) fn is(&self, other: &Taken) -> bool {
+    pub(super) fn is_same_socket(&self, other: &WrittenBytes) -> bool {
         Arc::ptr_eq(&self.0, &other.0)
     }
 
@@ -26,19 +26,19 @@
 
 /// A socket that counts.
 #[derive(Debug)]
-pub(super) struct Meter<S> {
+pub(super) struct CountingSocket<S> {
     inner: S,
-    taken: Taken,
+    written_bytes: WrittenBytes,
 }
 
-impl<S> Meter<S> {
-    pub(super) fn new(inner: S) -> (Self, Taken) {
-        let taken = Taken::default();
-        (Meter { inner, taken: taken.clone() }, taken)
+impl<S> CountingSocket<S> {
+    pub(super) fn new(inner: S) -> (Self, WrittenBytes) {
+        let written_bytes = WrittenBytes::default();
+        (CountingSocket { inner, written_bytes: written_bytes.clone() }, written_bytes)
     }
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for Meter<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for CountingSocket<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -48,11 +48,11 @@
     }
 }
 
-impl<S: AsyncWrite + Unpin> AsyncWrite for Meter<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for CountingSocket<S> {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.inner).poll_write(cx, buf);
         if let Poll::Ready(Ok(bytes)) = &written {
-            self.taken.0.fetch_add(*bytes as u64, Ordering::Relaxed);
+            self.written_bytes.0.fetch_add(*bytes as u64, Ordering::Relaxed);
         }
         written
     }
@@ -64,7 +64,7 @@
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.inner).poll_write_vectored(cx, bufs);
         if let Poll::Ready(Ok(bytes)) = &written {
-            self.taken.0.fetch_add(*bytes as u64, Ordering::Relaxed);
+            self.written_bytes.0.fetch_add(*bytes as u64, Ordering::Relaxed);
         }
         written
     }
--- a/rpc/src/upstream/mod.rs
+++ b/rpc/src/upstream/mod.rs
@@ -15,122 +15,125 @@
 use frosttrail_core::{AttemptReply, SendPermit, Upstream};
 
 use crate::proto;
-pub use attempt::Answer;
-use attempt::Calls;
-use connection::Pool;
-pub use messages::never_ran;
+pub use attempt::GrpcAnswer;
+use attempt::ServerClient;
+use connection::ConnectionPool;
+pub use messages::never_ran_header;
 
 /// A server: where it is and what it does.
-struct Known {
-    at: SocketAddr,
+struct KnownServer {
+    address: SocketAddr,
     role: Role,
-    pool: Arc<Pool>,
+    pool: Arc<ConnectionPool>,
 }
 
 /// Which servers there are, shared by the list of members, which tells of them, and the way to them.
 #[derive(Default)]
 pub struct AddressTable {
-    upstream: RwLock<HashMap<Id, Known>>,
+    servers: RwLock<HashMap<Id, KnownServer>>,
 }
 
 impl AddressTable {
     /// A server is there, or elsewhere than before.
-    pub fn set(&self, id: Id, at: SocketAddr, role: Role) {
-        let mut upstream = self.upstream.write().unwrap_or_else(|e| e.into_inner());
-        if upstream.get(&id).is_none_or(|known| known.at != at) {
-            upstream.insert(id, Known { at, role, pool: Arc::default() });
+    pub fn set(&self, id: Id, address: SocketAddr, role: Role) {
+        let mut servers = self.servers.write().unwrap_or_else(|e| e.into_inner());
+        if servers.get(&id).is_none_or(|known| known.address != address) {
+            servers.insert(id, KnownServer { address, role, pool: Arc::default() });
         }
     }
 
     /// A server is gone; what runs on its connections goes on.
     pub fn remove(&self, id: &Id) {
-        self.upstream.write().unwrap_or_else(|e| e.into_inner()).remove(id);
+        self.servers.write().unwrap_or_else(|e| e.into_inner()).remove(id);
     }
 
-    fn get(&self, id: &Id) -> Option<(SocketAddr, Role, Arc<Pool>)> {
-        let upstream = self.upstream.read().unwrap_or_else(|e| e.into_inner());
-        upstream.get(id).map(|known| (known.at, known.role, known.pool.clone()))
+    fn get(&self, id: &Id) -> Option<(SocketAddr, Role, Arc<ConnectionPool>)> {
+        let servers = self.servers.read().unwrap_or_else(|e| e.into_inner());
+        servers.get(id).map(|known| (known.address, known.role, known.pool.clone()))
     }
 }
 
 /// A request as it travels to servers, written out once.
 #[derive(Clone, Debug)]
-pub struct Call {
-    framed: Bytes,
+pub struct EncodedRequest {
+    encoded: Bytes,
 }
 
-impl Call {
+impl EncodedRequest {
     /// `None`: longer than a message may be.
     pub fn new(request: &proto::Request) -> Option<Self> {
-        let framed = messages::framed(request);
-        (framed.len() <= MOST_REQUEST).then_some(Call { framed })
+        let encoded = messages::encode_message(request);
+        (encoded.len() <= MAX_REQUEST_BYTES).then_some(EncodedRequest { encoded })
     }
 }
 
 /// The longest request, as on the platform's wire.
-const MOST_REQUEST: usize = 256 << 10;
+const MAX_REQUEST_BYTES: usize = 256 << 10;
 
 /// The way to servers.
 pub struct GrpcUpstream {
-    book: Arc<AddressTable>,
-    connect: Duration,
+    addresses: Arc<AddressTable>,
+    connect_timeout: Duration,
 }
 
 impl GrpcUpstream {
     /// `connect`: a connection that has not come up within this time never will.
-    pub fn new(book: Arc<AddressTable>, connect: Duration) -> Self {
-        GrpcUpstream { book, connect }
+    pub fn new(addresses: Arc<AddressTable>, connect_timeout: Duration) -> Self {
+        GrpcUpstream { addresses, connect_timeout }
     }
 
-    fn calls(&self, server: &Id, permit: SendPermit) -> Option<(Calls, Role)> {
-        let (at, role, pool) = self.book.get(server)?;
-        Some((Calls { at, pool, connect: self.connect, permit }, role))
+    fn server_client(&self, server: &Id, permit: SendPermit) -> Option<(ServerClient, Role)> {
+        let (address, role, pool) = self.addresses.get(server)?;
+        Some((ServerClient { address, pool, connect_timeout: self.connect_timeout, permit }, role))
     }
 }
 
 impl Upstream for GrpcUpstream {
-    type Call = Call;
-    type Events = Answer;
+    type Call = EncodedRequest;
+    type Events = GrpcAnswer;
 
     async fn attempt(
         &self,
         server: &Id,
         _: &Id,
-        call: &Call,
+        call: &EncodedRequest,
         wait: Duration,
         permit: &SendPermit,
-    ) -> AttemptReply<Answer> {
-        match self.calls(server, permit.clone()) {
-            Some((calls, Role::Prefill)) => calls.read(call.framed.clone(), wait).await,
-            Some((calls, Role::Decode | Role::Mixed)) => calls.write(call.framed.clone(), wait).await,
+    ) -> AttemptReply<GrpcAnswer> {
+        match self.server_client(server, permit.clone()) {
+            Some((client, Role::Prefill)) => client.prefill(call.encoded.clone(), wait).await,
+            Some((client, Role::Decode | Role::Mixed)) => client.decode(call.encoded.clone(), wait).await,
             None => AttemptReply::Ended(Outcome::NoConnection, None),
         }
     }
 
     async fn release(&self, server: &Id, request: &Id) -> bool {
-        let Some((calls, _)) = self.calls(server, SendPermit::unconditional()) else { return false };
+        let Some((client, _)) = self.server_client(server, SendPermit::unconditional()) else { return false };
         let request = proto::ReleaseRequest { id: request.to_string() };
-        calls.unary::<proto::Released>("Release", messages::framed(&request), RELEASE).await.is_ok()
+        client
+            .call_unary::<proto::Released>("Release", messages::encode_message(&request), RELEASE_TIMEOUT)
+            .await
+            .is_ok()
     }
 
     async fn probe(&self, server: &Id) -> (Outcome, Option<LoadReport>) {
-        let Some((calls, _)) = self.calls(server, SendPermit::unconditional()) else {
+        let Some((client, _)) = self.server_client(server, SendPermit::unconditional()) else {
             return (Outcome::NoConnection, None);
         };
-        let request = messages::framed(&proto::ProbeRequest {});
-        match calls.unary::<proto::Load>("Probe", request, PROBE).await {
-            Ok(load) => (Outcome::Served, Some(load_of(load))),
-            Err((outcome, load)) => (outcome, load.map(load_of)),
+        let request = messages::encode_message(&proto::ProbeRequest {});
+        match client.call_unary::<proto::Load>("Probe", request, PROBE_TIMEOUT).await {
+            Ok(load) => (Outcome::Served, Some(load_report(load))),
+            Err((outcome, load)) => (outcome, load.map(load_report)),
         }
     }
 }
 
 /// For one server to take a release; whoever asks has less patience.
-const RELEASE: Duration = Duration::from_millis(500);
+const RELEASE_TIMEOUT: Duration = Duration::from_millis(500);
 /// For a probe.
-const PROBE: Duration = Duration::from_millis(500);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 
-fn load_of(load: proto::Load) -> LoadReport {
+fn load_report(load: proto::Load) -> LoadReport {
     let proto::Load { memory, waiting_ktokens, slots, queued, outstanding } = load;
     LoadReport { memory, waiting_ktokens, slots, queued, outstanding }
 }
--- a/rpc/tests/outcomes.rs
+++ b/rpc/tests/outcomes.rs
@@ -8,7 +8,7 @@
 use frosttrail::{Id, Outcome, Role};
 use frosttrail_core::{AttemptReply, EventStream, SendPermit, StreamStep, Upstream};
 use frosttrail_rpc::proto::{never_ran::Why, Event, NeverRan, ReadDone, Request};
-use frosttrail_rpc::upstream::{never_ran, AddressTable, Answer, Call, GrpcUpstream};
+use frosttrail_rpc::upstream::{never_ran_header, AddressTable, EncodedRequest, GrpcAnswer, GrpcUpstream};
 use h2::server::SendResponse;
 use h2::{Reason, SendStream};
 use http::{HeaderMap, Response};
@@ -17,45 +17,45 @@
 use tokio::net::TcpListener;
 use tokio::time::{timeout, Instant};
 
-const WAIT: Duration = Duration::from_millis(300);
-const LATEST: Duration = Duration::from_secs(20);
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(300);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// What the server does with a stream.
 #[derive(Clone, Debug)]
-enum Does {
+enum Behavior {
     /// Answers with a reader's message.
-    Reads,
+    PrefillReply,
     /// Streams so many events, the last marked, and a good status.
-    Streams(usize),
+    Stream(usize),
     /// The same without the mark.
-    NoLast,
+    StreamWithoutLast,
     /// Streams one event, and then the stream ends without trailers.
-    NoTrailers,
+    StreamWithoutTrailers,
     /// Streams one event, then resets.
-    ResetsAfter(Reason),
-    Resets(Reason),
+    ResetAfterEvent(Reason),
+    Reset(Reason),
     /// A status at once, without messages.
     Status(i32, Option<Why>),
     /// A status in trailers, behind a head.
-    Trailers(i32, Option<Why>),
+    StatusInTrailers(i32, Option<Why>),
     /// A good status and no message.
-    Empty,
-    Http(u16),
-    NoType,
+    NoMessage,
+    HttpStatus(u16),
+    NoContentType,
     /// A message that can't be read, is marked compressed, or has this length.
-    Garbled,
-    Compressed,
-    Long,
-    Silent,
+    UndecodableMessage,
+    CompressedMessage,
+    OversizedMessage,
+    NoResponse,
     /// Drops the connection once it has all of the request.
-    Drops,
+    DropConnection,
     /// GOAWAY that covers the stream, then the connection is dropped.
-    GoawayDrops,
+    GoawayThenDrop,
 }
 
-use Does::*;
+use Behavior::*;
 
-fn framed(message: &[u8]) -> Bytes {
+fn encode_message(message: &[u8]) -> Bytes {
     let mut bytes = BytesMut::new();
     bytes.put_u8(0);
     bytes.put_u32(message.len() as u32);
@@ -63,55 +63,59 @@
     bytes.freeze()
 }
 
-fn event(last: bool) -> Bytes {
-    framed(&Event { body: b"token".to_vec(), last, load: None }.encode_to_vec())
+fn encoded_event(last: bool) -> Bytes {
+    encode_message(&Event { body: b"token".to_vec(), last, load: None }.encode_to_vec())
 }
 
-fn head(code: Option<i32>, why: Option<Why>) -> Response<()> {
+fn response_head(code: Option<i32>, why: Option<Why>) -> Response<()> {
     let mut head = Response::builder().header("content-type", "application/grpc");
     if let Some(code) = code {
         head = head.header("grpc-status", code);
     }
     if let Some(why) = why {
         let detail = NeverRan { why: why.into(), load: None };
-        head = head.header("grpc-status-details-bin", never_ran(14, "no", detail));
+        head = head.header("grpc-status-details-bin", never_ran_header(14, "no", detail));
     }
     head.body(()).unwrap()
 }
 
 fn trailers(code: i32, why: Option<Why>) -> HeaderMap {
-    head(Some(code), why).headers().clone()
+    response_head(Some(code), why).headers().clone()
 }
 
 /// What it sends; the stream's handle is kept while it is to stay open.
-fn answer(does: &Does, respond: &mut SendResponse<Bytes>) -> Option<SendStream<Bytes>> {
-    let mut begin = || respond.send_response(head(None, None), false).unwrap();
-    let whole = |mut stream: SendStream<Bytes>, data: Vec<Bytes>, code| {
-        for piece in data {
-            stream.send_data(piece, false).unwrap();
+fn respond(behavior: &Behavior, sender: &mut SendResponse<Bytes>) -> Option<SendStream<Bytes>> {
+    let mut send_head = || sender.send_response(response_head(None, None), false).unwrap();
+    let respond_with = |mut stream: SendStream<Bytes>, data: Vec<Bytes>, code| {
+        for chunk in data {
+            stream.send_data(chunk, false).unwrap();
         }
         stream.send_trailers(trailers(code, None)).unwrap();
         None
     };
-    match does {
-        Reads => whole(begin(), vec![framed(&ReadDone { cached_tokens: 7, load: None }.encode_to_vec())], 0),
-        Streams(n) => whole(begin(), (1..=*n).map(|i| event(i == *n)).collect(), 0),
-        NoLast => whole(begin(), vec![event(false)], 0),
-        Empty => whole(begin(), vec![], 0),
-        Garbled => whole(begin(), vec![framed(&[255, 255, 255])], 0),
-        Compressed => whole(begin(), vec![Bytes::from_static(&[1, 0, 0, 0, 0])], 0),
-        Long => whole(begin(), vec![Bytes::from_static(&[0, 255, 0, 0, 0])], 0),
-        Trailers(code, why) => {
-            begin().send_trailers(trailers(*code, *why)).unwrap();
+    match behavior {
+        PrefillReply => respond_with(
+            send_head(),
+            vec![encode_message(&ReadDone { cached_tokens: 7, load: None }.encode_to_vec())],
+            0,
+        ),
+        Stream(n) => respond_with(send_head(), (1..=*n).map(|i| encoded_event(i == *n)).collect(), 0),
+        StreamWithoutLast => respond_with(send_head(), vec![encoded_event(false)], 0),
+        NoMessage => respond_with(send_head(), vec![], 0),
+        UndecodableMessage => respond_with(send_head(), vec![encode_message(&[255, 255, 255])], 0),
+        CompressedMessage => respond_with(send_head(), vec![Bytes::from_static(&[1, 0, 0, 0, 0])], 0),
+        OversizedMessage => respond_with(send_head(), vec![Bytes::from_static(&[0, 255, 0, 0, 0])], 0),
+        StatusInTrailers(code, why) => {
+            send_head().send_trailers(trailers(*code, *why)).unwrap();
             None
         }
-        NoTrailers => {
-            begin().send_data(event(false), true).unwrap();
+        StreamWithoutTrailers => {
+            send_head().send_data(encoded_event(false), true).unwrap();
             None
         }
-        ResetsAfter(reason) => {
-            let mut stream = begin();
-            stream.send_data(event(false), false).unwrap();
+        ResetAfterEvent(reason) => {
+            let mut stream = send_head();
+            stream.send_data(encoded_event(false), false).unwrap();
             let reason = *reason;
             tokio::spawn(async move {
                 // The event is to arrive before the reset, which overtakes what is queued.
@@ -120,111 +124,116 @@
             });
             None
         }
-        Resets(reason) => {
-            respond.send_reset(*reason);
+        Reset(reason) => {
+            sender.send_reset(*reason);
             None
         }
         Status(code, why) => {
-            respond.send_response(head(Some(*code), *why), true).unwrap();
+            sender.send_response(response_head(Some(*code), *why), true).unwrap();
             None
         }
-        Http(status) => {
+        HttpStatus(status) => {
             let head = Response::builder().status(*status).body(()).unwrap();
-            respond.send_response(head, true).unwrap();
+            sender.send_response(head, true).unwrap();
             None
         }
-        NoType => {
-            respond.send_response(Response::new(()), true).unwrap();
+        NoContentType => {
+            sender.send_response(Response::new(()), true).unwrap();
             None
         }
-        Silent | Drops | GoawayDrops => None,
+        NoResponse | DropConnection | GoawayThenDrop => None,
     }
 }
 
-struct Stand {
+struct ScriptedServer {
     upstream: Arc<GrpcUpstream>,
-    does: Arc<Mutex<Does>>,
+    behavior: Arc<Mutex<Behavior>>,
     connections: Arc<Mutex<u32>>,
     /// Requests that came whole.
-    runs: Arc<Mutex<u32>>,
+    request_count: Arc<Mutex<u32>>,
 }
 
-impl Stand {
-    async fn start(does: Does) -> Self {
+impl ScriptedServer {
+    async fn start(behavior: Behavior) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let at = listener.local_addr().unwrap();
-        let does = Arc::new(Mutex::new(does));
-        let (connections, runs) = <(Arc<Mutex<u32>>, Arc<Mutex<u32>>)>::default();
-        let (script, counted, ran) = (does.clone(), connections.clone(), runs.clone());
+        let address = listener.local_addr().unwrap();
+        let behavior = Arc::new(Mutex::new(behavior));
+        let (connections, request_count) = <(Arc<Mutex<u32>>, Arc<Mutex<u32>>)>::default();
+        let (shared_behavior, connection_count, counter) =
+            (behavior.clone(), connections.clone(), request_count.clone());
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                *counted.lock().unwrap() += 1;
-                tokio::spawn(serve(stream, script.clone(), ran.clone()));
+                *connection_count.lock().unwrap() += 1;
+                tokio::spawn(serve(stream, shared_behavior.clone(), counter.clone()));
             }
         });
-        Stand { upstream: upstream(at), does, connections, runs }
+        ScriptedServer { upstream: upstream_to(address), behavior, connections, request_count }
     }
 
-    fn will(&self, does: Does) {
-        *self.does.lock().unwrap() = does;
+    fn set_behavior(&self, behavior: Behavior) {
+        *self.behavior.lock().unwrap() = behavior;
     }
 
-    async fn attempt(&self, server: &str) -> AttemptReply<Answer> {
-        attempt(&self.upstream, server, LARGE).await
+    async fn attempt(&self, server: &str) -> AttemptReply<GrpcAnswer> {
+        attempt(&self.upstream, server, LARGE_BODY_BYTES).await
     }
 }
 
-fn upstream(at: SocketAddr) -> Arc<GrpcUpstream> {
-    let book = Arc::new(AddressTable::default());
-    book.set(Id::from("reader"), at, Role::Prefill);
-    book.set(Id::from("writer"), at, Role::Decode);
-    Arc::new(GrpcUpstream::new(book, Duration::from_millis(250)))
+fn upstream_to(address: SocketAddr) -> Arc<GrpcUpstream> {
+    let addresses = Arc::new(AddressTable::default());
+    addresses.set(Id::from("prefill"), address, Role::Prefill);
+    addresses.set(Id::from("decode"), address, Role::Decode);
+    Arc::new(GrpcUpstream::new(addresses, Duration::from_millis(250)))
 }
 
 /// More than a server takes before it has opened its window.
-const LARGE: usize = 100_000;
+const LARGE_BODY_BYTES: usize = 100_000;
 
-async fn attempt(upstream: &GrpcUpstream, server: &str, body: usize) -> AttemptReply<Answer> {
+async fn attempt(upstream: &GrpcUpstream, server: &str, body: usize) -> AttemptReply<GrpcAnswer> {
     let request = Request { id: "r-1".into(), body: vec![7; body], ..Request::default() };
-    let call = Call::new(&request).unwrap();
+    let call = EncodedRequest::new(&request).unwrap();
     let (server, id) = (Id::from(server), Id::from("r-1"));
     let permit = SendPermit::unconditional();
-    let attempt = upstream.attempt(&server, &id, &call, WAIT, &permit);
-    timeout(LATEST, attempt).await.unwrap()
+    let attempt = upstream.attempt(&server, &id, &call, ATTEMPT_TIMEOUT, &permit);
+    timeout(TEST_TIMEOUT, attempt).await.unwrap()
 }
 
-async fn serve(stream: tokio::net::TcpStream, script: Arc<Mutex<Does>>, runs: Arc<Mutex<u32>>) {
+async fn serve(
+    stream: tokio::net::TcpStream,
+    behavior: Arc<Mutex<Behavior>>,
+    request_count: Arc<Mutex<u32>>,
+) {
     let Ok(mut connection) = h2::server::handshake(stream).await else { return };
-    let mut kept = Vec::new();
-    let (tell, mut whole) = tokio::sync::mpsc::unbounded_channel();
-    let mut ends = false;
+    let mut open_responses = Vec::new();
+    let (completed_sender, mut completed) = tokio::sync::mpsc::unbounded_channel();
+    let mut closes_connection = false;
     loop {
         tokio::select! {
             accepted = connection.accept() => {
-                let Some(Ok((request, respond))) = accepted else { return };
+                let Some(Ok((request, sender))) = accepted else { return };
                 let mut body = request.into_body();
-                let tell = tell.clone();
+                let completed_sender = completed_sender.clone();
                 tokio::spawn(async move {
                     while let Some(Ok(data)) = body.data().await {
                         let _ = body.flow_control().release_capacity(data.len());
                     }
-                    let _ = tell.send((respond, body));
+                    let _ = completed_sender.send((sender, body));
                 });
             }
-            Some((mut respond, body)) = whole.recv() => {
-                *runs.lock().unwrap() += 1;
-                let does = script.lock().unwrap().clone();
-                match does {
-                    Drops => return,
-                    GoawayDrops => {
+            Some((mut sender, body)) = completed.recv() => {
+                *request_count.lock().unwrap() += 1;
+                let behavior = behavior.lock().unwrap().clone();
+                match behavior {
+                    DropConnection => return,
+                    GoawayThenDrop => {
                         connection.abrupt_shutdown(Reason::NO_ERROR);
-                        ends = true;
+                        closes_connection = true;
                     }
-                    _ => kept.push((answer(&does, &mut respond), respond, body)),
+                    _ => open_responses.push((respond(&behavior, &mut sender), sender, body)),
                 }
             }
         }
-        if ends {
+        if closes_connection {
             // Until what was queued is written; then the connection goes.
             let _ = timeout(Duration::from_millis(50), std::future::poll_fn(|cx| connection.poll_closed(cx)))
                 .await;
@@ -234,74 +243,87 @@
 }
 
 #[tokio::test]
-async fn each_end_before_the_first_message_has_the_tables_outcome() {
-    let both = [
-        (Resets(Reason::REFUSED_STREAM), Outcome::Rejected),
-        (Resets(Reason::CANCEL), Outcome::Failed),
-        (Resets(Reason::INTERNAL_ERROR), Outcome::Failed),
-        (Resets(Reason::NO_ERROR), Outcome::Failed),
-        (Resets(Reason::ENHANCE_YOUR_CALM), Outcome::Failed),
+async fn each_end_before_the_first_message_has_the_outcome_of_the_table() {
+    let cases = [
+        (Reset(Reason::REFUSED_STREAM), Outcome::Rejected),
+        (Reset(Reason::CANCEL), Outcome::Failed),
+        (Reset(Reason::INTERNAL_ERROR), Outcome::Failed),
+        (Reset(Reason::NO_ERROR), Outcome::Failed),
+        (Reset(Reason::ENHANCE_YOUR_CALM), Outcome::Failed),
         (Status(14, Some(Why::TurnedAway)), Outcome::Rejected),
         (Status(9, Some(Why::StateLost)), Outcome::CacheMissing),
         (Status(14, None), Outcome::Failed),
         (Status(14, Some(Why::Unspecified)), Outcome::Failed),
         (Status(0, None), Outcome::Failed),
-        (Trailers(14, Some(Why::TurnedAway)), Outcome::Rejected),
-        (Trailers(13, None), Outcome::Failed),
-        (Empty, Outcome::Failed),
-        (Http(503), Outcome::Failed),
-        (NoType, Outcome::Failed),
-        (Garbled, Outcome::Failed),
-        (Compressed, Outcome::Failed),
-        (Long, Outcome::Failed),
-        (Silent, Outcome::NoAnswer),
-        (Drops, Outcome::ConnectionLost),
-        (GoawayDrops, Outcome::ConnectionLost),
+        (StatusInTrailers(14, Some(Why::TurnedAway)), Outcome::Rejected),
+        (StatusInTrailers(13, None), Outcome::Failed),
+        (NoMessage, Outcome::Failed),
+        (HttpStatus(503), Outcome::Failed),
+        (NoContentType, Outcome::Failed),
+        (UndecodableMessage, Outcome::Failed),
+        (CompressedMessage, Outcome::Failed),
+        (OversizedMessage, Outcome::Failed),
+        (NoResponse, Outcome::NoAnswer),
+        (DropConnection, Outcome::ConnectionLost),
+        (GoawayThenDrop, Outcome::ConnectionLost),
     ];
-    for (does, expected) in both {
-        for server in ["reader", "writer"] {
-            let stand = Stand::start(does.clone()).await;
-            let reply = stand.attempt(server).await;
+    for (behavior, expected) in cases {
+        for server in ["prefill", "decode"] {
+            let scripted_server = ScriptedServer::start(behavior.clone()).await;
+            let reply = scripted_server.attempt(server).await;
             assert!(
                 matches!(reply, AttemptReply::Ended(outcome, _) if outcome == expected),
-                "{does:?}: {reply:?}"
+                "{behavior:?}: {reply:?}"
+            );
+            assert_eq!(
+                *scripted_server.request_count.lock().unwrap(),
+                1,
+                "{behavior:?}: never sent again by itself"
             );
-            assert_eq!(*stand.runs.lock().unwrap(), 1, "{does:?}: never sent again by itself");
         }
     }
 }
 
 #[tokio::test]
-async fn a_read_and_a_stream_pass_as_they_come_over_one_connection() {
-    let stand = Stand::start(Reads).await;
-    assert!(matches!(stand.attempt("reader").await, AttemptReply::PrefillDone { cached_tokens: 7, .. }));
+async fn prefill_replies_and_streams_arrive_unchanged_over_one_connection_per_server() {
+    let scripted_server = ScriptedServer::start(PrefillReply).await;
+    assert!(matches!(
+        scripted_server.attempt("prefill").await,
+        AttemptReply::PrefillDone { cached_tokens: 7, .. }
+    ));
     let ends = [
-        (Streams(3), 3, StreamStep::End),
-        (Streams(1), 1, StreamStep::End),
-        (NoLast, 1, StreamStep::Broken(Outcome::Failed)),
-        (NoTrailers, 1, StreamStep::Broken(Outcome::Failed)),
-        (ResetsAfter(Reason::CANCEL), 1, StreamStep::Broken(Outcome::Failed)),
+        (Stream(3), 3, StreamStep::End),
+        (Stream(1), 1, StreamStep::End),
+        (StreamWithoutLast, 1, StreamStep::Broken(Outcome::Failed)),
+        (StreamWithoutTrailers, 1, StreamStep::Broken(Outcome::Failed)),
+        (ResetAfterEvent(Reason::CANCEL), 1, StreamStep::Broken(Outcome::Failed)),
     ];
-    for (does, events, end) in ends {
-        stand.will(does.clone());
-        let AttemptReply::Stream(mut answer) = stand.attempt("writer").await else { panic!("{does:?}") };
+    for (behavior, events, end) in ends {
+        scripted_server.set_behavior(behavior.clone());
+        let AttemptReply::Stream(mut answer) = scripted_server.attempt("decode").await else {
+            panic!("{behavior:?}")
+        };
         for _ in 0..events {
-            assert_eq!(step(&mut answer).await, StreamStep::Event(Bytes::from_static(b"token")), "{does:?}");
+            assert_eq!(
+                next_step(&mut answer).await,
+                StreamStep::Event(Bytes::from_static(b"token")),
+                "{behavior:?}"
+            );
         }
-        assert_eq!(step(&mut answer).await, end, "{does:?}");
+        assert_eq!(next_step(&mut answer).await, end, "{behavior:?}");
     }
     // Reader and writer are two servers here, with a connection each.
-    assert_eq!(*stand.connections.lock().unwrap(), 2);
+    assert_eq!(*scripted_server.connections.lock().unwrap(), 2);
 }
 
-async fn step(answer: &mut Answer) -> StreamStep {
-    timeout(LATEST, std::future::poll_fn(|cx| answer.poll_step(cx))).await.unwrap()
+async fn next_step(answer: &mut GrpcAnswer) -> StreamStep {
+    timeout(TEST_TIMEOUT, std::future::poll_fn(|cx| answer.poll_step(cx))).await.unwrap()
 }
 
 /// A server that speaks frames by hand.
-async fn by_hand(frames: &'static [u8]) -> SocketAddr {
+async fn start_raw_server(frames: &'static [u8]) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let at = listener.local_addr().unwrap();
+    let address = listener.local_addr().unwrap();
     tokio::spawn(async move {
         while let Ok((mut stream, _)) = listener.accept().await {
             tokio::spawn(async move {
@@ -313,21 +335,21 @@
             });
         }
     });
-    at
+    address
 }
 
 /// Empty settings, their acknowledgement, and GOAWAY with this last stream.
 const SETTINGS: [u8; 18] = [0, 0, 0, 4, 0, 0, 0, 0, 0, 0, 0, 0, 4, 1, 0, 0, 0, 0];
-const GOAWAY_ABOVE_NONE: [u8; 17] = [0, 0, 8, 7, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0];
-const GOAWAY_COVERS: [u8; 17] = [0, 0, 8, 7, 0, 0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0, 0];
+const GOAWAY_EXCLUDING_STREAM: [u8; 17] = [0, 0, 8, 7, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0];
+const GOAWAY_COVERING_STREAM: [u8; 17] = [0, 0, 8, 7, 0, 0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0, 0];
 
 #[tokio::test]
-async fn a_goaway_says_of_each_stream_whether_it_was_worked_on() {
-    let above: &[u8] = [SETTINGS.as_slice(), &GOAWAY_ABOVE_NONE].concat().leak();
-    let covers: &[u8] = [SETTINGS.as_slice(), &GOAWAY_COVERS].concat().leak();
-    for (frames, expected) in [(above, Outcome::Rejected), (covers, Outcome::NoAnswer)] {
-        let upstream = upstream(by_hand(frames).await);
-        let reply = attempt(&upstream, "writer", 100).await;
+async fn a_goaway_tells_whether_a_stream_may_have_run() {
+    let excluding: &[u8] = [SETTINGS.as_slice(), &GOAWAY_EXCLUDING_STREAM].concat().leak();
+    let covering: &[u8] = [SETTINGS.as_slice(), &GOAWAY_COVERING_STREAM].concat().leak();
+    for (frames, expected) in [(excluding, Outcome::Rejected), (covering, Outcome::NoAnswer)] {
+        let upstream = upstream_to(start_raw_server(frames).await);
+        let reply = attempt(&upstream, "decode", 100).await;
         assert!(
             matches!(reply, AttemptReply::Ended(outcome, _) if outcome == expected),
             "{expected:?}: {reply:?}"
@@ -336,32 +358,32 @@
 }
 
 #[tokio::test]
-async fn what_was_not_written_never_ran() {
+async fn a_request_that_was_not_written_never_ran() {
     // Nobody there.
-    let nobody = TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
+    let unused_address = TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
     // One who takes connections and reads nothing: the window is never opened beyond the first 64 KiB.
-    let deaf = by_hand(&SETTINGS).await;
+    let stalled_server = start_raw_server(&SETTINGS).await;
     // One who closes at once.
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let closes = listener.local_addr().unwrap();
+    let closing_server = listener.local_addr().unwrap();
     tokio::spawn(async move { while listener.accept().await.is_ok() {} });
-    for at in [nobody, deaf, closes] {
-        let upstream = upstream(at);
-        let begin = Instant::now();
-        let reply = attempt(&upstream, "writer", LARGE).await;
-        assert!(matches!(reply, AttemptReply::Ended(Outcome::NoConnection, _)), "{at}: {reply:?}");
-        assert!(begin.elapsed() < WAIT * 2);
+    for address in [unused_address, stalled_server, closing_server] {
+        let upstream = upstream_to(address);
+        let started_at = Instant::now();
+        let reply = attempt(&upstream, "decode", LARGE_BODY_BYTES).await;
+        assert!(matches!(reply, AttemptReply::Ended(Outcome::NoConnection, _)), "{address}: {reply:?}");
+        assert!(started_at.elapsed() < ATTEMPT_TIMEOUT * 2);
     }
 }
 
 #[tokio::test]
-async fn an_attempt_that_is_dropped_resets_its_stream_and_leaves_the_connection() {
-    let stand = Stand::start(Silent).await;
+async fn a_dropped_attempt_resets_its_stream_and_keeps_the_connection() {
+    let scripted_server = ScriptedServer::start(NoResponse).await;
     for _ in 0..5 {
-        let attempt = stand.attempt("writer");
+        let attempt = scripted_server.attempt("decode");
         assert!(timeout(Duration::from_millis(30), attempt).await.is_err());
     }
-    stand.will(Streams(1));
-    assert!(matches!(stand.attempt("writer").await, AttemptReply::Stream(_)));
-    assert_eq!(*stand.connections.lock().unwrap(), 1);
+    scripted_server.set_behavior(Stream(1));
+    assert!(matches!(scripted_server.attempt("decode").await, AttemptReply::Stream(_)));
+    assert_eq!(*scripted_server.connections.lock().unwrap(), 1);
 }
