--- a/rpc/build.rs
+++ b/rpc/build.rs
@@ -1,4 +1,4 @@
-//! Compiles the service's definition; the compiler is a library, so that none is needed on the machine.
+//! Compiles the service definition with a library, so that no protobuf compiler needs to be installed.
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     println!("cargo::rerun-if-changed=proto");
--- a/rpc/src/client.rs
+++ b/rpc/src/client.rs
@@ -1,5 +1,5 @@
-//! What a program sees that chooses servers in its own process: a request goes in, a stream of events or a
-//! typed error comes out. Dropping the call, or the stream, gives the request up.
+//! The interface for programs that choose servers in their own process: a request is answered with a stream
+//! of events or with a typed error. Dropping the call or the stream cancels the request.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -13,70 +13,70 @@
 use crate::proto;
 use crate::upstream::{EncodedRequest, GrpcAnswer, GrpcUpstream};
 
-/// A request.
+/// A request to generate an answer.
 #[derive(Clone, Debug, Default)]
 pub struct GenerateRequest {
-    /// Fresh on every try, a repeat included.
+    /// Identifier, which must be new for each request, including retries.
     pub id: String,
-    /// The class, as the settings name it. One that is never sent twice is what to take where in doubt.
+    /// Name of the class in the settings. If in doubt, use one whose requests are never sent twice.
     pub class: String,
-    /// The conversation.
+    /// Identifier of the conversation.
     pub conversation: String,
-    /// Names an opening that the prompt shares with other conversations, and its length in tokens.
+    /// Identifier of a prefix that the prompt shares with other conversations, and its length in tokens.
     pub prefix: Option<(String, u64)>,
-    /// Tokens of the whole prompt.
+    /// Length of the whole prompt, in tokens.
     pub prompt_tokens: u64,
-    /// Most tokens that the answer may have.
+    /// Maximum length of the answer, in tokens.
     pub max_tokens: u64,
-    /// How long the first event is waited for.
+    /// Maximum time to wait for the first event.
     pub first_event_timeout: Duration,
-    /// A repeat of an earlier try.
+    /// Whether this is a retry of an earlier request.
     pub is_client_retry: bool,
-    /// Back for the rest of a stream that broke.
+    /// Whether this asks for the rest of a stream that broke.
     pub resumes_stream: bool,
-    /// What the server needs to read.
+    /// The application's request, which the conductor passes on unchanged.
     pub body: Bytes,
 }
 
-/// Why there is no answer.
+/// The reason why a request has no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum GenerateError {
-    /// It has not run; trying again is harmless.
-    #[error("refused; come back after {retry_after:?}")]
+    /// The request has not run, so a retry is safe.
+    #[error("refused before it ran; retry after {retry_after:?}")]
     Refused {
-        /// When to come back; zero for no advice.
+        /// When to retry; zero if there is no advice.
         retry_after: Duration,
     },
-    /// It may have run.
-    #[error("failed; it may have run")]
+    /// The request may have run.
+    #[error("failed; the request may have run")]
     Failed,
     /// Another request with this id has not ended.
-    #[error("a request with this id has not ended")]
+    #[error("another request with this id has not ended")]
     IdInUse,
-    /// The settings know no such class.
-    #[error("no such class")]
+    /// The settings have no class of this name.
+    #[error("unknown class; use one of the settings")]
     UnknownClass,
-    /// An id, a conversation or a body is longer than may travel, or missing.
-    #[error("id and conversation have 1 to 1,024 bytes, the request at most 256 KiB")]
+    /// The id or the conversation is missing or too long, or the request is too long.
+    #[error("id and conversation must have 1 to 1,024 bytes, and the request at most 256 KiB")]
     InvalidSize,
 }
 
-/// The longest id of a request or a conversation.
+/// Maximum length of a request's or a conversation's id.
 const MAX_ID_BYTES: usize = 1_024;
 
-/// A conductor in this process.
+/// A client of a conductor in this process.
 #[derive(Clone)]
 pub struct Client {
     conductor: Conductor<GrpcUpstream>,
 }
 
 impl Client {
-    /// Speaks for a conductor.
+    /// Creates a client of a conductor.
     pub fn new(conductor: Conductor<GrpcUpstream>) -> Self {
         Client { conductor }
     }
 
-    /// Takes a request to the first event of its answer, or to its one final error.
+    /// Sends a request. Resolves with the stream once its first event has arrived, or with the final error.
     pub async fn generate(&self, request: GenerateRequest) -> Result<AnswerEvents, GenerateError> {
         let request = self.to_conductor_request(request)?;
         match self.conductor.call(request).await {
@@ -124,7 +124,7 @@
     }
 }
 
-/// The events of an answer as they come. It ends well only where the server's stream did.
+/// The events of an answer. It ends without an error only if the server's stream ended with its last event.
 #[derive(Debug)]
 pub struct AnswerEvents(AnswerStream<GrpcAnswer>);
 
--- a/rpc/src/lib.rs
+++ b/rpc/src/lib.rs
@@ -1,5 +1,5 @@
-//! The conductor inside a gRPC client's own process: the same choices and promises as the daemon's, over
-//! HTTP/2. `docs/design/rpc.md` says how it is made.
+//! A conductor within a gRPC client's own process, with the same decisions and guarantees as the daemon, over
+//! HTTP/2. `docs/design/rpc.md` describes its design.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -9,7 +9,7 @@
 pub mod outcome;
 pub mod upstream;
 
-/// The service's definition, compiled.
+/// The compiled service definition.
 #[allow(missing_docs, clippy::all)]
 pub mod proto {
     tonic::include_proto!("frosttrail.r#box.v1");
--- a/rpc/src/members.rs
+++ b/rpc/src/members.rs
@@ -1,4 +1,4 @@
-//! Members that are told once and stay.
+//! A fixed list of servers, for clients without service discovery.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,26 +8,26 @@
 
 use crate::upstream::AddressTable;
 
-/// One of them.
+/// A server of the list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Its id, the same at every conductor.
+    /// Identifier, the same at every conductor.
     pub id: String,
-    /// Where it is.
+    /// Address at which it listens.
     pub address: SocketAddr,
-    /// Its kind, an index into [`Settings::roles`].
+    /// Kind, an index into [`Settings::roles`].
     pub kind: usize,
-    /// Its zone.
+    /// Zone.
     pub zone: usize,
-    /// Its rack.
+    /// Rack.
     pub rack: u64,
 }
 
-/// A list that does not change.
+/// A source that reports its servers once and never changes.
 pub struct StaticMembership(Option<MembershipUpdate>);
 
 impl StaticMembership {
-    /// Enters the members into the book.
+    /// Creates the source, and adds the servers to the address table. Skips servers of an unknown kind.
     pub fn new(members: &[Member], settings: &Settings, addresses: &Arc<AddressTable>) -> Self {
         let members_with_role =
             members.iter().filter_map(|member| Some((member, settings.roles.get(member.kind)?)));
--- a/rpc/src/outcome.rs
+++ b/rpc/src/outcome.rs
@@ -1,47 +1,49 @@
-//! "Has it run?" on HTTP/2 and gRPC, in one place. No I/O: whoever carries an attempt says what came of it.
+//! Decides for each way in which an attempt over HTTP/2 and gRPC can end whether the request may have run. It
+//! does no I/O: the caller passes the end of the attempt.
 
 use frosttrail::Outcome;
 
-/// What the server itself said, in a status's details.
+/// What the server stated in the details of its status.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StatusDetail {
-    /// It never ran: no room here.
+    /// The request never ran: the server had no room for it.
     Rejected,
-    /// It never ran: no state was there.
+    /// The request never ran: its KV cache was not found.
     CacheMissing,
-    /// Nothing of the kind.
+    /// Neither of these, so it may have run.
     Unspecified,
 }
 
 /// How an attempt ended before its first message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// No connection came up, or it broke or was closed.
+    /// The connection could not be opened, broke or was closed.
     ConnectionFailed,
-    /// The server closed its connection in good order, and named a last stream before this one.
+    /// The server sent a GOAWAY whose last stream precedes this one.
     ExcludedByGoaway,
-    /// The stream was reset with this code.
+    /// The server reset the stream with this code.
     Reset(h2::Reason),
-    /// A status came, good or bad, with what the server said in its details.
+    /// A status arrived, of success or of failure, with this in its details.
     Status(StatusDetail),
-    /// What came is no gRPC: another HTTP status, another type, no trailers, a message that can't be read.
+    /// The response is not valid gRPC: it has another HTTP status or content type, no trailers, or a message
+    /// that can't be decoded.
     InvalidResponse,
-    /// Nothing came in time.
+    /// No response arrived in time.
     Timeout,
-    /// Given up by us.
+    /// The conductor cancelled the attempt.
     Cancelled,
 }
 
-/// The outcome that the decisions hear of. `written`: the whole message and the end of our side have been
-/// handed to the connection and flushed; where that can't be told, it is true.
+/// Returns the outcome to report. `is_written` must be true if the whole message and the end of the stream
+/// have been flushed to the connection, and also if that is unknown.
 pub fn outcome_of(end: AttemptEnd, is_written: bool) -> Outcome {
     match end {
-        // The server's own word, and HTTP/2's two ways to say that a stream was not worked on.
+        // The server's own statement, and the two ways of HTTP/2 to state that a stream was not processed.
         AttemptEnd::Status(StatusDetail::Rejected) | AttemptEnd::ExcludedByGoaway => Outcome::Rejected,
         AttemptEnd::Reset(h2::Reason::REFUSED_STREAM) => Outcome::Rejected,
         AttemptEnd::Status(StatusDetail::CacheMissing) => Outcome::CacheMissing,
         AttemptEnd::Cancelled => Outcome::Cancelled,
-        // It starts with the last byte, which it has not got.
+        // A server starts to work on a request with its last byte, which it has not received.
         AttemptEnd::ConnectionFailed | AttemptEnd::Timeout if !is_written => Outcome::NoConnection,
         AttemptEnd::ConnectionFailed => Outcome::ConnectionLost,
         AttemptEnd::Timeout => Outcome::NoAnswer,
--- a/rpc/src/upstream/attempt.rs
+++ b/rpc/src/upstream/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt, from its connection to its first message, and the answer that it may become.
+//! One attempt, from its connection to its first message, and the answer whose stream that message starts.
 
 use std::future::poll_fn;
 use std::net::SocketAddr;
@@ -22,35 +22,35 @@
 
 const SERVICE_NAME: &str = "frosttrail.box.v1.ModelBox";
 
-/// How an exchange ended that brought no message, and the server's load report, if it sent one.
+/// The outcome of an exchange that returned no message, and the server's load report if it sent one.
 type ExchangeFailure = (Outcome, Option<proto::Load>);
 
-/// Calls to one server.
+/// Sends requests to one server.
 pub(super) struct ServerClient {
     pub(super) address: SocketAddr,
     pub(super) pool: Arc<ConnectionPool>,
     pub(super) connect_timeout: Duration,
-    /// Asked before a call is sent.
+    /// Checked before a request is sent.
     pub(super) permit: SendPermit,
 }
 
-/// What is known of a stream while it is out.
+/// A request that has been sent, or whose sending was cut short by the server.
 struct SentRequest {
     response: ResponseFuture,
     lease: StreamLease,
-    /// What the socket had taken when the last byte was queued; `None` before that.
+    /// Bytes that the socket had accepted when the last byte was queued; `None` before that.
     written_before_last_byte: Option<u64>,
 }
 
 impl SentRequest {
-    /// Where it can't be told, it was written.
+    /// Whether the last byte may have been written, which is assumed if it is unknown.
     fn may_be_written(&self) -> bool {
         self.written_before_last_byte
             .is_some_and(|written_before| self.lease.written_bytes.bytes() > written_before)
     }
 }
 
-/// An end, and whether all of the request had been written by then.
+/// The end of an attempt, and whether the whole request may have been written before it.
 struct SendFailure {
     end: AttemptEnd,
     may_be_written: bool,
@@ -64,7 +64,7 @@
 }
 
 impl ServerClient {
-    /// To a reader.
+    /// Sends a request to a prefill server.
     pub(super) async fn prefill(&self, encoded: Bytes, wait: Duration) -> AttemptReply<GrpcAnswer> {
         match self.call_unary::<proto::ReadDone>("Read", encoded, wait).await {
             Ok(done) => AttemptReply::PrefillDone {
@@ -75,7 +75,7 @@
         }
     }
 
-    /// To a writer: until the first message.
+    /// Sends a request to a decode server, and waits for the first message.
     pub(super) async fn decode(&self, encoded: Bytes, wait: Duration) -> AttemptReply<GrpcAnswer> {
         let started = self.exchange("Write", encoded, wait, |mut messages| async move {
             let first = decode_event(next_item(&mut messages).await)?;
@@ -87,7 +87,7 @@
         }
     }
 
-    /// One message each way.
+    /// Sends a request that is answered with one message.
     pub(super) async fn call_unary<M: Message + Default>(
         &self,
         method: &str,
@@ -113,7 +113,7 @@
         answer.await.map(|(message, _)| message)
     }
 
-    /// Sends a request and reads what comes back, as `read` says, until `wait` is over.
+    /// Sends a request, and reads the response with `read`, for `wait` at most.
     async fn exchange<T, F>(
         &self,
         method: &str,
@@ -135,7 +135,7 @@
         let mut sent = match timeout_at(deadline, self.send(lease, method, encoded, wait)).await {
             Ok(Ok(sent)) => sent,
             Ok(Err(failure)) => return Err(failure.into()),
-            // The last byte was not even queued.
+            // The last byte was not queued yet.
             Err(_) => return Err((Outcome::NoConnection, None)),
         };
         let answering = async {
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Queues all of a request.
+    /// Queues the whole request.
     async fn send(
         &self,
         lease: StreamLease,
@@ -199,7 +199,7 @@
             let capacity = match poll_fn(|cx| stream.poll_capacity(cx)).await {
                 Some(Ok(capacity)) => capacity,
                 Some(Err(e)) => return Err(unwritten(attempt_end(&e))),
-                // Reset, or closed: the head tells why.
+                // The stream was reset or closed; awaiting the response returns the reason.
                 None => return Ok(sent),
             };
             let chunk = remaining.split_to(capacity.min(remaining.len()));
@@ -229,7 +229,7 @@
     }
 }
 
-/// It ended without a message: a good status is no answer either.
+/// Returns the end of an exchange without a message. A status of success is a failure too.
 fn end_without_message(trailers: &HeaderMap) -> (AttemptEnd, Option<proto::Load>) {
     match parse_status(trailers) {
         Some(Err((detail, load))) => (AttemptEnd::Status(detail), load),
@@ -238,12 +238,12 @@
     }
 }
 
-/// An answer that has begun. Dropping it resets its stream.
+/// An answer that has started. Dropping it resets its stream.
 #[derive(Debug)]
 pub struct GrpcAnswer {
     messages: MessageReader,
     first: Option<proto::Event>,
-    /// The last event has come; the trailers are to follow.
+    /// Whether the last event has arrived, so that only the trailers may follow.
     has_last_event: bool,
     _slot: StreamSlot,
 }
@@ -273,7 +273,7 @@
                 Err(_) => StreamStep::Broken(Outcome::Failed),
             },
             Ok(StreamItem::End(trailers)) => match parse_status(&trailers) {
-                // Only an answer whose last event has come is whole.
+                // An answer is complete only if its last event has arrived.
                 Some(Ok(())) if self.has_last_event => StreamStep::End,
                 _ => StreamStep::Broken(Outcome::Failed),
             },
--- a/rpc/src/upstream/connection.rs
+++ b/rpc/src/upstream/connection.rs
@@ -1,4 +1,5 @@
-//! Connections to one server: many streams on each, another where a server allows no more on one.
+//! The connections to one server. Each carries many streams, and another one is opened when all have reached
+//! the server's limit of streams.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -13,14 +14,14 @@
 
 use super::meter::{CountingSocket, WrittenBytes};
 
-/// Connections to one server at most: a server holds only a limited number.
+/// Servers accept only a limited number of connections.
 const MAX_CONNECTIONS_PER_SERVER: usize = 4;
-/// What a server may send ahead on one stream, and on all of a connection: a reader who stops is not sent
-/// more.
+/// Flow-control windows of a stream and of a connection. They bound what a server sends to a client that has
+/// stopped reading.
 const STREAM_WINDOW_BYTES: u32 = 256 << 10;
 const CONNECTION_WINDOW_BYTES: u32 = 8 << 20;
 
-/// One connection.
+/// A connection.
 pub(super) struct Connection {
     pub(super) sender: SendRequest<Bytes>,
     pub(super) written_bytes: WrittenBytes,
@@ -28,7 +29,7 @@
     task: AbortOnDropHandle<()>,
 }
 
-/// A place for one stream on a connection.
+/// Counts one open stream of a connection until it is dropped.
 #[derive(Debug)]
 pub(super) struct StreamSlot(Arc<AtomicUsize>);
 
@@ -38,7 +39,7 @@
     }
 }
 
-/// What an attempt gets of a connection.
+/// The right to open one stream on a connection.
 pub(super) struct StreamLease {
     pub(super) sender: SendRequest<Bytes>,
     pub(super) written_bytes: WrittenBytes,
@@ -59,7 +60,7 @@
                 .handshake(stream)
                 .await
                 .ok()?;
-            // It ends with the connection. What it ends with, the streams hear themselves.
+            // The task ends with the connection. The streams receive its error themselves.
             let task = tokio::spawn(async move {
                 let _ = connection.await;
             });
@@ -87,14 +88,14 @@
     }
 }
 
-/// All connections to one server.
+/// The connections to one server.
 #[derive(Default)]
 pub(super) struct ConnectionPool {
     connections: Mutex<Vec<Connection>>,
 }
 
 impl ConnectionPool {
-    /// A place on a connection that is up, or on a new one.
+    /// Leases a stream on an open connection below the server's limit of streams, or else on a new one.
     pub(super) async fn lease_stream(
         &self,
         address: SocketAddr,
@@ -116,7 +117,8 @@
         Some(lease)
     }
 
-    /// Where no server allows more streams, one waits for a place on the connection with the fewest.
+    /// Leases a stream on the connection with the fewest. If that is at the server's limit, the stream waits
+    /// until another one has ended.
     fn lease_least_used(&self) -> Option<StreamLease> {
         let connections = self.connections.lock().unwrap_or_else(|e| e.into_inner());
         connections
@@ -125,10 +127,10 @@
             .map(Connection::lease_stream)
     }
 
-    /// Forgets a connection that turned out to be of no further use for new streams.
+    /// Removes a connection on which no more streams can be opened.
     pub(super) fn remove(&self, written_bytes: &WrittenBytes) {
         let mut connections = self.connections.lock().unwrap_or_else(|e| e.into_inner());
-        // Streams that run on it go on: its task lives until they have ended.
+        // Streams that are open continue: the detached task runs until they have ended.
         if let Some(index) =
             connections.iter().position(|connection| connection.written_bytes.is_same_socket(written_bytes))
         {
--- a/rpc/src/upstream/messages.rs
+++ b/rpc/src/upstream/messages.rs
@@ -1,4 +1,4 @@
-//! gRPC's framing: messages out of data, and what a status's details say.
+//! The framing of gRPC messages, and the decoding of statuses and their details.
 
 use base64::engine::general_purpose::{STANDARD, STANDARD_NO_PAD};
 use base64::Engine;
@@ -10,14 +10,14 @@
 use crate::outcome::{AttemptEnd, StatusDetail};
 use crate::proto::{never_ran::Why, NeverRan};
 
-/// Before each message: whether it is compressed, and its length.
+/// Length of the prefix of each message, which holds the compressed flag and the message's length.
 const PREFIX_BYTES: usize = 5;
-/// The longest message, as on the platform's wire.
+/// Maximum length of a message from a server, as in the platform's protocol.
 pub(super) const MAX_MESSAGE_BYTES: usize = 64 << 10;
-/// What our detail is called.
+/// Type URL of the status detail that states that a request never ran.
 const NEVER_RAN_TYPE_URL: &str = "type.googleapis.com/frosttrail.box.v1.NeverRan";
 
-/// A status as it travels in `grpc-status-details-bin`.
+/// The status in the header `grpc-status-details-bin`.
 #[derive(Clone, PartialEq, prost::Message)]
 struct RpcStatus {
     #[prost(int32, tag = "1")]
@@ -28,7 +28,7 @@
     details: Vec<prost_types::Any>,
 }
 
-/// A message with its prefix.
+/// Encodes a message with its prefix.
 pub(super) fn encode_message(message: &impl Message) -> Bytes {
     let length = message.encoded_len();
     let mut bytes = BytesMut::with_capacity(PREFIX_BYTES + length);
@@ -38,15 +38,15 @@
     bytes.freeze()
 }
 
-/// What comes next on a stream.
+/// The next item of a stream.
 #[derive(Debug)]
 pub(super) enum StreamItem {
     Message(Bytes),
-    /// The end, with its trailers.
+    /// The end of the stream, with its trailers.
     End(HeaderMap),
 }
 
-/// Takes messages out of a stream.
+/// Reads the messages of a stream.
 #[derive(Debug)]
 pub(super) struct MessageReader {
     stream: RecvStream,
@@ -59,7 +59,7 @@
         MessageReader { stream, buffer: BytesMut::new(), has_data_ended: false }
     }
 
-    /// The next message, or the end.
+    /// Polls for the next message or the end of the stream.
     pub(super) fn poll_next(
         &mut self,
         cx: &mut std::task::Context<'_>,
@@ -78,7 +78,7 @@
             }
             match ready!(self.stream.poll_data(cx)) {
                 Some(Ok(data)) => {
-                    // Room for as much again; who stops reading stops the server.
+                    // Allows the server to send as much again. It has to stop once the client stops reading.
                     let _ = self.stream.flow_control().release_capacity(data.len());
                     self.buffer.extend_from_slice(&data);
                 }
@@ -103,19 +103,20 @@
     }
 }
 
-/// What an error of the library means.
+/// Returns the end of the attempt that an error of the HTTP/2 library stands for.
 pub(super) fn attempt_end(error: &h2::Error) -> AttemptEnd {
     match error.reason() {
-        // Streams that a GOAWAY leaves out end with it; those that it covers go on.
+        // A GOAWAY ends the streams above its last stream with this error; the others continue.
         Some(_) if error.is_go_away() && error.is_remote() => AttemptEnd::ExcludedByGoaway,
         Some(reason) if error.is_reset() && error.is_remote() => AttemptEnd::Reset(reason),
-        // Ours: what came could not be read.
+        // The error was raised on this side, because the response is invalid.
         Some(_) => AttemptEnd::InvalidResponse,
         None => AttemptEnd::ConnectionFailed,
     }
 }
 
-/// The status in a head or in trailers: whether it is good, and what the server says if it is not.
+/// Returns the status in a response head or in trailers; for an error, what the server stated in its details,
+/// and its load report. `None` if there is no valid status.
 pub(super) fn parse_status(
     headers: &HeaderMap,
 ) -> Option<Result<(), (StatusDetail, Option<crate::proto::Load>)>> {
@@ -140,7 +141,8 @@
     NeverRan::decode(&detail.value[..]).ok()
 }
 
-/// The header that says that a request never ran here, for a server to put beside its status.
+/// Returns the value of `grpc-status-details-bin` that states that a request never ran. Servers send it with
+/// their status.
 pub fn never_ran_header(code: i32, message: &str, why: NeverRan) -> String {
     let detail = prost_types::Any { type_url: NEVER_RAN_TYPE_URL.into(), value: why.encode_to_vec() };
     let status = RpcStatus { code, message: message.into(), details: vec![detail] };
--- a/rpc/src/upstream/meter.rs
+++ b/rpc/src/upstream/meter.rs
@@ -1,5 +1,5 @@
-//! Counts the bytes that a socket has taken. A stream whose connection has written nothing since its last
-//! byte was queued has surely not been written; more can't be told from outside of the library.
+//! Counts the bytes that a socket has accepted. If a connection has written nothing since the last byte of a
+//! stream was queued, that byte has not been written; nothing more is known outside of the HTTP/2 library.
 
 use std::io;
 use std::pin::Pin;
@@ -9,12 +9,12 @@
 
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// What a socket has taken.
+/// Number of bytes that a socket has accepted.
 #[derive(Clone, Debug, Default)]
 pub(super) struct WrittenBytes(Arc<AtomicU64>);
 
 impl WrittenBytes {
-    /// Whether both count the same socket.
+    /// Whether both count the bytes of the same socket.
     pub(super) fn is_same_socket(&self, other: &WrittenBytes) -> bool {
         Arc::ptr_eq(&self.0, &other.0)
     }
@@ -24,7 +24,7 @@
     }
 }
 
-/// A socket that counts.
+/// A socket that counts the bytes that are written to it.
 #[derive(Debug)]
 pub(super) struct CountingSocket<S> {
     inner: S,
--- a/rpc/src/upstream/mod.rs
+++ b/rpc/src/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! The way to servers over gRPC: attempts and their outcomes, on HTTP/2.
+//! Sends attempts to servers over gRPC, and reports their outcomes.
 
 mod attempt;
 mod connection;
@@ -20,21 +20,21 @@
 use connection::ConnectionPool;
 pub use messages::never_ran_header;
 
-/// A server: where it is and what it does.
+/// The address, the role and the connections of a server.
 struct KnownServer {
     address: SocketAddr,
     role: Role,
     pool: Arc<ConnectionPool>,
 }
 
-/// Which servers there are, shared by the list of members, which tells of them, and the way to them.
+/// The known servers. The source of the server list updates the table, and the upstream reads it.
 #[derive(Default)]
 pub struct AddressTable {
     servers: RwLock<HashMap<Id, KnownServer>>,
 }
 
 impl AddressTable {
-    /// A server is there, or elsewhere than before.
+    /// Adds a server, or replaces it if its address has changed.
     pub fn set(&self, id: Id, address: SocketAddr, role: Role) {
         let mut servers = self.servers.write().unwrap_or_else(|e| e.into_inner());
         if servers.get(&id).is_none_or(|known| known.address != address) {
@@ -42,7 +42,7 @@
         }
     }
 
-    /// A server is gone; what runs on its connections goes on.
+    /// Removes a server. Streams on its connections continue.
     pub fn remove(&self, id: &Id) {
         self.servers.write().unwrap_or_else(|e| e.into_inner()).remove(id);
     }
@@ -53,31 +53,31 @@
     }
 }
 
-/// A request as it travels to servers, written out once.
+/// A request in its encoded form, which all its attempts share.
 #[derive(Clone, Debug)]
 pub struct EncodedRequest {
     encoded: Bytes,
 }
 
 impl EncodedRequest {
-    /// `None`: longer than a message may be.
+    /// Encodes a request. Returns `None` if it is too long.
     pub fn new(request: &proto::Request) -> Option<Self> {
         let encoded = messages::encode_message(request);
         (encoded.len() <= MAX_REQUEST_BYTES).then_some(EncodedRequest { encoded })
     }
 }
 
-/// The longest request, as on the platform's wire.
+/// Maximum length of an encoded request, as in the platform's protocol.
 const MAX_REQUEST_BYTES: usize = 256 << 10;
 
-/// The way to servers.
+/// Reaches servers over gRPC.
 pub struct GrpcUpstream {
     addresses: Arc<AddressTable>,
     connect_timeout: Duration,
 }
 
 impl GrpcUpstream {
-    /// `connect`: a connection that has not come up within this time never will.
+    /// Creates an upstream. A connection that is not established within `connect_timeout` counts as failed.
     pub fn new(addresses: Arc<AddressTable>, connect_timeout: Duration) -> Self {
         GrpcUpstream { addresses, connect_timeout }
     }
@@ -128,9 +128,9 @@
     }
 }
 
-/// For one server to take a release; whoever asks has less patience.
+/// Time for a server to confirm a release. Callers wait for less than this.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(500);
-/// For a probe.
+/// Time for a server to answer a probe.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 
 fn load_report(load: proto::Load) -> LoadReport {
--- a/rpc/tests/outcomes.rs
+++ b/rpc/tests/outcomes.rs
@@ -1,4 +1,5 @@
-//! Attempts against a scripted server: whatever HTTP/2 and gRPC can say, the outcome is the table's.
+//! Attempts against a scripted server: for each way in which HTTP/2 and gRPC can end one, the outcome is that
+//! of the table in the design note.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -20,36 +21,38 @@
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(300);
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What the server does with a stream.
+/// How the server responds to a request.
 #[derive(Clone, Debug)]
 enum Behavior {
-    /// Answers with a reader's message.
+    /// Answers as a prefill server.
     PrefillReply,
-    /// Streams so many events, the last marked, and a good status.
+    /// Streams this many events, the last one marked, and a status of success.
     Stream(usize),
-    /// The same without the mark.
+    /// Streams one event that is not marked as the last, and a status of success.
     StreamWithoutLast,
-    /// Streams one event, and then the stream ends without trailers.
+    /// Streams one event, and ends the stream without trailers.
     StreamWithoutTrailers,
-    /// Streams one event, then resets.
+    /// Streams one event, and resets the stream.
     ResetAfterEvent(Reason),
     Reset(Reason),
-    /// A status at once, without messages.
+    /// Sends only a status, in the response head.
     Status(i32, Option<Why>),
-    /// A status in trailers, behind a head.
+    /// Sends a response head, and a status in trailers.
     StatusInTrailers(i32, Option<Why>),
-    /// A good status and no message.
+    /// Sends a status of success without a message.
     NoMessage,
     HttpStatus(u16),
     NoContentType,
-    /// A message that can't be read, is marked compressed, or has this length.
+    /// Sends a message that can't be decoded.
     UndecodableMessage,
+    /// Sends a message that is marked as compressed.
     CompressedMessage,
+    /// Sends a message whose prefix declares more than the maximum length.
     OversizedMessage,
     NoResponse,
-    /// Drops the connection once it has all of the request.
+    /// Drops the connection after the whole request has arrived.
     DropConnection,
-    /// GOAWAY that covers the stream, then the connection is dropped.
+    /// Sends a GOAWAY that covers the stream, and drops the connection.
     GoawayThenDrop,
 }
 
@@ -83,7 +86,7 @@
     response_head(Some(code), why).headers().clone()
 }
 
-/// What it sends; the stream's handle is kept while it is to stay open.
+/// Responds to a request. Returns the handle of the stream if that is to stay open.
 fn respond(behavior: &Behavior, sender: &mut SendResponse<Bytes>) -> Option<SendStream<Bytes>> {
     let mut send_head = || sender.send_response(response_head(None, None), false).unwrap();
     let respond_with = |mut stream: SendStream<Bytes>, data: Vec<Bytes>, code| {
@@ -118,7 +121,7 @@
             stream.send_data(encoded_event(false), false).unwrap();
             let reason = *reason;
             tokio::spawn(async move {
-                // The event is to arrive before the reset, which overtakes what is queued.
+                // A reset overtakes queued data, so it is delayed until the event has arrived.
                 tokio::time::sleep(Duration::from_millis(50)).await;
                 stream.send_reset(reason);
             });
@@ -149,7 +152,7 @@
     upstream: Arc<GrpcUpstream>,
     behavior: Arc<Mutex<Behavior>>,
     connections: Arc<Mutex<u32>>,
-    /// Requests that came whole.
+    /// Requests that arrived completely.
     request_count: Arc<Mutex<u32>>,
 }
 
@@ -186,7 +189,7 @@
     Arc::new(GrpcUpstream::new(addresses, Duration::from_millis(250)))
 }
 
-/// More than a server takes before it has opened its window.
+/// More than a server accepts before it has extended its flow-control window.
 const LARGE_BODY_BYTES: usize = 100_000;
 
 async fn attempt(upstream: &GrpcUpstream, server: &str, body: usize) -> AttemptReply<GrpcAnswer> {
@@ -234,7 +237,7 @@
             }
         }
         if closes_connection {
-            // Until what was queued is written; then the connection goes.
+            // Writes what is queued, and then drops the connection.
             let _ = timeout(Duration::from_millis(50), std::future::poll_fn(|cx| connection.poll_closed(cx)))
                 .await;
             return;
@@ -278,7 +281,7 @@
             assert_eq!(
                 *scripted_server.request_count.lock().unwrap(),
                 1,
-                "{behavior:?}: never sent again by itself"
+                "{behavior:?}: the request is sent exactly once"
             );
         }
     }
@@ -312,7 +315,7 @@
         }
         assert_eq!(next_step(&mut answer).await, end, "{behavior:?}");
     }
-    // Reader and writer are two servers here, with a connection each.
+    // The prefill and the decode server count as two servers, with one connection each.
     assert_eq!(*scripted_server.connections.lock().unwrap(), 2);
 }
 
@@ -320,7 +323,7 @@
     timeout(TEST_TIMEOUT, std::future::poll_fn(|cx| answer.poll_step(cx))).await.unwrap()
 }
 
-/// A server that speaks frames by hand.
+/// Starts a server that sends these raw frames on each connection, and then nothing more.
 async fn start_raw_server(frames: &'static [u8]) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -328,7 +331,7 @@
         while let Ok((mut stream, _)) = listener.accept().await {
             tokio::spawn(async move {
                 let mut bytes = vec![0; 1 << 20];
-                // The preface and the first frames; then what was to be said, and silence.
+                // Reads the preface and the first frames, sends its own, and then only reads.
                 let _ = stream.read(&mut bytes).await;
                 let _ = stream.write_all(frames).await;
                 while matches!(stream.read(&mut bytes).await, Ok(n) if n > 0) {}
@@ -338,7 +341,7 @@
     address
 }
 
-/// Empty settings, their acknowledgement, and GOAWAY with this last stream.
+/// Empty SETTINGS and their acknowledgement, and GOAWAY frames with the last streams 0 and 1.
 const SETTINGS: [u8; 18] = [0, 0, 0, 4, 0, 0, 0, 0, 0, 0, 0, 0, 4, 1, 0, 0, 0, 0];
 const GOAWAY_EXCLUDING_STREAM: [u8; 17] = [0, 0, 8, 7, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0];
 const GOAWAY_COVERING_STREAM: [u8; 17] = [0, 0, 8, 7, 0, 0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0, 0];
@@ -359,11 +362,11 @@
 
 #[tokio::test]
 async fn a_request_that_was_not_written_never_ran() {
-    // Nobody there.
+    // Nothing listens at this address.
     let unused_address = TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
-    // One who takes connections and reads nothing: the window is never opened beyond the first 64 KiB.
+    // This server accepts connections but never extends the flow-control window beyond the first 64 KiB.
     let stalled_server = start_raw_server(&SETTINGS).await;
-    // One who closes at once.
+    // This server closes each connection at once.
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let closing_server = listener.local_addr().unwrap();
     tokio::spawn(async move { while listener.accept().await.is_ok() {} });
--- a/rpc/tests/unit/outcome.rs
+++ b/rpc/tests/unit/outcome.rs
@@ -1,8 +1,8 @@
-//! Tests of what `rpc/src/outcome.rs` keeps to itself.
+//! Tests of `rpc/src/outcome.rs`.
 
 use super::*;
 
-/// All reasons that HTTP/2 names, and one that it does not.
+/// Returns all reset codes that HTTP/2 defines, and one that it does not.
 fn reset_reasons() -> impl Iterator<Item = h2::Reason> {
     (0..15).map(h2::Reason::from)
 }
@@ -20,7 +20,7 @@
     reset_reasons().map(AttemptEnd::Reset).chain(statuses).chain(rest).collect()
 }
 
-/// What the protocol's table says never ran.
+/// Whether the outcome proves that the request never ran, by the table of the protocol.
 fn proves_not_run(outcome: Outcome) -> bool {
     matches!(outcome, Outcome::Rejected | Outcome::CacheMissing | Outcome::NoConnection | Outcome::NotSent)
 }
