--- a/membership/src/service.rs
+++ b/membership/src/service.rs
@@ -1,5 +1,5 @@
-//! An instance on a socket: one UDP port for gossip and for parts. Each packet carries a keyed hash, so that
-//! what comes from another site, or from nobody that should know the key, is passed over.
+//! Runs an instance on one UDP socket, for gossip and for quota leases. Each packet carries a keyed hash, so
+//! that packets of other clusters, and of senders that do not know the key, are dropped.
 
 use std::net::SocketAddr;
 use std::num::NonZeroU32;
@@ -18,294 +18,322 @@
 use crate::message::Message;
 use crate::{Incarnation, LeaseConfig, Micros};
 
-/// Longer packets are never sent.
-const PACKET: usize = 1_500;
-/// Of the keyed hash.
-const TAG: usize = 16;
-/// What a packet is.
-const GOSSIP: u8 = 1;
-const PARTS: u8 = 2;
-/// Names the use of the key.
-const CONTEXT: &str = "frosttrail membership 1 packets";
-/// Made known to the voters again, as long as nobody is there.
-const ANNOUNCE: Duration = Duration::from_secs(1);
-/// Traffic is counted over this time.
-const COUNT: Duration = Duration::from_secs(2);
+/// No instance sends longer packets.
+const MAX_PACKET_BYTES: usize = 1_500;
+/// Length of the keyed hash.
+const TAG_BYTES: usize = 16;
+/// Packet kinds, in the first byte of a packet.
+const GOSSIP_PACKET: u8 = 1;
+const QUOTA_PACKET: u8 = 2;
+/// Context string of the key derivation.
+const KEY_CONTEXT: &str = "frosttrail membership 1 packets";
+/// Interval of announcements to the acceptors while no other instance is known.
+const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(1);
+/// Period over which the request rate is measured.
+const TRAFFIC_INTERVAL: Duration = Duration::from_secs(2);
 
-/// How an instance takes part.
+/// The settings of an instance.
 #[derive(Clone, Debug)]
 pub struct MembershipConfig {
-    /// Its port; others reach it at this address.
+    /// Address to listen on, at which the others reach the instance.
     pub listen: SocketAddr,
-    /// Those that vote, on which all instances of the site must agree: an odd number of lasting ones.
+    /// The acceptors (`voters` in the settings file), an odd number of long-lived instances. All instances of
+    /// the cluster must have the same list.
     pub acceptors: Vec<SocketAddr>,
-    /// What the site shares, so that no other's packets count.
+    /// Secret that the instances of the cluster share. Packets that were made with another key are dropped.
     pub key: String,
-    /// What it is.
+    /// The kind of the instance.
     pub role: Role,
-    /// How long leases last.
+    /// Durations and bounds of the lease protocol.
     pub lease_config: LeaseConfig,
 }
 
-/// Settings that do not fit together.
+/// A reason why settings are rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConfigError {
-    /// No keeper could ever be elected.
-    #[error("voters: at least one is needed")]
+    /// Without acceptors, no leader can be elected.
+    #[error("voters: the list is empty; name at least one instance")]
     NoAcceptors,
-    /// One that is named twice would have two votes.
-    #[error("voters: one is named twice")]
+    /// An acceptor that is listed twice would have two votes.
+    #[error("voters: an address is listed twice; list each instance once")]
     DuplicateAcceptor,
-    /// Packets of anybody would count.
-    #[error("key: at least 16 characters are needed")]
+    /// Packets of any sender could be accepted.
+    #[error("key: at least 16 characters are required")]
     KeyTooShort,
-    /// Floors would add up to more than is set aside.
-    #[error("most: at least as many as there are voters")]
+    /// The floor shares would add up to more than is set aside for them.
+    #[error("most: must be at least the number of voters")]
     TooManyAcceptors,
-    /// The others could not reach it.
-    #[error("listen: an address at which the others reach this instance is needed")]
+    /// Other instances could not reach this one.
+    #[error("listen: must be an address at which the other instances can reach this one")]
     UnspecifiedListenAddress,
 }
 
 impl MembershipConfig {
-    /// Whether the settings fit together.
+    /// Checks that the settings are complete and consistent.
     pub fn validate(&self) -> Result<(), ConfigError> {
         let mut acceptors = self.acceptors.clone();
         acceptors.sort();
         acceptors.dedup();
-        // The others learn of a port that the system chose; a voter's stands in their files.
-        let reached = !self.listen.ip().is_unspecified();
+        // Port 0 is allowed: the others learn the port that the system chose. An acceptor needs a fixed port,
+        // as the settings of the others name it.
+        let is_reachable = !self.listen.ip().is_unspecified();
         let checks = [
             (!acceptors.is_empty(), ConfigError::NoAcceptors),
             (acceptors.len() == self.acceptors.len(), ConfigError::DuplicateAcceptor),
             (self.key.len() >= 16, ConfigError::KeyTooShort),
             (self.lease_config.max_instances as usize >= acceptors.len(), ConfigError::TooManyAcceptors),
-            (reached, ConfigError::UnspecifiedListenAddress),
+            (is_reachable, ConfigError::UnspecifiedListenAddress),
         ];
-        checks.into_iter().find(|(fits, _)| !fits).map_or(Ok(()), |(_, error)| Err(error))
+        checks.into_iter().find(|(is_valid, _)| !is_valid).map_or(Ok(()), |(_, error)| Err(error))
     }
 }
 
-/// What it may take, and who is there.
+/// The state of the cluster as an instance sees it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MembershipView {
-    /// Its part of the whole.
+    /// Share of the quota that the instance may use.
     pub quota_share: f64,
-    /// Whether it is the keeper.
+    /// Whether the instance is the leader.
     pub is_leader: bool,
-    /// The others.
+    /// The other instances.
     pub peers: Arc<[Peer]>,
 }
 
-/// Counts requests, from which an instance's share of the traffic is measured.
+/// Counts the requests that arrive, from which the request rate of the instance is measured.
 #[derive(Clone, Debug, Default)]
 pub struct RequestCounter(Arc<AtomicU64>);
 
 impl RequestCounter {
-    /// So many have come.
+    /// Adds requests that have arrived.
     pub fn add(&self, requests: u64) {
         self.0.fetch_add(requests, Ordering::Relaxed);
     }
 }
 
-/// An instance that takes part. Dropping it ends it as a kill would; [`Membership::leave`] is better.
+/// A running instance. Dropping it stops the instance as a kill would, and its share stays unused until the
+/// lease expires; [`Membership::leave`] frees the share at once.
 pub struct Membership {
-    /// Where it is.
+    /// The address of the socket.
     pub address: SocketAddr,
     view: watch::Receiver<MembershipView>,
     request_counter: RequestCounter,
-    leave: mpsc::Sender<oneshot::Sender<()>>,
+    leave_requests: mpsc::Sender<oneshot::Sender<()>>,
     _task: AbortOnDropHandle<()>,
 }
 
 impl Membership {
-    /// Takes part from now on. `process`: drawn anew at each start.
-    pub async fn start(config: MembershipConfig, process: Incarnation, log: Logger) -> std::io::Result<Self> {
+    /// Starts an instance. `incarnation` must be a new value at each start of the process.
+    pub async fn start(
+        config: MembershipConfig,
+        incarnation: Incarnation,
+        log: Logger,
+    ) -> std::io::Result<Self> {
         let socket = UdpSocket::bind(config.listen).await?;
-        let at = socket.local_addr()?;
-        Ok(Membership::with_socket(socket, at, config, process, log))
+        let address = socket.local_addr()?;
+        Ok(Membership::with_socket(socket, address, config, incarnation, log))
     }
 
-    /// The same on a socket that is there already.
+    /// Starts an instance on a socket that is already bound.
     pub fn with_socket(
         socket: UdpSocket,
-        at: SocketAddr,
+        address: SocketAddr,
         config: MembershipConfig,
-        process: Incarnation,
+        incarnation: Incarnation,
         log: Logger,
     ) -> Self {
-        let first = MembershipView {
+        let initial_view = MembershipView {
             quota_share: config.lease_config.floor_share(),
             is_leader: false,
             peers: Arc::default(),
         };
-        let (tell, view) = watch::channel(first);
-        let (leave, leaving) = mpsc::channel(1);
+        let (view_sender, view) = watch::channel(initial_view);
+        let (leave_requests, leave_receiver) = mpsc::channel(1);
         let request_counter = RequestCounter::default();
-        let task = run(socket, at, config, process, tell, request_counter.clone(), leaving, log);
+        let task = run(
+            socket,
+            address,
+            config,
+            incarnation,
+            view_sender,
+            request_counter.clone(),
+            leave_receiver,
+            log,
+        );
         Membership {
-            address: at,
+            address,
             view,
             request_counter,
-            leave,
+            leave_requests,
             _task: AbortOnDropHandle::new(tokio::spawn(task)),
         }
     }
 
-    /// What it may take; changes as it does. A part that ends is news too.
+    /// Returns a receiver of the instance's view. It is notified of each change, also when a lease expires.
     pub fn view(&self) -> watch::Receiver<MembershipView> {
         self.view.clone()
     }
 
-    /// Where to count requests.
+    /// Returns the counter of arriving requests.
     pub fn request_counter(&self) -> RequestCounter {
         self.request_counter.clone()
     }
 
-    /// Takes nothing from now on, and says so. What it had is the others' at once.
+    /// Gives up the instance's share, and tells the others, which can use it at once.
     pub async fn leave(self) {
-        let (tell, told) = oneshot::channel();
-        if self.leave.send(tell).await.is_ok() {
-            let _ = told.await;
+        let (done_sender, done) = oneshot::channel();
+        if self.leave_requests.send(done_sender).await.is_ok() {
+            let _ = done.await;
         }
     }
 }
 
-struct Post {
+/// A UDP socket whose packets are authenticated with a keyed hash.
+struct PacketSocket {
     socket: UdpSocket,
     key: [u8; 32],
     log: Logger,
 }
 
-impl Post {
-    fn tag(&self, body: &[u8]) -> [u8; TAG] {
-        let mut tag = [0; TAG];
-        tag.copy_from_slice(&blake3::keyed_hash(&self.key, body).as_bytes()[..TAG]);
+impl PacketSocket {
+    fn tag(&self, body: &[u8]) -> [u8; TAG_BYTES] {
+        let mut tag = [0; TAG_BYTES];
+        tag.copy_from_slice(&blake3::keyed_hash(&self.key, body).as_bytes()[..TAG_BYTES]);
         tag
     }
 
-    /// Sends, and does not wait: what is lost is said again.
+    /// Sends a packet without waiting for the socket. If it is lost, the protocol sends the message again.
     fn send(&self, to: SocketAddr, kind: u8, body: &[u8]) {
-        let mut packet = Vec::with_capacity(1 + body.len() + TAG);
+        let mut packet = Vec::with_capacity(1 + body.len() + TAG_BYTES);
         packet.push(kind);
         packet.extend_from_slice(body);
         let tag = self.tag(&packet);
         packet.extend_from_slice(&tag);
         if let Err(e) = self.socket.try_send_to(&packet, to) {
-            debug!(self.log, "a packet was not sent"; "to" => to, "why" => %e);
+            debug!(self.log, "packet not sent"; "to" => to, "why" => %e);
         }
     }
 
-    /// The kind and the body of a packet that is one of ours.
-    fn open<'a>(&self, packet: &'a [u8]) -> Option<(u8, &'a [u8])> {
-        let (signed, tag) = packet.split_at_checked(packet.len().checked_sub(TAG)?)?;
-        let (kind, body) = signed.split_first()?;
-        // Of equal length, and compared in a time that does not depend on where they differ.
-        let differs = self.tag(signed).iter().zip(tag).fold(0, |d, (a, b)| d | (a ^ b));
-        (differs == 0).then_some((*kind, body))
+    /// Returns the kind and the body of a packet if its tag is valid.
+    fn verify<'a>(&self, packet: &'a [u8]) -> Option<(u8, &'a [u8])> {
+        let (authenticated, tag) = packet.split_at_checked(packet.len().checked_sub(TAG_BYTES)?)?;
+        let (kind, body) = authenticated.split_first()?;
+        // The tags have the same length, and the time to compare them does not depend on where they differ.
+        let difference = self.tag(authenticated).iter().zip(tag).fold(0, |d, (a, b)| d | (a ^ b));
+        (difference == 0).then_some((*kind, body))
     }
 }
 
 #[allow(clippy::too_many_arguments)]
 async fn run(
     socket: UdpSocket,
-    at: SocketAddr,
+    address: SocketAddr,
     config: MembershipConfig,
-    process: Incarnation,
-    tell: watch::Sender<MembershipView>,
+    incarnation: Incarnation,
+    view_sender: watch::Sender<MembershipView>,
     request_counter: RequestCounter,
-    mut leaving: mpsc::Receiver<oneshot::Sender<()>>,
+    mut leave_receiver: mpsc::Receiver<oneshot::Sender<()>>,
     log: Logger,
 ) {
     let start = Instant::now();
     let now = || start.elapsed().as_micros() as Micros;
-    let post = Post { socket, key: blake3::derive_key(CONTEXT, config.key.as_bytes()), log: log.clone() };
-    let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
-    let me = Peer {
-        address: at,
-        incarnation: process,
-        started_unix_ms: unix.as_millis() as u64,
+    let packet_socket = PacketSocket {
+        socket,
+        key: blake3::derive_key(KEY_CONTEXT, config.key.as_bytes()),
+        log: log.clone(),
+    };
+    let since_unix_epoch =
+        std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
+    let own_identity = Peer {
+        address,
+        incarnation,
+        started_unix_ms: since_unix_epoch.as_millis() as u64,
         renewals: 0,
         role: config.role,
     };
-    let most = NonZeroU32::new(config.lease_config.max_instances).unwrap_or(NonZeroU32::MIN);
-    let mut gossip = Gossip::new(me, most);
-    let mut instance = Instance::new(now(), process, at, config.acceptors.clone(), config.lease_config);
-    let (hand, mut rung) = mpsc::unbounded_channel();
-    let mut packet = vec![0; PACKET + 1];
-    let (mut wake, mut announce, mut count) = (start, start, start + COUNT);
-    let said = |said: GossipOutput| {
-        for (to, bytes) in said.packets {
-            post.send(to, GOSSIP, &bytes);
+    let max_instances = NonZeroU32::new(config.lease_config.max_instances).unwrap_or(NonZeroU32::MIN);
+    let mut gossip = Gossip::new(own_identity, max_instances);
+    let mut instance =
+        Instance::new(now(), incarnation, address, config.acceptors.clone(), config.lease_config);
+    let (timer_sender, mut timer_receiver) = mpsc::unbounded_channel();
+    let mut packet = vec![0; MAX_PACKET_BYTES + 1];
+    let (mut next_tick, mut next_announcement, mut next_traffic_sample) =
+        (start, start, start + TRAFFIC_INTERVAL);
+    let handle_gossip_output = |output: GossipOutput| {
+        for (to, bytes) in output.packets {
+            packet_socket.send(to, GOSSIP_PACKET, &bytes);
         }
-        for (after, timer) in said.timers {
-            let hand = hand.clone();
+        for (after, timer) in output.timers {
+            let timer_sender = timer_sender.clone();
             tokio::spawn(async move {
                 sleep(after).await;
-                let _ = hand.send(timer);
+                let _ = timer_sender.send(timer);
             });
         }
-        let changed = !said.changes.is_empty();
-        for change in said.changes {
+        let has_peer_changes = !output.changes.is_empty();
+        for change in output.changes {
             match change {
                 PeerChange::Up(peer) => {
-                    info!(log, "an instance has come"; "at" => peer.address, "role" => ?peer.role)
+                    info!(log, "instance is up"; "at" => peer.address, "role" => ?peer.role)
                 }
                 PeerChange::Down(peer) => {
-                    info!(log, "an instance has gone"; "at" => peer.address, "role" => ?peer.role)
+                    info!(log, "instance is down"; "at" => peer.address, "role" => ?peer.role)
                 }
             }
         }
-        changed
+        has_peer_changes
     };
     let mut peers: Arc<[Peer]> = Arc::default();
     loop {
-        let (mut out, mut changed) = (Vec::new(), false);
+        let (mut outgoing, mut has_peer_changes) = (Vec::new(), false);
         tokio::select! {
-            got = post.socket.recv_from(&mut packet) => match got {
-                Ok((length, from)) => match post.open(&packet[..length]) {
-                    Some((GOSSIP, body)) => changed = said(gossip.handle_packet(body)),
-                    Some((PARTS, body)) => {
+            received = packet_socket.socket.recv_from(&mut packet) => match received {
+                Ok((length, from)) => match packet_socket.verify(&packet[..length]) {
+                    Some((GOSSIP_PACKET, body)) => {
+                        has_peer_changes = handle_gossip_output(gossip.handle_packet(body));
+                    }
+                    Some((QUOTA_PACKET, body)) => {
                         if let Ok(message) = postcard::from_bytes::<Message>(body) {
-                            instance.receive(now(), from, message, &mut out);
-                            wake = Instant::now();
+                            instance.handle_message(now(), from, message, &mut outgoing);
+                            next_tick = Instant::now();
                         }
                     }
-                    _ => debug!(log, "a packet was passed over"; "from" => from, "bytes" => length),
+                    _ => debug!(log, "invalid packet dropped"; "from" => from, "bytes" => length),
                 },
                 Err(e) => {
-                    warn!(log, "nothing can be received"; "why" => %e);
+                    warn!(log, "receiving from the socket failed"; "why" => %e);
                     sleep(Duration::from_millis(10)).await;
                 }
             },
-            Some(timer) = rung.recv() => changed = said(gossip.handle_timer(timer)),
-            () = sleep_until(wake) => {
-                let next = instance.tick(now(), &mut out);
-                wake = start + Duration::from_micros(next.min(now() + 1_000_000));
+            Some(timer) = timer_receiver.recv() => {
+                has_peer_changes = handle_gossip_output(gossip.handle_timer(timer));
+            }
+            () = sleep_until(next_tick) => {
+                let next = instance.tick(now(), &mut outgoing);
+                next_tick = start + Duration::from_micros(next.min(now() + 1_000_000));
             }
-            () = sleep_until(announce) => {
-                announce = Instant::now() + ANNOUNCE;
+            () = sleep_until(next_announcement) => {
+                next_announcement = Instant::now() + ANNOUNCE_INTERVAL;
                 if gossip.peers().next().is_none() {
-                    for voter in config.acceptors.iter().filter(|v| **v != at) {
-                        said(gossip.announce(*voter));
+                    for acceptor in config.acceptors.iter().filter(|acceptor| **acceptor != address) {
+                        handle_gossip_output(gossip.announce(*acceptor));
                     }
                 }
             }
-            () = sleep_until(count) => {
-                count += COUNT;
+            () = sleep_until(next_traffic_sample) => {
+                next_traffic_sample += TRAFFIC_INTERVAL;
                 let requests = request_counter.0.swap(0, Ordering::Relaxed);
-                instance.traffic(requests as f64 / COUNT.as_secs_f64());
+                instance.set_request_rate(requests as f64 / TRAFFIC_INTERVAL.as_secs_f64());
             }
-            Some(done) = leaving.recv() => {
-                instance.leave(now(), &mut out);
-                said(gossip.leave());
-                deliver(&post, out);
-                let _ = done.send(());
+            Some(done_sender) = leave_receiver.recv() => {
+                instance.leave(now(), &mut outgoing);
+                handle_gossip_output(gossip.leave());
+                send_messages(&packet_socket, outgoing);
+                let _ = done_sender.send(());
                 return;
             }
         }
-        deliver(&post, out);
-        if changed {
+        send_messages(&packet_socket, outgoing);
+        if has_peer_changes {
             peers = gossip.peers().cloned().collect();
         }
         let view = MembershipView {
@@ -313,15 +341,15 @@
             is_leader: instance.is_leader(now()),
             peers: peers.clone(),
         };
-        tell.send_if_modified(|old| std::mem::replace(old, view.clone()) != view);
+        view_sender.send_if_modified(|current| std::mem::replace(current, view.clone()) != view);
     }
 }
 
-fn deliver(post: &Post, out: Vec<(SocketAddr, Message)>) {
-    for (to, message) in out {
+fn send_messages(packet_socket: &PacketSocket, outgoing: Vec<(SocketAddr, Message)>) {
+    for (to, message) in outgoing {
         match postcard::to_stdvec(&message) {
-            Ok(body) => post.send(to, PARTS, &body),
-            Err(e) => warn!(post.log, "a message can't be written"; "why" => %e),
+            Ok(body) => packet_socket.send(to, QUOTA_PACKET, &body),
+            Err(e) => warn!(packet_socket.log, "message can't be encoded"; "why" => %e),
         }
     }
 }
--- a/rpc/src/upstream/messages.rs
+++ b/rpc/src/upstream/messages.rs
@@ -1,4 +1,4 @@
-//! gRPC's framing: messages out of data, and what a status's details say.
+//! The framing of gRPC messages, and the decoding of statuses and their details.
 
 use base64::engine::general_purpose::{STANDARD, STANDARD_NO_PAD};
 use base64::Engine;
@@ -7,17 +7,17 @@
 use http::HeaderMap;
 use prost::Message;
 
-use crate::outcome::{End, Said};
+use crate::outcome::{AttemptEnd, StatusDetail};
 use crate::proto::{never_ran::Why, NeverRan};
 
-/// Before each message: whether it is compressed, and its length.
-const PREFIX: usize = 5;
-/// The longest message, as on the platform's wire.
-pub(super) const MOST: usize = 64 << 10;
-/// What our detail is called.
-const DETAIL: &str = "type.googleapis.com/frosttrail.box.v1.NeverRan";
+/// Length of the prefix of each message, which holds the compressed flag and the message's length.
+const PREFIX_BYTES: usize = 5;
+/// Maximum length of a message from a server, as in the platform's protocol.
+pub(super) const MAX_MESSAGE_BYTES: usize = 64 << 10;
+/// Type URL of the status detail that states that a request never ran.
+const NEVER_RAN_TYPE_URL: &str = "type.googleapis.com/frosttrail.box.v1.NeverRan";
 
-/// A status as it travels in `grpc-status-details-bin`.
+/// The status in the header `grpc-status-details-bin`.
 #[derive(Clone, PartialEq, prost::Message)]
 struct RpcStatus {
     #[prost(int32, tag = "1")]
@@ -28,117 +28,123 @@
     details: Vec<prost_types::Any>,
 }
 
-/// A message with its prefix.
-pub(super) fn framed(message: &impl Message) -> Bytes {
+/// Encodes a message with its prefix.
+pub(super) fn encode_message(message: &impl Message) -> Bytes {
     let length = message.encoded_len();
-    let mut bytes = BytesMut::with_capacity(PREFIX + length);
+    let mut bytes = BytesMut::with_capacity(PREFIX_BYTES + length);
     bytes.put_u8(0);
     bytes.put_u32(length as u32);
     message.encode_raw(&mut bytes);
     bytes.freeze()
 }
 
-/// What comes next on a stream.
+/// The next item of a stream.
 #[derive(Debug)]
-pub(super) enum Next {
+pub(super) enum StreamItem {
     Message(Bytes),
-    /// The end, with its trailers.
+    /// The end of the stream, with its trailers.
     End(HeaderMap),
 }
 
-/// Takes messages out of a stream.
+/// Reads the messages of a stream.
 #[derive(Debug)]
-pub(super) struct Messages {
+pub(super) struct MessageReader {
     stream: RecvStream,
-    held: BytesMut,
-    data_over: bool,
+    buffer: BytesMut,
+    has_data_ended: bool,
 }
 
-impl Messages {
+impl MessageReader {
     pub(super) fn new(stream: RecvStream) -> Self {
-        Messages { stream, held: BytesMut::new(), data_over: false }
+        MessageReader { stream, buffer: BytesMut::new(), has_data_ended: false }
     }
 
-    /// The next message, or the end.
+    /// Polls for the next message or the end of the stream.
     pub(super) fn poll_next(
         &mut self,
         cx: &mut std::task::Context<'_>,
-    ) -> std::task::Poll<Result<Next, End>> {
+    ) -> std::task::Poll<Result<StreamItem, AttemptEnd>> {
         use std::task::{ready, Poll};
         loop {
-            if let Some(message) = self.take()? {
-                return Poll::Ready(Ok(Next::Message(message)));
+            if let Some(message) = self.take_message()? {
+                return Poll::Ready(Ok(StreamItem::Message(message)));
             }
-            if self.data_over {
-                let trailers = ready!(self.stream.poll_trailers(cx)).map_err(|e| end_of(&e))?;
-                let whole = self.held.is_empty();
-                return Poll::Ready(trailers.filter(|_| whole).map(Next::End).ok_or(End::NoGrpc));
+            if self.has_data_ended {
+                let trailers = ready!(self.stream.poll_trailers(cx)).map_err(|e| attempt_end(&e))?;
+                let is_complete = self.buffer.is_empty();
+                return Poll::Ready(
+                    trailers.filter(|_| is_complete).map(StreamItem::End).ok_or(AttemptEnd::InvalidResponse),
+                );
             }
             match ready!(self.stream.poll_data(cx)) {
                 Some(Ok(data)) => {
-                    // Room for as much again; who stops reading stops the server.
+                    // Allows the server to send as much again. It has to stop once the client stops reading.
                     let _ = self.stream.flow_control().release_capacity(data.len());
-                    self.held.extend_from_slice(&data);
+                    self.buffer.extend_from_slice(&data);
                 }
-                Some(Err(e)) => return Poll::Ready(Err(end_of(&e))),
-                None => self.data_over = true,
+                Some(Err(e)) => return Poll::Ready(Err(attempt_end(&e))),
+                None => self.has_data_ended = true,
             }
         }
     }
 
-    fn take(&mut self) -> Result<Option<Bytes>, End> {
-        let Some(prefix) = self.held.get(..PREFIX) else { return Ok(None) };
+    fn take_message(&mut self) -> Result<Option<Bytes>, AttemptEnd> {
+        let Some(prefix) = self.buffer.get(..PREFIX_BYTES) else { return Ok(None) };
         let length = (&prefix[1..]).get_u32() as usize;
-        if prefix[0] != 0 || length > MOST {
-            return Err(End::NoGrpc);
+        if prefix[0] != 0 || length > MAX_MESSAGE_BYTES {
+            return Err(AttemptEnd::InvalidResponse);
         }
-        if self.held.len() < PREFIX + length {
+        if self.buffer.len() < PREFIX_BYTES + length {
             return Ok(None);
         }
-        let mut message = self.held.split_to(PREFIX + length).freeze();
-        message.advance(PREFIX);
+        let mut message = self.buffer.split_to(PREFIX_BYTES + length).freeze();
+        message.advance(PREFIX_BYTES);
         Ok(Some(message))
     }
 }
 
-/// What an error of the library means.
-pub(super) fn end_of(error: &h2::Error) -> End {
+/// Returns the end of the attempt that an error of the HTTP/2 library stands for.
+pub(super) fn attempt_end(error: &h2::Error) -> AttemptEnd {
     match error.reason() {
-        // Streams that a GOAWAY leaves out end with it; those that it covers go on.
-        Some(_) if error.is_go_away() && error.is_remote() => End::BehindGoaway,
-        Some(reason) if error.is_reset() && error.is_remote() => End::Reset(reason),
-        // Ours: what came could not be read.
-        Some(_) => End::NoGrpc,
-        None => End::Connection,
+        // A GOAWAY ends the streams above its last stream with this error; the others continue.
+        Some(_) if error.is_go_away() && error.is_remote() => AttemptEnd::ExcludedByGoaway,
+        Some(reason) if error.is_reset() && error.is_remote() => AttemptEnd::Reset(reason),
+        // The error was raised on this side, because the response is invalid.
+        Some(_) => AttemptEnd::InvalidResponse,
+        None => AttemptEnd::ConnectionFailed,
     }
 }
 
-/// The status in a head or in trailers: whether it is good, and what the server says if it is not.
-pub(super) fn status(headers: &HeaderMap) -> Option<Result<(), (Said, Option<crate::proto::Load>)>> {
+/// Returns the status in a response head or in trailers; for an error, what the server stated in its details,
+/// and its load report. `None` if there is no valid status.
+pub(super) fn parse_status(
+    headers: &HeaderMap,
+) -> Option<Result<(), (StatusDetail, Option<crate::proto::Load>)>> {
     let code = headers.get("grpc-status")?.to_str().ok()?.parse::<i32>().ok()?;
     if code == 0 {
         return Some(Ok(()));
     }
-    let never = details(headers).unwrap_or_default();
-    let said = match never.why() {
-        Why::TurnedAway => Said::TurnedAway,
-        Why::StateLost => Said::StateLost,
-        Why::Unspecified => Said::Nothing,
+    let never_ran = never_ran_detail(headers).unwrap_or_default();
+    let detail = match never_ran.why() {
+        Why::TurnedAway => StatusDetail::Rejected,
+        Why::StateLost => StatusDetail::CacheMissing,
+        Why::Unspecified => StatusDetail::Unspecified,
     };
-    Some(Err((said, never.load)))
+    Some(Err((detail, never_ran.load)))
 }
 
-fn details(headers: &HeaderMap) -> Option<NeverRan> {
+fn never_ran_detail(headers: &HeaderMap) -> Option<NeverRan> {
     let text = headers.get("grpc-status-details-bin")?.as_bytes();
     let bytes = STANDARD_NO_PAD.decode(text).or_else(|_| STANDARD.decode(text)).ok()?;
     let status = RpcStatus::decode(&bytes[..]).ok()?;
-    let detail = status.details.into_iter().find(|d| d.type_url == DETAIL)?;
+    let detail = status.details.into_iter().find(|d| d.type_url == NEVER_RAN_TYPE_URL)?;
     NeverRan::decode(&detail.value[..]).ok()
 }
 
-/// The header that says that a request never ran here, for a server to put beside its status.
-pub fn never_ran(code: i32, message: &str, why: NeverRan) -> String {
-    let detail = prost_types::Any { type_url: DETAIL.into(), value: why.encode_to_vec() };
+/// Returns the value of `grpc-status-details-bin` that states that a request never ran. Servers send it with
+/// their status.
+pub fn never_ran_header(code: i32, message: &str, why: NeverRan) -> String {
+    let detail = prost_types::Any { type_url: NEVER_RAN_TYPE_URL.into(), value: why.encode_to_vec() };
     let status = RpcStatus { code, message: message.into(), details: vec![detail] };
     STANDARD_NO_PAD.encode(status.encode_to_vec())
 }
