--- a/standins/src/http.rs
+++ b/standins/src/http.rs
@@ -18,19 +18,24 @@
 pub(crate) type Body = BoxBody<Bytes, Infallible>;
 
 /// Serves the protocol: requests by what this server does, and the call that lets go of a state.
-pub(crate) async fn serve<L, F, R>(lets_go: L, does: F) -> io::Result<(SocketAddr, AbortOnDropHandle<()>)>
+pub(crate) async fn serve<L, F, R>(
+    release_kv_cache: L,
+    handle_request: F,
+) -> io::Result<(SocketAddr, AbortOnDropHandle<()>)>
 where
     L: Fn(&Id) + Clone + Send + Sync + 'static,
     F: Fn(Id, Bytes) -> R + Clone + Send + Sync + 'static,
     R: std::future::Future<Output = Response<Body>> + Send + 'static,
 {
-    let listener = TcpListener::bind(any()).await?;
+    let listener = TcpListener::bind(any_loopback_port()).await?;
     let address = listener.local_addr()?;
     let serving = async move {
         let mut connections = tokio::task::JoinSet::new();
         while let Ok((stream, _)) = listener.accept().await {
-            let (lets_go, does) = (lets_go.clone(), does.clone());
-            let service = service_fn(move |request| one(lets_go.clone(), does.clone(), request));
+            let (release_kv_cache, handle_request) = (release_kv_cache.clone(), handle_request.clone());
+            let service = service_fn(move |request| {
+                dispatch(release_kv_cache.clone(), handle_request.clone(), request)
+            });
             connections.spawn(
                 hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(stream), service),
             );
@@ -40,7 +45,11 @@
     Ok((address, AbortOnDropHandle::new(tokio::spawn(serving))))
 }
 
-async fn one<L, F, R>(lets_go: L, does: F, request: Request<Incoming>) -> Result<Response<Body>, hyper::Error>
+async fn dispatch<L, F, R>(
+    release_kv_cache: L,
+    handle_request: F,
+    request: Request<Incoming>,
+) -> Result<Response<Body>, hyper::Error>
 where
     L: Fn(&Id),
     F: Fn(Id, Bytes) -> R,
@@ -51,33 +60,33 @@
         let id = head.uri.path().strip_prefix("/state/").and_then(|id| Id::new(id).ok());
         return Ok(match id {
             Some(id) => {
-                lets_go(&id);
-                answer(204, false, "")
+                release_kv_cache(&id);
+                response_with(204, false, "")
             }
-            None => answer(400, false, ""),
+            None => response_with(400, false, ""),
         });
     }
     let id = head.headers.get("x-txn").and_then(|id| id.to_str().ok()).and_then(|id| Id::new(id).ok());
     let prompt = body.collect().await?.to_bytes();
     Ok(match id {
-        Some(id) => does(id, prompt).await,
-        None => answer(404, false, ""),
+        Some(id) => handle_request(id, prompt).await,
+        None => response_with(404, false, ""),
     })
 }
 
-pub(crate) fn turned_away(status: u16) -> Response<Body> {
-    answer(status, true, "")
+pub(crate) fn rejection(status: u16) -> Response<Body> {
+    response_with(status, true, "")
 }
 
-pub(crate) fn answer(status: u16, turned_away: bool, body: &'static str) -> Response<Body> {
+pub(crate) fn response_with(status: u16, is_rejection: bool, body: &'static str) -> Response<Body> {
     let mut response = Response::new(Full::new(Bytes::from_static(body.as_bytes())).boxed());
     *response.status_mut() = hyper::StatusCode::from_u16(status).unwrap_or_default();
-    if turned_away {
+    if is_rejection {
         response.headers_mut().insert("x-turned-away", hyper::header::HeaderValue::from_static("1"));
     }
     response
 }
 
-pub(crate) fn any() -> SocketAddr {
+pub(crate) fn any_loopback_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
--- a/standins/src/ledger.rs
+++ b/standins/src/ledger.rs
@@ -14,7 +14,7 @@
 use tokio::time::{sleep, Instant};
 use tokio_util::task::AbortOnDropHandle;
 
-use crate::http::{answer, serve, turned_away, Body};
+use crate::http::{rejection, response_with, serve, Body};
 
 /// What one request has come to.
 #[derive(Clone, Copy, Debug, Default)]
@@ -29,7 +29,7 @@
 
 impl RequestRecord {
     /// The state is taken or let go of; false where none was held.
-    fn ends(&mut self) -> bool {
+    fn end_hold(&mut self) -> bool {
         let since = self.held_since.take();
         self.longest_hold = self.longest_hold.max(since.map_or(Duration::ZERO, |at| at.elapsed()));
         since.is_some()
@@ -41,7 +41,7 @@
 pub struct Ledger(Arc<Mutex<HashMap<Id, RequestRecord>>>);
 
 impl Ledger {
-    fn with<T>(&self, id: &Id, f: impl FnOnce(&mut RequestRecord) -> T) -> T {
+    fn update<T>(&self, id: &Id, f: impl FnOnce(&mut RequestRecord) -> T) -> T {
         f(self.0.lock().unwrap_or_else(|e| e.into_inner()).entry(id.clone()).or_default())
     }
 
@@ -60,45 +60,46 @@
 
 impl StubServer {
     /// A reader that takes so long for a prompt.
-    pub async fn start_prefill(ledger: &Ledger, takes: Duration) -> io::Result<Self> {
+    pub async fn start_prefill(ledger: &Ledger, delay: Duration) -> io::Result<Self> {
         Self::start(ledger, move |ledger, id| async move {
-            sleep(takes).await;
-            ledger.with(&id, |account| account.held_since = Some(Instant::now()));
-            answer(202, false, "{\"cached_tokens\":0}")
+            sleep(delay).await;
+            ledger.update(&id, |record| record.held_since = Some(Instant::now()));
+            response_with(202, false, "{\"cached_tokens\":0}")
         })
         .await
     }
 
     /// A writer that takes so long to its first token; one without the state turns the request away.
-    pub async fn start_decode(ledger: &Ledger, takes: Duration) -> io::Result<Self> {
+    pub async fn start_decode(ledger: &Ledger, delay: Duration) -> io::Result<Self> {
         Self::start(ledger, move |ledger, id| async move {
-            let there = ledger.with(&id, |account| {
-                let there = account.ends();
-                account.decode_runs += u32::from(there);
-                there
+            let was_held = ledger.update(&id, |record| {
+                let was_held = record.end_hold();
+                record.decode_runs += u32::from(was_held);
+                was_held
             });
-            if !there {
-                return turned_away(410);
+            if !was_held {
+                return rejection(410);
             }
-            sleep(takes).await;
-            let mut response = answer(200, false, "data: {\"choices\":[]}\n\ndata: [DONE]\n\n");
-            let kind = hyper::header::HeaderValue::from_static("text/event-stream");
-            response.headers_mut().insert("content-type", kind);
+            sleep(delay).await;
+            let mut response = response_with(200, false, "data: {\"choices\":[]}\n\ndata: [DONE]\n\n");
+            let content_type = hyper::header::HeaderValue::from_static("text/event-stream");
+            response.headers_mut().insert("content-type", content_type);
             response
         })
         .await
     }
 
-    async fn start<F, R>(ledger: &Ledger, does: F) -> io::Result<Self>
+    async fn start<F, R>(ledger: &Ledger, handle_request: F) -> io::Result<Self>
     where
         F: Fn(Ledger, Id) -> R + Clone + Send + Sync + 'static,
         R: std::future::Future<Output = Response<Body>> + Send + 'static,
     {
-        let (here, books) = (ledger.clone(), ledger.clone());
-        let lets_go = move |id: &Id| {
-            here.with(id, RequestRecord::ends);
+        let (release_ledger, request_ledger) = (ledger.clone(), ledger.clone());
+        let release_kv_cache = move |id: &Id| {
+            release_ledger.update(id, RequestRecord::end_hold);
         };
-        let (http_address, serving) = serve(lets_go, move |id, _: Bytes| does(books.clone(), id)).await?;
+        let (http_address, serving) =
+            serve(release_kv_cache, move |id, _: Bytes| handle_request(request_ledger.clone(), id)).await?;
         Ok(StubServer { http_address, _serving: serving })
     }
 }
--- a/standins/src/link.rs
+++ b/standins/src/link.rs
@@ -15,9 +15,9 @@
 use tokio_util::task::AbortOnDropHandle;
 
 /// Bytes that are carried at a time.
-const PIECE: usize = 16 << 10;
+const BUFFER_BYTES: usize = 16 << 10;
 /// A line that was kept waiting for up to this long catches up.
-const MADE_UP: Duration = Duration::from_millis(5);
+const MAX_CATCH_UP: Duration = Duration::from_millis(5);
 
 /// Which way bytes go.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -51,44 +51,50 @@
 }
 
 #[derive(Debug, Default)]
-struct Script {
-    events: Vec<ScriptedFault>,
-    carried: [u64; 2],
+struct FaultScript {
+    faults: Vec<ScriptedFault>,
+    forwarded: [u64; 2],
 }
 
-impl Script {
+impl FaultScript {
     /// How many of so many bytes may be carried, with what happens behind them.
-    fn next(&mut self, direction: Direction, bytes: &mut [u8]) -> (usize, Option<Fault>) {
-        let from = self.carried[direction as usize];
-        let due = |e: &ScriptedFault| e.direction == direction && e.offset < from + bytes.len() as u64;
-        let first = self.events.iter().enumerate().filter(|(_, e)| due(e)).min_by_key(|(_, e)| e.offset);
-        let Some((index, event)) = first.map(|(i, e)| (i, *e)) else {
-            self.carried[direction as usize] += bytes.len() as u64;
+    fn advance(&mut self, direction: Direction, bytes: &mut [u8]) -> (usize, Option<Fault>) {
+        let start = self.forwarded[direction as usize];
+        let is_due =
+            |fault: &ScriptedFault| fault.direction == direction && fault.offset < start + bytes.len() as u64;
+        let first = self
+            .faults
+            .iter()
+            .enumerate()
+            .filter(|(_, fault)| is_due(fault))
+            .min_by_key(|(_, fault)| fault.offset);
+        let Some((index, next_fault)) = first.map(|(i, fault)| (i, *fault)) else {
+            self.forwarded[direction as usize] += bytes.len() as u64;
             return (bytes.len(), None);
         };
-        self.events.swap_remove(index);
-        let mut length = event.offset.saturating_sub(from) as usize;
-        if event.fault == Fault::FlipBit {
-            bytes[length] ^= 1 << (event.offset % 8);
+        self.faults.swap_remove(index);
+        let mut length = next_fault.offset.saturating_sub(start) as usize;
+        if next_fault.fault == Fault::FlipBit {
+            bytes[length] ^= 1 << (next_fault.offset % 8);
             length += 1;
         }
-        self.carried[direction as usize] += length as u64;
-        (length, Some(event.fault))
+        self.forwarded[direction as usize] += length as u64;
+        (length, Some(next_fault.fault))
     }
 }
 
 struct Shared {
-    to: Mutex<SocketAddr>,
-    script: Mutex<Script>,
-    cut: Mutex<CancellationToken>,
+    target: Mutex<SocketAddr>,
+    script: Mutex<FaultScript>,
+    reset: Mutex<CancellationToken>,
     /// Nothing is carried.
     stalled: watch::Sender<bool>,
     /// No connection is taken.
-    dark: AtomicBool,
+    is_unreachable: AtomicBool,
     /// Bytes a second, 0: as many as come.
-    rate: AtomicU64,
+    rate_bytes_per_second: AtomicU64,
     /// When the line is free again.
-    free: Mutex<Option<Instant>>,
+    line_free_at: Mutex<Option<Instant>>,
     delay: Mutex<Duration>,
 }
 
@@ -102,26 +108,26 @@
 
 impl Link {
     /// A link to an address, without faults.
-    pub async fn start(to: SocketAddr) -> io::Result<Self> {
-        let listener = TcpListener::bind((to.ip(), 0)).await?;
+    pub async fn start(target: SocketAddr) -> io::Result<Self> {
+        let listener = TcpListener::bind((target.ip(), 0)).await?;
         let address = listener.local_addr()?;
         let shared = Arc::new(Shared {
-            to: Mutex::new(to),
+            target: Mutex::new(target),
             script: Mutex::default(),
-            cut: Mutex::default(),
+            reset: Mutex::default(),
             stalled: watch::Sender::new(false),
-            dark: AtomicBool::new(false),
-            rate: AtomicU64::new(0),
-            free: Mutex::default(),
+            is_unreachable: AtomicBool::new(false),
+            rate_bytes_per_second: AtomicU64::new(0),
+            line_free_at: Mutex::default(),
             delay: Mutex::default(),
         });
-        let accepting = accept(listener, shared.clone());
+        let accepting = accept_connections(listener, shared.clone());
         Ok(Link { address, shared, _accepting: AbortOnDropHandle::new(tokio::spawn(accepting)) })
     }
 
     /// Carries at most so many bytes a second, each way for itself being no rate of its own: all share one.
     pub fn set_rate(&self, bytes_per_second: u64) {
-        self.shared.rate.store(bytes_per_second, Ordering::Relaxed);
+        self.shared.rate_bytes_per_second.store(bytes_per_second, Ordering::Relaxed);
     }
 
     /// Everything comes this much later.
@@ -130,39 +136,39 @@
     }
 
     /// Adds faults to the script.
-    pub fn add_faults(&self, events: &[ScriptedFault]) {
-        lock(&self.shared.script).events.extend(events);
+    pub fn add_faults(&self, faults: &[ScriptedFault]) {
+        lock(&self.shared.script).faults.extend(faults);
     }
 
     /// Bytes carried so far, up and down.
     pub fn forwarded_bytes(&self) -> (u64, u64) {
-        let [up, down] = lock(&self.shared.script).carried;
+        let [up, down] = lock(&self.shared.script).forwarded;
         (up, down)
     }
 
     /// Where it leads to.
     pub fn target(&self) -> SocketAddr {
-        *lock(&self.shared.to)
+        *lock(&self.shared.target)
     }
 
     /// New connections lead elsewhere.
-    pub fn set_target(&self, to: SocketAddr) {
-        *lock(&self.shared.to) = to;
+    pub fn set_target(&self, target: SocketAddr) {
+        *lock(&self.shared.target) = target;
     }
 
     /// Resets all connections.
     pub fn reset_connections(&self) {
-        self.shared.cut();
+        self.shared.reset_connections();
     }
 
     /// Carries nothing, or goes on.
-    pub fn set_stalled(&self, stalled: bool) {
-        self.shared.stalled.send_replace(stalled);
+    pub fn set_stalled(&self, is_stalled: bool) {
+        self.shared.stalled.send_replace(is_stalled);
     }
 
     /// Takes no connections, or takes them again.
-    pub fn set_unreachable(&self, unreachable: bool) {
-        self.shared.dark.store(unreachable, Ordering::Relaxed);
+    pub fn set_unreachable(&self, is_unreachable: bool) {
+        self.shared.is_unreachable.store(is_unreachable, Ordering::Relaxed);
     }
 }
 
@@ -171,96 +177,98 @@
 }
 
 impl Shared {
-    fn cut(&self) {
-        std::mem::take(&mut *lock(&self.cut)).cancel();
+    fn reset_connections(&self) {
+        std::mem::take(&mut *lock(&self.reset)).cancel();
     }
 
     /// When the last of so many bytes is through.
-    fn through(&self, bytes: usize) -> Option<Instant> {
-        let rate = self.rate.load(Ordering::Relaxed);
+    fn reserve_line(&self, byte_count: usize) -> Option<Instant> {
+        let rate = self.rate_bytes_per_second.load(Ordering::Relaxed);
         if rate == 0 {
             return None;
         }
-        let mut free = lock(&self.free);
+        let mut line_free_at = lock(&self.line_free_at);
         // Timers are late by up to some milliseconds; what they lose is made up for.
         let now = Instant::now();
-        let begin = free.map_or(now, |f| f.max(now.checked_sub(MADE_UP).unwrap_or(now)));
-        let end = begin + Duration::from_nanos(bytes as u64 * 1_000_000_000 / rate);
-        *free = Some(end);
+        let begin =
+            line_free_at.map_or(now, |free_at| free_at.max(now.checked_sub(MAX_CATCH_UP).unwrap_or(now)));
+        let end = begin + Duration::from_nanos(byte_count as u64 * 1_000_000_000 / rate);
+        *line_free_at = Some(end);
         Some(end)
     }
 }
 
-async fn accept(listener: TcpListener, shared: Arc<Shared>) {
-    while let Ok((near, _)) = listener.accept().await {
-        if shared.dark.load(Ordering::Relaxed) {
+async fn accept_connections(listener: TcpListener, shared: Arc<Shared>) {
+    while let Ok((client, _)) = listener.accept().await {
+        if shared.is_unreachable.load(Ordering::Relaxed) {
             continue;
         }
-        let (shared, cut) = (shared.clone(), lock(&shared.cut).clone());
+        let (shared, reset) = (shared.clone(), lock(&shared.reset).clone());
         tokio::spawn(async move {
-            let both = async {
-                let far = {
-                    let to = *lock(&shared.to);
-                    TcpStream::connect(to).await?
+            let forwarding = async {
+                let server = {
+                    let target = *lock(&shared.target);
+                    TcpStream::connect(target).await?
                 };
                 // What is cut is reset: nothing that is still under way arrives.
                 #[allow(deprecated)]
-                for stream in [&near, &far] {
+                for stream in [&client, &server] {
                     stream.set_nodelay(true)?;
                     stream.set_linger(Some(Duration::ZERO))?;
                 }
-                let ((near_read, near_write), (far_read, far_write)) = (near.into_split(), far.into_split());
-                let up = carry(&shared, Direction::Upstream, near_read, far_write);
-                let down = carry(&shared, Direction::Downstream, far_read, near_write);
+                let ((client_read, client_write), (server_read, server_write)) =
+                    (client.into_split(), server.into_split());
+                let upstream = forward(&shared, Direction::Upstream, client_read, server_write);
+                let downstream = forward(&shared, Direction::Downstream, server_read, client_write);
                 tokio::select! {
-                    r = up => r,
-                    r = down => r,
+                    r = upstream => r,
+                    r = downstream => r,
                 }
             };
             tokio::select! {
-                () = cut.cancelled() => {}
-                _ = both => {}
+                () = reset.cancelled() => {}
+                _ = forwarding => {}
             }
         });
     }
 }
 
 /// One direction of one connection: a task that reads and waits its turn, one that writes after the delay.
-async fn carry(
+async fn forward(
     shared: &Shared,
     direction: Direction,
     mut read: impl tokio::io::AsyncRead + Unpin,
     mut write: impl tokio::io::AsyncWrite + Unpin,
 ) -> io::Result<()> {
-    let (tell, mut late) = mpsc::channel::<(Instant, Vec<u8>)>(64);
+    let (chunk_sender, mut chunk_receiver) = mpsc::channel::<(Instant, Vec<u8>)>(64);
     let reading = async move {
         let mut stalled = shared.stalled.subscribe();
-        let mut piece = vec![0; PIECE];
+        let mut buffer = vec![0; BUFFER_BYTES];
         loop {
-            let mut length = read.read(&mut piece).await?;
+            let mut length = read.read(&mut buffer).await?;
             if length == 0 {
                 return io::Result::Ok(());
             }
-            let mut rest = &mut piece[..length];
-            while !rest.is_empty() {
+            let mut remaining = &mut buffer[..length];
+            while !remaining.is_empty() {
                 let _ = stalled.wait_for(|s| !s).await;
                 let fault;
-                (length, fault) = lock(&shared.script).next(direction, rest);
-                if let Some(end) = shared.through(length) {
+                (length, fault) = lock(&shared.script).advance(direction, remaining);
+                if let Some(end) = shared.reserve_line(length) {
                     sleep_until(end).await;
                 }
-                let at = Instant::now() + *lock(&shared.delay);
-                if tell.send((at, rest[..length].to_vec())).await.is_err() {
+                let deliver_at = Instant::now() + *lock(&shared.delay);
+                if chunk_sender.send((deliver_at, remaining[..length].to_vec())).await.is_err() {
                     return Ok(());
                 }
                 match fault {
                     Some(Fault::Reset) => {
                         // What went before it arrives.
                         tokio::task::yield_now().await;
-                        while tell.capacity() < tell.max_capacity() {
+                        while chunk_sender.capacity() < chunk_sender.max_capacity() {
                             tokio::task::yield_now().await;
                         }
-                        shared.cut();
+                        shared.reset_connections();
                         return std::future::pending().await;
                     }
                     Some(Fault::Stall) => {
@@ -268,13 +276,13 @@
                     }
                     Some(Fault::FlipBit) | None => {}
                 }
-                rest = &mut rest[length..];
+                remaining = &mut remaining[length..];
             }
         }
     };
     let writing = async move {
-        while let Some((at, bytes)) = late.recv().await {
-            sleep_until(at).await;
+        while let Some((deliver_at, bytes)) = chunk_receiver.recv().await {
+            sleep_until(deliver_at).await;
             write.write_all(&bytes).await?;
         }
         io::Result::Ok(())
--- a/standins/src/split.rs
+++ b/standins/src/split.rs
@@ -19,13 +19,13 @@
 use tokio::time::sleep;
 use tokio_util::task::AbortOnDropHandle;
 
-use crate::http::{answer, any, serve, turned_away, Body};
+use crate::http::{any_loopback_port, rejection, response_with, serve, Body};
 
 /// The state that a reader makes of a prompt: so many bytes, which depend on all of it.
-pub fn kv_cache_of(prompt: &[u8], length: usize) -> Bytes {
-    let mut state = vec![0; length];
-    blake3::Hasher::new().update(prompt).finalize_xof().fill(&mut state);
-    state.into()
+pub fn kv_cache_of(prompt: &[u8], kv_cache_bytes: usize) -> Bytes {
+    let mut kv_cache = vec![0; kv_cache_bytes];
+    blake3::Hasher::new().update(prompt).finalize_xof().fill(&mut kv_cache);
+    kv_cache.into()
 }
 
 /// The tokens that a writer finds in a state: they depend on all of its bytes.
@@ -54,27 +54,33 @@
     pub async fn start(
         config: Config,
         incarnation: u64,
-        length: usize,
-        takes: Duration,
+        kv_cache_bytes: usize,
+        prefill_time: Duration,
         log: Logger,
     ) -> io::Result<Self> {
         let node = Arc::new(Node::new(config, incarnation, log));
-        let transfer_address = node.listen(any()).await?;
-        let read = {
+        let transfer_address = node.listen(any_loopback_port()).await?;
+        let handle_prefill = {
             let node = node.clone();
-            move |id, prompt| read(node.clone(), id, prompt, length, takes)
+            move |id, prompt| prefill(node.clone(), id, prompt, kv_cache_bytes, prefill_time)
         };
-        let (http_address, serving) = serve(releases(&node), read).await?;
+        let (http_address, serving) = serve(release_handler(&node), handle_prefill).await?;
         Ok(PrefillServer { http_address, transfer_address, node, _serving: serving })
     }
 }
 
-async fn read(node: Arc<Node>, id: Id, prompt: Bytes, length: usize, takes: Duration) -> Response<Body> {
-    let Ok(reading) = node.begin(id) else { return turned_away(503) };
-    sleep(takes).await;
-    match reading.put(kv_cache_of(&prompt, length)).await {
-        Ok(()) => answer(202, false, "{\"cached_tokens\":0}"),
-        Err(_) => answer(500, false, ""),
+async fn prefill(
+    node: Arc<Node>,
+    id: Id,
+    prompt: Bytes,
+    kv_cache_bytes: usize,
+    prefill_time: Duration,
+) -> Response<Body> {
+    let Ok(pending) = node.begin(id) else { return rejection(503) };
+    sleep(prefill_time).await;
+    match pending.put(kv_cache_of(&prompt, kv_cache_bytes)).await {
+        Ok(()) => response_with(202, false, "{\"cached_tokens\":0}"),
+        Err(_) => response_with(500, false, ""),
     }
 }
 
@@ -92,39 +98,39 @@
     pub async fn start(
         config: Config,
         incarnation: u64,
-        readers: Vec<SocketAddr>,
-        token: Duration,
+        sources: Vec<SocketAddr>,
+        token_interval: Duration,
         log: Logger,
     ) -> io::Result<Self> {
         let node = Arc::new(Node::new(config, incarnation, log));
-        let readers = Arc::new(readers);
-        let write = {
+        let sources = Arc::new(sources);
+        let handle_decode = {
             let node = node.clone();
             move |id, _| {
-                let (node, readers) = (node.clone(), readers.clone());
+                let (node, sources) = (node.clone(), sources.clone());
                 async move {
-                    match node.fetch(&id, &readers, None).await {
-                        Ok(state) => stream_of(state, token),
-                        Err(_) => turned_away(410),
+                    match node.fetch(&id, &sources, None).await {
+                        Ok(kv_cache) => stream_response(kv_cache, token_interval),
+                        Err(_) => rejection(410),
                     }
                 }
             }
         };
-        let (http_address, serving) = serve(releases(&node), write).await?;
+        let (http_address, serving) = serve(release_handler(&node), handle_decode).await?;
         Ok(DecodeServer { http_address, node, _serving: serving })
     }
 }
 
 /// The stream of an answer; the state is held until its end.
-fn stream_of(state: Whole, every: Duration) -> Response<Body> {
-    let tokens = tokens_from(state.chunks());
+fn stream_response(kv_cache: Whole, interval: Duration) -> Response<Body> {
+    let tokens = tokens_from(kv_cache.chunks());
     let events = tokens.iter().map(|token| {
         let choice = format!("{{\"index\":0,\"delta\":{{\"content\":\"{token}\"}},\"finish_reason\":null}}");
         format!("data: {{\"choices\":[{choice}]}}\n\n")
     });
     let usage = format!("data: {{\"choices\":[],\"usage\":{{\"completion_tokens\":{}}}}}\n\n", tokens.len());
-    let all: Vec<String> = events.chain([usage, "data: [DONE]\n\n".to_string()]).collect();
-    let body = StreamBody::new(paced(all, every, state)).boxed();
+    let frames: Vec<String> = events.chain([usage, "data: [DONE]\n\n".to_string()]).collect();
+    let body = StreamBody::new(paced_events(frames, interval, kv_cache)).boxed();
     let mut response = Response::new(body);
     response
         .headers_mut()
@@ -132,22 +138,25 @@
     response
 }
 
-fn paced(
+fn paced_events(
     events: Vec<String>,
-    every: Duration,
-    state: Whole,
+    interval: Duration,
+    kv_cache: Whole,
 ) -> impl Stream<Item = Result<Frame<Bytes>, Infallible>> + Send + Sync {
-    stream::unfold((events.into_iter(), false, state), move |(mut events, begun, state)| async move {
-        let event = events.next()?;
-        if begun {
-            sleep(every).await;
-        }
-        Some((Ok(Frame::data(Bytes::from(event))), (events, true, state)))
-    })
+    stream::unfold(
+        (events.into_iter(), false, kv_cache),
+        move |(mut events, has_begun, kv_cache)| async move {
+            let event = events.next()?;
+            if has_begun {
+                sleep(interval).await;
+            }
+            Some((Ok(Frame::data(Bytes::from(event))), (events, true, kv_cache)))
+        },
+    )
 }
 
 /// What the call that lets go of a state does at a server with this node.
-fn releases(node: &Arc<Node>) -> impl Fn(&Id) + Clone + Send + Sync + 'static {
+fn release_handler(node: &Arc<Node>) -> impl Fn(&Id) + Clone + Send + Sync + 'static {
     let node = node.clone();
     move |id| node.release_unclaimed(id)
 }
