--- a/soak/src/client.rs
+++ b/soak/src/client.rs
@@ -7,16 +7,16 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-use crate::oracle::{Oracle, Told};
+use crate::oracle::{ClientResult, Oracle};
 
 /// A bad client gets its error or close within this time, and what the machine adds.
-const BAD_CLIENT_WITHIN: Duration = Duration::from_millis(3_000 + 300);
+const BAD_CLIENT_TIMEOUT: Duration = Duration::from_millis(3_000 + 300);
 /// No stream takes longer.
-const STREAM_MOST: Duration = Duration::from_secs(10);
+const MAX_STREAM_DURATION: Duration = Duration::from_secs(10);
 
 /// How a client behaves.
 #[derive(Clone, Copy, Debug)]
-pub enum Manner {
+pub enum ClientBehavior {
     /// Waits for the end of its answer.
     Waits,
     /// Closes its connection after so long.
@@ -29,24 +29,24 @@
 
 /// One request to be made.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct ClientRequest {
     /// Its id.
     pub id: String,
     /// Which conductor, and where that listens.
     pub conductor: usize,
     /// Where it listens.
-    pub to: SocketAddr,
+    pub address: SocketAddr,
     /// May not run twice.
-    pub fragile: bool,
+    pub is_fragile: bool,
     /// How long its client waits for the first token.
     pub budget: Duration,
     /// How it behaves.
-    pub manner: Manner,
+    pub behavior: ClientBehavior,
 }
 
-impl Ask {
-    fn text(&self) -> String {
-        let (class, id) = (if self.fragile { "book" } else { "ask" }, &self.id);
+impl ClientRequest {
+    fn to_http(&self) -> String {
+        let (class, id) = (if self.is_fragile { "book" } else { "ask" }, &self.id);
         let budget = self.budget.as_millis();
         format!(
             "POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nx-txn: {id}\r\nx-lane: {class}\r\n\
@@ -56,96 +56,102 @@
     }
 
     /// Makes the request, and tells the oracle what came of it.
-    pub async fn run(self, oracle: Oracle) {
+    pub async fn send(self, oracle: Oracle) {
         // The front has not noticed yet that a process is gone: that is no request.
-        let Ok(Ok(stream)) = timeout(self.budget, TcpStream::connect(self.to)).await else { return };
+        let Ok(Ok(stream)) = timeout(self.budget, TcpStream::connect(self.address)).await else { return };
         if stream.set_nodelay(true).is_err() {
             return;
         }
-        match self.manner {
-            Manner::Stops => self.stops(stream, &self.text()[..60], &oracle).await,
-            _ => self.asks(stream, &oracle).await,
+        match self.behavior {
+            ClientBehavior::Stops => self.send_partial(stream, &self.to_http()[..60], &oracle).await,
+            _ => self.send_on_new_connection(stream, &oracle).await,
         }
     }
 
     /// Makes the request on a connection; says whether that stays open. One that is not `new` has brought
     /// answers before, so that its end may cross the request.
-    pub async fn run_on(&self, stream: &mut TcpStream, new: bool, oracle: &Oracle) -> bool {
-        oracle.asked(&self.id, self.conductor, self.fragile, self.budget);
-        let answered = timeout(self.budget + STREAM_MOST, self.exchange(stream)).await;
-        let Ok((told, open)) = answered else { return false };
-        oracle.told(&self.id, if told == Told::Nothing && !new { Told::Crossed } else { told });
-        open
+    pub async fn send_on(&self, stream: &mut TcpStream, is_new: bool, oracle: &Oracle) -> bool {
+        oracle.record_request(&self.id, self.conductor, self.is_fragile, self.budget);
+        let exchanged = timeout(self.budget + MAX_STREAM_DURATION, self.exchange(stream)).await;
+        let Ok((result, stays_open)) = exchanged else { return false };
+        oracle.record_result(
+            &self.id,
+            if result == ClientResult::Nothing && !is_new { ClientResult::Crossed } else { result },
+        );
+        stays_open
     }
 
-    async fn exchange(&self, stream: &mut TcpStream) -> (Told, bool) {
-        if stream.write_all(self.text().as_bytes()).await.is_err() {
-            return (Told::Nothing, false);
+    async fn exchange(&self, stream: &mut TcpStream) -> (ClientResult, bool) {
+        if stream.write_all(self.to_http().as_bytes()).await.is_err() {
+            return (ClientResult::Nothing, false);
         }
         read_answer(stream).await
     }
 
-    async fn asks(&self, mut stream: TcpStream, oracle: &Oracle) {
-        oracle.asked(&self.id, self.conductor, self.fragile, self.budget);
-        let asked = self.exchange(&mut stream);
-        let (told, open) = match self.manner {
-            Manner::Leaves(after) => match timeout(after, asked).await {
-                Ok(answered) => answered,
+    async fn send_on_new_connection(&self, mut stream: TcpStream, oracle: &Oracle) {
+        oracle.record_request(&self.id, self.conductor, self.is_fragile, self.budget);
+        let exchange = self.exchange(&mut stream);
+        let (result, stays_open) = match self.behavior {
+            ClientBehavior::Leaves(after) => match timeout(after, exchange).await {
+                Ok(exchanged) => exchanged,
                 Err(_) => {
-                    oracle.gone(&self.id);
+                    oracle.record_client_left(&self.id);
                     return;
                 }
             },
-            _ => match timeout(self.budget + STREAM_MOST, asked).await {
-                Ok(answered) => answered,
+            _ => match timeout(self.budget + MAX_STREAM_DURATION, exchange).await {
+                Ok(exchanged) => exchanged,
                 Err(_) => return,
             },
         };
-        oracle.told(&self.id, told);
-        if open && matches!(self.manner, Manner::StopsAgain) {
-            self.stops(stream, "POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\n", oracle).await;
+        oracle.record_result(&self.id, result);
+        if stays_open && matches!(self.behavior, ClientBehavior::StopsAgain) {
+            self.send_partial(stream, "POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\n", oracle).await;
         }
     }
 
     /// Sends a part of a request, and waits for the end.
-    async fn stops(&self, mut stream: TcpStream, part: &str, oracle: &Oracle) {
-        if stream.write_all(part.as_bytes()).await.is_err() {
+    async fn send_partial(&self, mut stream: TcpStream, text: &str, oracle: &Oracle) {
+        if stream.write_all(text.as_bytes()).await.is_err() {
             return;
         }
-        let begin = Instant::now();
+        let start = Instant::now();
         let mut rest = Vec::new();
-        if timeout(BAD_CLIENT_WITHIN, stream.read_to_end(&mut rest)).await.is_err() {
-            let (id, manner) = (&self.id, self.manner);
-            oracle.violation(format!("bad client: {id}: {manner:?}: nothing after {:?}", begin.elapsed()));
+        if timeout(BAD_CLIENT_TIMEOUT, stream.read_to_end(&mut rest)).await.is_err() {
+            let (id, behavior) = (&self.id, self.behavior);
+            oracle.record_violation(format!(
+                "bad client: {id}: {behavior:?}: nothing after {:?}",
+                start.elapsed()
+            ));
         }
     }
 }
 
 /// Reads one answer; says whether its connection stays open.
-async fn read_answer(stream: &mut TcpStream) -> (Told, bool) {
+async fn read_answer(stream: &mut TcpStream) -> (ClientResult, bool) {
     let mut bytes = Vec::new();
     loop {
         let text = String::from_utf8_lossy(&bytes).into_owned();
         if let Some((head, body)) = text.split_once("\r\n\r\n") {
             let head = head.to_ascii_lowercase();
-            let open = !head.contains("connection: close");
+            let stays_open = !head.contains("connection: close");
             let status: u16 = head.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or(0);
             let length = head.lines().find_map(|line| line.strip_prefix("content-length: ")?.parse().ok());
-            let whole = match length {
+            let is_complete = match length {
                 Some(length) => body.len() >= length,
                 None => body.ends_with("0\r\n\r\n"),
             };
-            match (status, whole) {
-                (200, true) => return (Told::Served, open),
-                (429 | 503, true) => return (Told::Refused, open),
-                (_, true) => return (Told::Failed, open),
+            match (status, is_complete) {
+                (200, true) => return (ClientResult::Served, stays_open),
+                (429 | 503, true) => return (ClientResult::Refused, stays_open),
+                (_, true) => return (ClientResult::Failed, stays_open),
                 _ => {}
             }
         }
         match stream.read_buf(&mut bytes).await {
             Ok(1..) => {}
-            _ if text.contains("\r\n\r\n") => return (Told::Broken, false),
-            _ => return (Told::Nothing, false),
+            _ if text.contains("\r\n\r\n") => return (ClientResult::Broken, false),
+            _ => return (ClientResult::Nothing, false),
         }
     }
 }
--- a/soak/src/conductor.rs
+++ b/soak/src/conductor.rs
@@ -13,16 +13,16 @@
 use tokio::process::{Child, Command};
 use tokio::time::{sleep, timeout};
 
-use crate::shim::{Control, Faults, LIBRARY};
+use crate::shim::{ControlFile, SystemFaults, LIBRARY_PATH};
 
 /// A process that starts is ready within this time.
-const READY_WITHIN: Duration = Duration::from_secs(10);
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
 /// A caller at the operators' address waits this long.
-const CALL_WITHIN: Duration = Duration::from_secs(1);
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Where a conductor's files lie, and how it is configured.
 #[derive(Debug)]
-pub struct Site {
+pub struct ProcessSpec {
     /// The program.
     pub program: PathBuf,
     /// The conductor's own folder: configuration, state, log, control file.
@@ -33,25 +33,30 @@
     pub listen: SocketAddr,
 }
 
-impl Site {
+impl ProcessSpec {
     /// Writes the configuration, as a new one at SIGHUP.
     pub fn write_config(&self) -> std::io::Result<()> {
         // Whole or not at all, as for a process that reads it just then.
-        let part = self.folder.join("config.json.part");
-        std::fs::write(&part, self.config.to_string())?;
-        std::fs::rename(part, self.folder.join("config.json"))
+        let temporary = self.folder.join("config.json.part");
+        std::fs::write(&temporary, self.config.to_string())?;
+        std::fs::rename(temporary, self.folder.join("config.json"))
     }
 
     /// Starts a process with an operators' address of its own, under these faults.
-    pub fn start(&self, nth: usize, ops: SocketAddr, faults: Faults) -> std::io::Result<Process> {
+    pub fn spawn(
+        &self,
+        start_number: usize,
+        ops: SocketAddr,
+        faults: SystemFaults,
+    ) -> std::io::Result<Process> {
         self.write_config()?;
-        let control = Control::create(&self.folder.join(format!("control-{nth}")), faults)?;
-        let log = std::fs::File::create(self.folder.join(format!("log-{nth}.txt")))?;
+        let control = ControlFile::create(&self.folder.join(format!("control-{start_number}")), faults)?;
+        let log = std::fs::File::create(self.folder.join(format!("log-{start_number}.txt")))?;
         let child = Command::new(&self.program)
             .env("EDGE_CONFIG", self.folder.join("config.json"))
             .env("EDGE_OPS", ops.to_string())
             .env("TMPDIR", &self.folder)
-            .env("LD_PRELOAD", LIBRARY)
+            .env("LD_PRELOAD", LIBRARY_PATH)
             .env("FAULT_SHIM_CONTROL", control.path())
             .stdin(Stdio::null())
             .stdout(Stdio::null())
@@ -63,22 +68,22 @@
 }
 
 /// Below the ports that the kernel gives out by itself, to whoever connects or binds without naming one.
-const PORTS: std::ops::Range<u16> = 12_000..30_000;
+const PORT_RANGE: std::ops::Range<u16> = 12_000..30_000;
 /// So many are tried.
-const PORT_TRIES: u32 = 100;
+const MAX_PORT_ATTEMPTS: u32 = 100;
 
 /// An address on this machine that is free, and that nobody is given by chance.
-pub fn free_address() -> std::io::Result<SocketAddr> {
-    let mut draws = SmallRng::from_os_rng();
-    let mut last = std::io::ErrorKind::AddrInUse.into();
-    for _ in 0..PORT_TRIES {
-        let address = SocketAddr::from(([127, 0, 0, 1], draws.random_range(PORTS)));
+pub fn find_free_address() -> std::io::Result<SocketAddr> {
+    let mut rng = SmallRng::from_os_rng();
+    let mut last_error = std::io::ErrorKind::AddrInUse.into();
+    for _ in 0..MAX_PORT_ATTEMPTS {
+        let address = SocketAddr::from(([127, 0, 0, 1], rng.random_range(PORT_RANGE)));
         match std::net::TcpListener::bind(address) {
             Ok(_) => return Ok(address),
-            Err(e) => last = e,
+            Err(e) => last_error = e,
         }
     }
-    Err(last)
+    Err(last_error)
 }
 
 /// One process. Dropping it kills it.
@@ -88,7 +93,7 @@
     /// Its operators' address.
     pub ops: SocketAddr,
     /// Its faults.
-    pub control: Control,
+    pub control: ControlFile,
 }
 
 impl Process {
@@ -100,13 +105,13 @@
     }
 
     /// Whether it has ended, and how.
-    pub fn ended(&mut self) -> Option<i32> {
+    pub fn exit_code(&mut self) -> Option<i32> {
         self.child.try_wait().ok().flatten().map(|status| status.code().unwrap_or(-1))
     }
 
     /// Waits for its end.
-    pub async fn wait(&mut self, within: Duration) -> Option<i32> {
-        let status = timeout(within, self.child.wait()).await.ok()?.ok()?;
+    pub async fn wait_for_exit(&mut self, limit: Duration) -> Option<i32> {
+        let status = timeout(limit, self.child.wait()).await.ok()?.ok()?;
         Some(status.code().unwrap_or(-1))
     }
 
@@ -117,45 +122,50 @@
     }
 
     /// Waits until it says that it is ready.
-    pub async fn ready(&mut self) -> Result<(), String> {
-        let begin = Instant::now();
-        while begin.elapsed() < READY_WITHIN {
-            if let Some(code) = self.ended() {
+    pub async fn wait_until_ready(&mut self) -> Result<(), String> {
+        let start = Instant::now();
+        while start.elapsed() < READY_TIMEOUT {
+            if let Some(code) = self.exit_code() {
                 return Err(format!("crash: it ended with {code} as it started"));
             }
-            if call(self.ops, "GET", "/api/ready", "").await.is_ok_and(|(status, _)| status == 200) {
+            if call_ops(self.ops, "GET", "/api/ready", "").await.is_ok_and(|(status, _)| status == 200) {
                 return Ok(());
             }
             sleep(Duration::from_millis(20)).await;
         }
-        Err(format!("start: not ready after {READY_WITHIN:?}"))
+        Err(format!("start: not ready after {READY_TIMEOUT:?}"))
     }
 
     /// How many violations of its own invariants it has counted.
-    pub async fn violations(&self) -> Option<u64> {
-        let (_, text) = call(self.ops, "GET", "/api/telemetry", "").await.ok()?;
-        let counts = text.lines().filter(|line| line.starts_with("svc_violations{"));
+    pub async fn count_violations(&self) -> Option<u64> {
+        let (_, metrics) = call_ops(self.ops, "GET", "/api/telemetry", "").await.ok()?;
+        let counts = metrics.lines().filter(|line| line.starts_with("svc_violations{"));
         Some(counts.filter_map(|line| line.rsplit(' ').next()?.parse::<f64>().ok()).sum::<f64>() as u64)
     }
 }
 
 /// One call at an operators' address: status and body.
-pub async fn call(to: SocketAddr, method: &str, path: &str, body: &str) -> std::io::Result<(u16, String)> {
+pub async fn call_ops(
+    address: SocketAddr,
+    method: &str,
+    path: &str,
+    body: &str,
+) -> std::io::Result<(u16, String)> {
     let length = body.len();
-    let text = format!("{method} {path} HTTP/1.1\r\nhost: ops\r\ncontent-length: {length}\r\n\r\n{body}");
-    let answered = async {
-        let mut stream = TcpStream::connect(to).await?;
-        stream.write_all(text.as_bytes()).await?;
-        let mut answer = String::new();
-        stream.read_to_string(&mut answer).await?;
-        let status = answer.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or(0);
-        Ok((status, answer.split_once("\r\n\r\n").map(|(_, body)| body.to_string()).unwrap_or_default()))
+    let request = format!("{method} {path} HTTP/1.1\r\nhost: ops\r\ncontent-length: {length}\r\n\r\n{body}");
+    let exchange = async {
+        let mut stream = TcpStream::connect(address).await?;
+        stream.write_all(request.as_bytes()).await?;
+        let mut response = String::new();
+        stream.read_to_string(&mut response).await?;
+        let status = response.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or(0);
+        Ok((status, response.split_once("\r\n\r\n").map(|(_, body)| body.to_string()).unwrap_or_default()))
     };
-    timeout(CALL_WITHIN, answered).await.unwrap_or_else(|_| Err(std::io::ErrorKind::TimedOut.into()))
+    timeout(CALL_TIMEOUT, exchange).await.unwrap_or_else(|_| Err(std::io::ErrorKind::TimedOut.into()))
 }
 
 /// Whether a program is there to be started.
-pub fn check_program(program: &Path) -> Result<(), String> {
+pub fn check_program_exists(program: &Path) -> Result<(), String> {
     match program.is_file() {
         true => Ok(()),
         false => Err(format!("{}: no such program; build it first (make build)", program.display())),
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -7,9 +7,9 @@
 use std::time::Duration;
 
 use clap::Parser;
-use frosttrail_soak::conductor::check_program;
+use frosttrail_soak::conductor::check_program_exists;
 use frosttrail_soak::plan::Plan;
-use frosttrail_soak::run::{run, Options};
+use frosttrail_soak::run::{run_soak, RunOptions};
 use tokio::signal::unix::{signal, SignalKind};
 
 /// Real conductors under faults that overlap, for many seeds.
@@ -55,7 +55,7 @@
 
 /// Resolves once this process is told to end: conductors that outlive it would go on calling ports that the
 /// next run's stand-ins are given.
-async fn told_to_end() {
+async fn wait_for_termination() {
     let Ok(mut terminate) = signal(SignalKind::terminate()) else { return std::future::pending().await };
     tokio::select! {
         _ = terminate.recv() => {}
@@ -66,17 +66,17 @@
 #[tokio::main]
 async fn main() -> ExitCode {
     let cli = Cli::parse();
-    if let Err(why) = check_program(&cli.program) {
-        eprintln!("frosttrail-soak: {why}");
+    if let Err(error) = check_program_exists(&cli.program) {
+        eprintln!("frosttrail-soak: {error}");
         return ExitCode::from(2);
     }
     if !(cli.rate > 0.0 && cli.rate <= 100.0) {
         eprintln!("frosttrail-soak: --rate: must be above 0 and at most 100");
         return ExitCode::from(2);
     }
-    let mut broken = 0;
+    let mut violation_count = 0;
     for seed in cli.seed..cli.seed.saturating_add(cli.seeds) {
-        let options = Options {
+        let options = RunOptions {
             program: cli.program.clone(),
             seed,
             conductors: cli.conductors as usize,
@@ -84,15 +84,15 @@
             ids_per_server: cli.ids_per_server as usize,
             listed_conductors: cli.listed_conductors.unwrap_or(cli.conductors) as usize,
             plan: cli.plan,
-            length: Duration::from_secs(cli.seconds),
+            duration: Duration::from_secs(cli.seconds),
             rate: cli.rate,
             short_per_mille: cli.short_io,
             folder: cli.folder.join(seed.to_string()),
         };
         let outcome = tokio::select! {
-            outcome = run(options) => outcome,
+            outcome = run_soak(options) => outcome,
             // What was started ends with what is dropped here.
-            () = told_to_end() => return ExitCode::FAILURE,
+            () = wait_for_termination() => return ExitCode::FAILURE,
         };
         let outcome = match outcome {
             Ok(outcome) => outcome,
@@ -102,15 +102,18 @@
             }
         };
         let report = &outcome.report;
-        println!("seed {seed}: {:?}, {} attempts, fired {:?}", report.told, report.attempts, outcome.fired);
-        println!("  troubles {:?}", outcome.troubles);
+        println!(
+            "seed {seed}: {:?}, {} attempts, fired {:?}",
+            report.results, report.attempts, outcome.shim_counts
+        );
+        println!("  troubles {:?}", outcome.fault_counts);
         for violation in &report.violations {
             println!("  BROKEN {violation}");
         }
-        broken += report.violations.len();
+        violation_count += report.violations.len();
     }
-    println!("{broken} violations");
-    if broken == 0 {
+    println!("{violation_count} violations");
+    if violation_count == 0 {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
--- a/soak/src/plan.rs
+++ b/soak/src/plan.rs
@@ -7,7 +7,7 @@
 
 /// One kind of trouble.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
+pub enum FaultKind {
     /// A conductor's process is killed, and started anew.
     Kill,
     /// It is told to end, killed when its time is over, and started anew.
@@ -57,7 +57,7 @@
 /// In so many batches all ids are replaced.
 pub const TURNOVER_BATCHES: usize = 48;
 /// A batch goes this often, and comes back restarted so much later.
-const TURNOVER_EVERY: Duration = Duration::from_millis(450);
+const TURNOVER_INTERVAL: Duration = Duration::from_millis(450);
 
 /// Which troubles a run has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
@@ -72,48 +72,48 @@
 
 impl Plan {
     /// The troubles of a run, in the order in which they begin.
-    pub fn events(self, seed: u64, length: Duration) -> Vec<Event> {
+    pub fn schedule(self, seed: u64, run_duration: Duration) -> Vec<ScheduledFault> {
         let mut events = match self {
-            Plan::Drawn | Plan::DrawnAndTurnover => draw(seed, length),
+            Plan::Drawn | Plan::DrawnAndTurnover => draw_faults(seed, run_duration),
             Plan::Turnover => Vec::new(),
         };
         if self != Plan::Drawn {
-            events.extend(turnover(length));
-            events.sort_by_key(|event| event.at);
+            events.extend(schedule_turnover(run_duration));
+            events.sort_by_key(|event| event.start);
         }
         events
     }
 }
 
 /// A quarter of all ids in turn, from a sixth of the run on.
-fn turnover(length: Duration) -> Vec<Event> {
+fn schedule_turnover(run_duration: Duration) -> Vec<ScheduledFault> {
     let batches = TURNOVER_BATCHES / 4;
-    let event = |nth: usize| Event {
-        trouble: Trouble::Turnover,
-        whom: nth,
-        at: length / 6 + TURNOVER_EVERY * nth as u32,
-        lasts: TURNOVER_EVERY,
+    let event = |batch: usize| ScheduledFault {
+        kind: FaultKind::Turnover,
+        target_draw: batch,
+        start: run_duration / 6 + TURNOVER_INTERVAL * batch as u32,
+        duration: TURNOVER_INTERVAL,
     };
     (0..batches).map(event).collect()
 }
 
 /// A trouble, whom it strikes and when.
 #[derive(Clone, Copy, Debug)]
-pub struct Event {
+pub struct ScheduledFault {
     /// What goes wrong.
-    pub trouble: Trouble,
+    pub kind: FaultKind,
     /// Drawn; which conductor or server follows from it.
-    pub whom: usize,
+    pub target_draw: usize,
     /// When it begins, and for how long.
-    pub at: Duration,
+    pub start: Duration,
     /// For how long.
-    pub lasts: Duration,
+    pub duration: Duration,
 }
 
 /// The troubles of a run, in the order in which they begin.
-pub fn draw(seed: u64, length: Duration) -> Vec<Event> {
-    use Trouble::*;
-    const ALL: [Trouble; 22] = [
+pub fn draw_faults(seed: u64, run_duration: Duration) -> Vec<ScheduledFault> {
+    use FaultKind::*;
+    const ALL: [FaultKind; 22] = [
         Kill,
         Restart,
         Upgrade,
@@ -137,14 +137,14 @@
         Exclusion,
         Crowd,
     ];
-    let mut draws = SmallRng::seed_from_u64(seed);
+    let mut rng = SmallRng::seed_from_u64(seed);
     let mut events = Vec::new();
-    let mut at = Duration::from_millis(500);
-    while at + Duration::from_secs(2) < length {
-        let trouble = ALL[draws.random_range(0..ALL.len())];
-        let lasts = Duration::from_millis(draws.random_range(400..2_000));
-        events.push(Event { trouble, whom: draws.random_range(0..1 << 16), at, lasts });
-        at += Duration::from_millis(draws.random_range(100..500));
+    let mut start = Duration::from_millis(500);
+    while start + Duration::from_secs(2) < run_duration {
+        let kind = ALL[rng.random_range(0..ALL.len())];
+        let duration = Duration::from_millis(rng.random_range(400..2_000));
+        events.push(ScheduledFault { kind, target_draw: rng.random_range(0..1 << 16), start, duration });
+        start += Duration::from_millis(rng.random_range(100..500));
     }
     events
 }
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -11,19 +11,19 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, sleep_until};
 
-use crate::client::{Ask, Manner};
+use crate::client::{ClientBehavior, ClientRequest};
 use crate::oracle::Report;
 use crate::plan::Plan;
 use crate::shim::COUNTERS;
-use crate::world::{lock, World};
+use crate::world::{lock, Testbed};
 
 /// Clients of each conductor that keep their connections, and the most that they pause between requests.
-const REGULARS: usize = 3;
-const REGULAR_PAUSE_MS: u64 = 800;
+const PERSISTENT_CLIENTS: usize = 3;
+const MAX_CLIENT_PAUSE_MS: u64 = 800;
 
 /// What is run.
 #[derive(Clone, Debug)]
-pub struct Options {
+pub struct RunOptions {
     /// The program.
     pub program: PathBuf,
     /// Decides all that is drawn.
@@ -39,7 +39,7 @@
     /// Which troubles come.
     pub plan: Plan,
     /// How long troubles and clients come.
-    pub length: Duration,
+    pub duration: Duration,
     /// Requests a second at each conductor.
     pub rate: f64,
     /// Reads and writes that are cut short while the network fails, of 1,000.
@@ -50,122 +50,130 @@
 
 /// What a run has shown.
 #[derive(Clone, Debug, Default)]
-pub struct Outcome {
+pub struct RunOutcome {
     /// Rules and requests.
     pub report: Report,
     /// How often each trouble struck.
-    pub troubles: BTreeMap<String, usize>,
+    pub fault_counts: BTreeMap<String, usize>,
     /// How often each fault of the shim fired.
-    pub fired: BTreeMap<&'static str, u64>,
+    pub shim_counts: BTreeMap<&'static str, u64>,
 }
 
 /// Clients of one conductor, until the end.
-async fn clients(world: Arc<World>, nth: usize, options: Options, end: Instant) {
-    let mut draws = SmallRng::seed_from_u64(options.seed ^ (nth as u64 + 1).wrapping_mul(0x9e37_79b9));
-    let mut asks = JoinSet::new();
-    for count in 0.. {
+async fn run_open_loop_clients(testbed: Arc<Testbed>, conductor: usize, options: RunOptions, end: Instant) {
+    let mut rng = SmallRng::seed_from_u64(options.seed ^ (conductor as u64 + 1).wrapping_mul(0x9e37_79b9));
+    let mut requests = JoinSet::new();
+    for request_index in 0.. {
         if Instant::now() >= end {
             break;
         }
-        let manner = match draws.random_range(0..100) {
-            0..12 => Manner::Leaves(Duration::from_millis(draws.random_range(0..400))),
-            12..14 => Manner::Stops,
-            14..16 => Manner::StopsAgain,
-            _ => Manner::Waits,
+        let behavior = match rng.random_range(0..100) {
+            0..12 => ClientBehavior::Leaves(Duration::from_millis(rng.random_range(0..400))),
+            12..14 => ClientBehavior::Stops,
+            14..16 => ClientBehavior::StopsAgain,
+            _ => ClientBehavior::Waits,
         };
-        let ask = Ask {
-            id: format!("{}-{nth}-{count}", options.seed),
-            conductor: nth,
-            to: world.conductors[nth].listen,
-            fragile: draws.random_range(0..3) == 0,
-            budget: draws.random_range(Duration::from_millis(400)..options.limits().deadline),
-            manner,
+        let request = ClientRequest {
+            id: format!("{}-{conductor}-{request_index}", options.seed),
+            conductor,
+            address: testbed.conductors[conductor].listen,
+            is_fragile: rng.random_range(0..3) == 0,
+            budget: rng.random_range(Duration::from_millis(400)..options.limits().max_deadline),
+            behavior,
         };
-        asks.spawn(ask.run(world.oracle.clone()));
+        requests.spawn(request.send(testbed.oracle.clone()));
         // Open-loop: exponential times between arrivals.
-        let gap = -draws.random_range(f64::EPSILON..1.0).ln() / options.rate;
-        sleep(Duration::from_secs_f64(gap)).await;
-        while asks.try_join_next().is_some() {}
+        let interarrival_s = -rng.random_range(f64::EPSILON..1.0).ln() / options.rate;
+        sleep(Duration::from_secs_f64(interarrival_s)).await;
+        while requests.try_join_next().is_some() {}
     }
-    asks.join_all().await;
+    requests.join_all().await;
 }
 
 /// Makes requests one after another on a connection for as long as that stays open, also after SIGTERM.
-async fn regular_client(world: Arc<World>, nth: usize, which: usize, options: Options, end: Instant) {
-    let seed = options.seed ^ (nth as u64 + 1).wrapping_mul(0x51_7cc1) ^ (which as u64 + 1) << 32;
-    let mut draws = SmallRng::seed_from_u64(seed);
+async fn run_persistent_client(
+    testbed: Arc<Testbed>,
+    conductor: usize,
+    client: usize,
+    options: RunOptions,
+    end: Instant,
+) {
+    let seed = options.seed ^ (conductor as u64 + 1).wrapping_mul(0x51_7cc1) ^ (client as u64 + 1) << 32;
+    let mut rng = SmallRng::seed_from_u64(seed);
     let mut stream = None;
-    for count in 0.. {
-        sleep(Duration::from_millis(draws.random_range(0..REGULAR_PAUSE_MS))).await;
+    for request_index in 0.. {
+        sleep(Duration::from_millis(rng.random_range(0..MAX_CLIENT_PAUSE_MS))).await;
         if Instant::now() >= end {
             return;
         }
-        let ask = Ask {
-            id: format!("{}-{nth}-regular-{which}-{count}", options.seed),
-            conductor: nth,
-            to: world.conductors[nth].listen,
-            fragile: draws.random_range(0..3) == 0,
-            budget: draws.random_range(Duration::from_millis(400)..options.limits().deadline),
-            manner: Manner::Waits,
+        let request = ClientRequest {
+            id: format!("{}-{conductor}-regular-{client}-{request_index}", options.seed),
+            conductor,
+            address: testbed.conductors[conductor].listen,
+            is_fragile: rng.random_range(0..3) == 0,
+            budget: rng.random_range(Duration::from_millis(400)..options.limits().max_deadline),
+            behavior: ClientBehavior::Waits,
         };
-        let new = stream.is_none();
+        let is_new = stream.is_none();
         let mut connection = match stream.take() {
-            Some(open) => open,
+            Some(open_connection) => open_connection,
             // Nobody listens where a process has just ended.
-            None => match TcpStream::connect(ask.to).await {
-                Ok(connected) => connected,
+            None => match TcpStream::connect(request.address).await {
+                Ok(new_connection) => new_connection,
                 Err(_) => continue,
             },
         };
-        if ask.run_on(&mut connection, new, &world.oracle).await {
+        if request.send_on(&mut connection, is_new, &testbed.oracle).await {
             stream = Some(connection);
         }
     }
 }
 
 /// Plays one seed.
-pub async fn run(options: Options) -> std::io::Result<Outcome> {
-    let world = Arc::new(World::start(&options).await?);
+pub async fn run_soak(options: RunOptions) -> std::io::Result<RunOutcome> {
+    let testbed = Arc::new(Testbed::start(&options).await?);
     let mut starting = JoinSet::new();
-    for nth in 0..options.conductors {
-        let world = world.clone();
+    for conductor in 0..options.conductors {
+        let testbed = testbed.clone();
         starting.spawn(async move {
-            let process = world.start_process(nth).await;
-            *world.conductors[nth].process.lock().await = process;
+            let process = testbed.start_process(conductor).await;
+            *testbed.conductors[conductor].process.lock().await = process;
         });
     }
     starting.join_all().await;
-    let begin = Instant::now();
-    let mut asking = JoinSet::new();
-    for nth in 0..options.conductors {
-        let end = begin + options.length;
-        asking.spawn(clients(world.clone(), nth, options.clone(), end));
-        for which in 0..REGULARS {
-            asking.spawn(regular_client(world.clone(), nth, which, options.clone(), end));
+    let start = Instant::now();
+    let mut clients = JoinSet::new();
+    for conductor in 0..options.conductors {
+        let end = start + options.duration;
+        clients.spawn(run_open_loop_clients(testbed.clone(), conductor, options.clone(), end));
+        for client in 0..PERSISTENT_CLIENTS {
+            clients.spawn(run_persistent_client(testbed.clone(), conductor, client, options.clone(), end));
         }
     }
-    let (mut troubles, mut counts) = (JoinSet::new(), BTreeMap::new());
-    for event in options.plan.events(options.seed, options.length) {
-        sleep_until((begin + event.at).into()).await;
-        for nth in 0..options.conductors {
-            world.check_alive(nth).await;
+    let (mut faults, mut fault_counts) = (JoinSet::new(), BTreeMap::new());
+    for fault in options.plan.schedule(options.seed, options.duration) {
+        sleep_until((start + fault.start).into()).await;
+        for conductor in 0..options.conductors {
+            testbed.check_alive(conductor).await;
         }
-        *counts.entry(format!("{:?}", event.trouble)).or_default() += 1;
-        let world = world.clone();
-        let mut draws = SmallRng::seed_from_u64(options.seed ^ event.whom as u64);
-        troubles.spawn(async move { world.strike(event, &mut draws).await });
+        *fault_counts.entry(format!("{:?}", fault.kind)).or_default() += 1;
+        let testbed = testbed.clone();
+        let mut rng = SmallRng::seed_from_u64(options.seed ^ fault.target_draw as u64);
+        faults.spawn(async move { testbed.inject(fault, &mut rng).await });
     }
-    troubles.join_all().await;
-    asking.join_all().await;
-    for (nth, conductor) in world.conductors.iter().enumerate() {
-        world.check_alive(nth).await;
+    faults.join_all().await;
+    clients.join_all().await;
+    for (index, conductor) in testbed.conductors.iter().enumerate() {
+        testbed.check_alive(index).await;
         let Some(process) = conductor.process.lock().await.take() else { continue };
-        if let Some(violations @ 1..) = process.violations().await {
-            world.oracle.violation(format!("invariant: conductor {nth} counted {violations} of its own"));
+        if let Some(violations @ 1..) = process.count_violations().await {
+            testbed
+                .oracle
+                .record_violation(format!("invariant: conductor {index} counted {violations} of its own"));
         }
-        world.end(nth, process).await;
+        testbed.shut_down(index, process).await;
     }
-    let fired = lock(&world.fired);
-    let fired = COUNTERS.iter().copied().zip(fired.iter().copied()).collect();
-    Ok(Outcome { report: world.oracle.report(), troubles: counts, fired })
+    let shim_counts = lock(&testbed.shim_counts);
+    let shim_counts = COUNTERS.iter().copied().zip(shim_counts.iter().copied()).collect();
+    Ok(RunOutcome { report: testbed.oracle.report(), fault_counts, shim_counts })
 }
--- a/soak/src/server.rs
+++ b/soak/src/server.rs
@@ -24,28 +24,29 @@
 type Body = BoxBody<Bytes, std::io::Error>;
 
 /// For a prompt, and from a decode request to its first event.
-const READ_TAKES: Duration = Duration::from_millis(30);
-const FIRST_TAKES: Duration = Duration::from_millis(20);
+const PREFILL_DURATION: Duration = Duration::from_millis(30);
+const FIRST_EVENT_DELAY: Duration = Duration::from_millis(20);
 /// Between events, and how many there are.
-const EVENT_EVERY: Duration = Duration::from_millis(40);
-const EVENTS: usize = 12;
+const EVENT_INTERVAL: Duration = Duration::from_millis(40);
+const EVENT_COUNT: usize = 12;
 
 /// How a server behaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mode {
+pub enum ServerMode {
     /// As it should.
-    Well,
+    Healthy,
     /// Takes requests and never answers.
-    Hangs,
+    Hanging,
     /// Turns requests away.
     Full,
     /// Answers with an error.
-    Errs,
+    Failing,
     /// Ends its answer in the midst.
-    Breaks,
+    Truncating,
 }
 
-const MODES: [Mode; 5] = [Mode::Well, Mode::Hangs, Mode::Full, Mode::Errs, Mode::Breaks];
+const MODES: [ServerMode; 5] =
+    [ServerMode::Healthy, ServerMode::Hanging, ServerMode::Full, ServerMode::Failing, ServerMode::Truncating];
 
 /// A server. Dropping it ends it.
 pub struct Server {
@@ -57,17 +58,17 @@
 
 impl Server {
     /// Starts the `index`-th server.
-    pub async fn start(index: usize, decode: bool, oracle: Oracle) -> std::io::Result<Self> {
+    pub async fn start(index: usize, is_decode: bool, oracle: Oracle) -> std::io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let mode = Arc::new(AtomicU8::new(0));
-        let serving = Serving { index, decode, oracle, mode: mode.clone() };
+        let handler = Handler { index, is_decode, oracle, mode: mode.clone() };
         let accepting = tokio::spawn(async move {
             let mut connections = tokio::task::JoinSet::new();
             loop {
                 let Ok((stream, _)) = listener.accept().await else { continue };
-                let serving = serving.clone();
-                let service = service_fn(move |request| serving.clone().answer(request));
+                let handler = handler.clone();
+                let service = service_fn(move |request| handler.clone().answer(request));
                 let http = hyper::server::conn::http1::Builder::new();
                 connections.spawn(async move {
                     // How a connection ends shows in the account.
@@ -80,108 +81,108 @@
     }
 
     /// Changes how it behaves from the next request on.
-    pub fn set(&self, mode: Mode) {
+    pub fn set_mode(&self, mode: ServerMode) {
         let index = MODES.iter().position(|known| *known == mode).unwrap_or(0);
         self.mode.store(index as u8, Ordering::Relaxed);
     }
 }
 
 #[derive(Clone)]
-struct Serving {
+struct Handler {
     index: usize,
-    decode: bool,
+    is_decode: bool,
     oracle: Oracle,
     mode: Arc<AtomicU8>,
 }
 
 /// An attempt at this server; it ends with its drop at the latest, as its connection closes.
-struct Attempt {
+struct AttemptGuard {
     oracle: Oracle,
     id: String,
-    nth: usize,
+    number: usize,
     never_ran: bool,
 }
 
-impl Drop for Attempt {
+impl Drop for AttemptGuard {
     fn drop(&mut self) {
-        self.oracle.ended(&self.id, self.nth, self.never_ran);
+        self.oracle.record_attempt_end(&self.id, self.number, self.never_ran);
     }
 }
 
-impl Serving {
+impl Handler {
     async fn answer(self, request: Request<Incoming>) -> Result<Response<Body>, Infallible> {
         let (head, body) = request.into_parts();
         if head.method == Method::DELETE {
             let id = head.uri.path().trim_start_matches("/state/");
-            self.oracle.taken(id);
+            self.oracle.record_released_kv_cache(id);
             return Ok(response(204, false, ""));
         }
-        let text = |name: &str| head.headers.get(name).and_then(|value| value.to_str().ok());
-        let id = text("x-txn").unwrap_or_default().to_string();
-        let told = text("x-remaining").and_then(|told| told.strip_suffix('u')?.parse().ok());
+        let header = |name: &str| head.headers.get(name).and_then(|value| value.to_str().ok());
+        let id = header("x-txn").unwrap_or_default().to_string();
+        let remaining = header("x-remaining").and_then(|remaining| remaining.strip_suffix('u')?.parse().ok());
         if body.collect().await.is_err() {
             return Ok(response(400, false, ""));
         }
-        let told = Duration::from_micros(told.unwrap_or(u64::MAX));
-        let nth = self.oracle.arrived(&id, self.index, self.decode, told);
-        let attempt = Attempt { oracle: self.oracle.clone(), id, nth, never_ran: false };
+        let remaining = Duration::from_micros(remaining.unwrap_or(u64::MAX));
+        let number = self.oracle.record_attempt(&id, self.index, self.is_decode, remaining);
+        let attempt = AttemptGuard { oracle: self.oracle.clone(), id, number, never_ran: false };
         let mode = MODES[usize::from(self.mode.load(Ordering::Relaxed)) % MODES.len()];
-        Ok(if self.decode { self.decode(attempt, mode).await } else { self.prefill(attempt, mode).await })
+        Ok(if self.is_decode { self.decode(attempt, mode).await } else { self.prefill(attempt, mode).await })
     }
 
-    async fn prefill(&self, mut attempt: Attempt, mode: Mode) -> Response<Body> {
+    async fn prefill(&self, mut attempt: AttemptGuard, mode: ServerMode) -> Response<Body> {
         match mode {
-            Mode::Hangs => std::future::pending().await,
-            Mode::Full => turned_away(&mut attempt, 503),
-            Mode::Errs => response(500, false, ""),
-            Mode::Well | Mode::Breaks => {
-                sleep(READ_TAKES).await;
-                self.oracle.held(&attempt.id, attempt.nth);
+            ServerMode::Hanging => std::future::pending().await,
+            ServerMode::Full => reject(&mut attempt, 503),
+            ServerMode::Failing => response(500, false, ""),
+            ServerMode::Healthy | ServerMode::Truncating => {
+                sleep(PREFILL_DURATION).await;
+                self.oracle.record_held_kv_cache(&attempt.id, attempt.number);
                 response(202, false, "{\"cached_tokens\":0}")
             }
         }
     }
 
-    async fn decode(&self, mut attempt: Attempt, mode: Mode) -> Response<Body> {
-        if mode == Mode::Full {
-            return turned_away(&mut attempt, 503);
+    async fn decode(&self, mut attempt: AttemptGuard, mode: ServerMode) -> Response<Body> {
+        if mode == ServerMode::Full {
+            return reject(&mut attempt, 503);
         }
-        if !self.oracle.taken(&attempt.id) {
-            return turned_away(&mut attempt, 410);
+        if !self.oracle.record_released_kv_cache(&attempt.id) {
+            return reject(&mut attempt, 410);
         }
         match mode {
-            Mode::Hangs => std::future::pending().await,
-            Mode::Errs => response(500, false, ""),
+            ServerMode::Hanging => std::future::pending().await,
+            ServerMode::Failing => response(500, false, ""),
             _ => {
-                sleep(FIRST_TAKES).await;
-                stream(attempt, mode == Mode::Breaks)
+                sleep(FIRST_EVENT_DELAY).await;
+                stream_events(attempt, mode == ServerMode::Truncating)
             }
         }
     }
 }
 
-fn turned_away(attempt: &mut Attempt, status: u16) -> Response<Body> {
+fn reject(attempt: &mut AttemptGuard, status: u16) -> Response<Body> {
     attempt.never_ran = true;
     response(status, true, "")
 }
 
-fn response(status: u16, turned_away: bool, text: &'static str) -> Response<Body> {
+fn response(status: u16, is_rejection: bool, body: &'static str) -> Response<Body> {
     let mut response =
-        Response::new(Full::new(Bytes::from_static(text.as_bytes())).map_err(|never| match never {}).boxed());
+        Response::new(Full::new(Bytes::from_static(body.as_bytes())).map_err(|never| match never {}).boxed());
     *response.status_mut() = hyper::StatusCode::from_u16(status).unwrap_or_default();
-    if turned_away {
+    if is_rejection {
         response.headers_mut().insert("x-turned-away", hyper::header::HeaderValue::from_static("1"));
     }
     response
 }
 
 /// Events at their pace; a broken one ends its connection without the last chunk.
-fn stream(attempt: Attempt, breaks: bool) -> Response<Body> {
+fn stream_events(attempt: AttemptGuard, is_truncated: bool) -> Response<Body> {
     let (mut sender, body) = Channel::<Bytes, std::io::Error>::new(4);
     tokio::spawn(async move {
         let attempt = attempt;
-        for nth in 0..EVENTS {
-            if breaks && nth == EVENTS / 2 {
+        for event_index in 0..EVENT_COUNT {
+            if is_truncated && event_index == EVENT_COUNT / 2 {
                 sender.abort(std::io::Error::other("broken on purpose"));
                 return;
             }
@@ -189,13 +190,13 @@
             if sender.send_data(event).await.is_err() {
                 break;
             }
-            sleep(EVENT_EVERY).await;
+            sleep(EVENT_INTERVAL).await;
         }
         let _ = sender.send_data(Bytes::from_static(b"data: [DONE]\n\n")).await;
         drop(attempt);
     });
     let mut response = Response::new(body.boxed());
-    let kind = hyper::header::HeaderValue::from_static("text/event-stream");
-    response.headers_mut().insert("content-type", kind);
+    let content_type = hyper::header::HeaderValue::from_static("text/event-stream");
+    response.headers_mut().insert("content-type", content_type);
     response
 }
--- a/soak/src/shim.rs
+++ b/soak/src/shim.rs
@@ -6,19 +6,19 @@
 use std::path::{Path, PathBuf};
 
 /// The library, as the build has left it.
-pub const LIBRARY: &str = env!("FAULT_SHIM");
+pub const LIBRARY_PATH: &str = env!("FAULT_SHIM");
 
 /// What the shim counts, in the order of its counters.
 pub const COUNTERS: [&str; 8] =
     ["clock", "disk", "accept", "connect", "socket", "short io", "configuration", "thread"];
 
 /// Where the counters begin, behind the faults.
-const FIRED_AT: u64 = 32;
-const BYTES: u64 = FIRED_AT + 8 * COUNTERS.len() as u64;
+const COUNTERS_OFFSET: u64 = 32;
+const FILE_BYTES: u64 = COUNTERS_OFFSET + 8 * COUNTERS.len() as u64;
 
 /// Which faults are on.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Faults {
+pub struct SystemFaults {
     /// The wall clock is off by so much.
     pub wall_offset_ms: i64,
     /// Calls on the state folder that fail, of 1,000.
@@ -35,18 +35,18 @@
 
 /// One process's control file.
 #[derive(Debug)]
-pub struct Control {
+pub struct ControlFile {
     file: File,
     path: PathBuf,
 }
 
-impl Control {
+impl ControlFile {
     /// Makes the file, with these faults on.
-    pub fn create(path: &Path, faults: Faults) -> Result<Self> {
+    pub fn create(path: &Path, faults: SystemFaults) -> Result<Self> {
         let file = File::options().create(true).truncate(true).read(true).write(true).open(path)?;
-        file.set_len(BYTES)?;
-        let control = Control { file, path: path.to_path_buf() };
-        control.set(faults)?;
+        file.set_len(FILE_BYTES)?;
+        let control = ControlFile { file, path: path.to_path_buf() };
+        control.set_faults(faults)?;
         Ok(control)
     }
 
@@ -56,28 +56,28 @@
     }
 
     /// Switches faults.
-    pub fn set(&self, faults: Faults) -> Result<()> {
-        let mut bytes = Vec::with_capacity(FIRED_AT as usize);
+    pub fn set_faults(&self, faults: SystemFaults) -> Result<()> {
+        let mut bytes = Vec::with_capacity(COUNTERS_OFFSET as usize);
         bytes.extend(faults.wall_offset_ms.to_ne_bytes());
-        let shares = [
+        let rates = [
             faults.disk_per_mille,
             faults.network_per_mille,
             faults.short_per_mille,
             faults.config_per_mille,
             faults.thread_per_mille,
         ];
-        shares.iter().for_each(|share| bytes.extend(share.to_ne_bytes()));
+        rates.iter().for_each(|rate| bytes.extend(rate.to_ne_bytes()));
         self.file.write_all_at(&bytes, 0)
     }
 
     /// How often each fault has fired.
-    pub fn fired(&self) -> Result<[u64; COUNTERS.len()]> {
-        let mut fired = [0; COUNTERS.len()];
-        for (nth, count) in fired.iter_mut().enumerate() {
+    pub fn fired_counts(&self) -> Result<[u64; COUNTERS.len()]> {
+        let mut counts = [0; COUNTERS.len()];
+        for (index, count) in counts.iter_mut().enumerate() {
             let mut bytes = [0; 8];
-            self.file.read_exact_at(&mut bytes, FIRED_AT + 8 * nth as u64)?;
+            self.file.read_exact_at(&mut bytes, COUNTERS_OFFSET + 8 * index as u64)?;
             *count = u64::from_ne_bytes(bytes);
         }
-        Ok(fired)
+        Ok(counts)
     }
 }
--- a/soak/src/world.rs
+++ b/soak/src/world.rs
@@ -9,79 +9,79 @@
 use rand::{Rng, SeedableRng};
 use serde_json::{json, Value};
 
-use crate::agent::{Agent, List};
-use crate::conductor::{free_address, Process, Site};
+use crate::agent::{DiscoveryAgent, ServerList};
+use crate::conductor::{find_free_address, Process, ProcessSpec};
 use crate::oracle::{Limits, Oracle, SlowStart};
-use crate::run::Options;
+use crate::run::RunOptions;
 use crate::server::Server;
-use crate::shim::{Faults, COUNTERS};
+use crate::shim::{SystemFaults, COUNTERS};
 
 /// What a server in slow start may be sent.
 const SLOW_START: SlowStart = SlowStart {
-    capacity: 20.0,
-    from: 0.25,
-    multiple: 3.0,
+    capacity_per_s: 20.0,
+    initial_share: 0.25,
+    overload_factor: 3.0,
     window: Duration::from_secs(2),
-    warm_within: Duration::from_secs(3),
+    warm_up_time: Duration::from_secs(3),
 };
 
 /// With thousands of ids a server takes longer to warm up, so that many do so at once.
-const LARGE_WARM_WITHIN: Duration = Duration::from_secs(13);
+const LARGE_FLEET_WARM_UP_TIME: Duration = Duration::from_secs(13);
 
 /// What the settings of a run say: deployments differ in these times.
-pub fn limits(seed: u64) -> Limits {
-    let mut draws = SmallRng::seed_from_u64(seed);
-    let release = Duration::from_millis([300, 500, 1_000][draws.random_range(0..3)]);
-    let drain_grace = Duration::from_millis([150, 250, 1_000][draws.random_range(0..3)]);
-    let deadline = Duration::from_millis([1_000, 2_000, 3_000][draws.random_range(0..3)]);
-    Limits { release, drain_grace, slow_start: SLOW_START, deadline }
+pub fn draw_limits(seed: u64) -> Limits {
+    let mut rng = SmallRng::seed_from_u64(seed);
+    let release_timeout = Duration::from_millis([300, 500, 1_000][rng.random_range(0..3)]);
+    let drain_grace = Duration::from_millis([150, 250, 1_000][rng.random_range(0..3)]);
+    let max_deadline = Duration::from_millis([1_000, 2_000, 3_000][rng.random_range(0..3)]);
+    Limits { release_timeout, drain_grace, slow_start: SLOW_START, max_deadline }
 }
 
-impl Options {
+impl RunOptions {
     /// The limits of this run: each socket stands for as many servers as it has ids.
     pub(crate) fn limits(&self) -> Limits {
-        let mut limits = limits(self.seed);
+        let mut limits = draw_limits(self.seed);
         if self.ids_per_server > 1 {
-            limits.slow_start.capacity *= self.ids_per_server as f64;
-            limits.slow_start.warm_within = LARGE_WARM_WITHIN;
+            limits.slow_start.capacity_per_s *= self.ids_per_server as f64;
+            limits.slow_start.warm_up_time = LARGE_FLEET_WARM_UP_TIME;
         }
         limits
     }
 }
 
 /// What follows the longest deadline before SIGKILL, which comes as early as it may.
-const KILL_AFTER_DEADLINE: Duration = Duration::from_millis(700);
+const KILL_DELAY_AFTER_DEADLINE: Duration = Duration::from_millis(700);
 
 /// Descriptors of a conductor's process.
-const SOCKETS: u64 = 512;
+const MAX_DESCRIPTORS: u64 = 512;
 
 /// A conductor, whichever process runs it.
 pub(crate) struct Conductor {
-    pub(crate) site: Mutex<Site>,
+    pub(crate) spec: Mutex<ProcessSpec>,
     pub(crate) listen: SocketAddr,
     pub(crate) process: tokio::sync::Mutex<Option<Process>>,
-    starts: Mutex<usize>,
+    start_count: Mutex<usize>,
     /// Taken while it is held up now and then.
-    pub(crate) held_up: tokio::sync::Mutex<()>,
+    pub(crate) pause_lock: tokio::sync::Mutex<()>,
     /// What is wrong with its machine now, also for a process that starts.
-    pub(crate) faults: Mutex<Faults>,
-    pub(crate) agents: [Agent; 2],
+    pub(crate) faults: Mutex<SystemFaults>,
+    pub(crate) agents: [DiscoveryAgent; 2],
     /// Which agent the configuration names.
-    pub(crate) agent: Mutex<usize>,
+    pub(crate) current_agent: Mutex<usize>,
     pub(crate) links: Vec<Link>,
 }
 
 /// All that a run consists of.
-pub(crate) struct World {
+pub(crate) struct Testbed {
     pub(crate) conductors: Vec<Conductor>,
     pub(crate) servers: Vec<Server>,
     pub(crate) oracle: Oracle,
     /// From SIGTERM to SIGKILL.
-    pub(crate) kill_after: Duration,
-    pub(crate) fired: Mutex<[u64; COUNTERS.len()]>,
+    pub(crate) kill_timeout: Duration,
+    pub(crate) shim_counts: Mutex<[u64; COUNTERS.len()]>,
     pub(crate) short_per_mille: u32,
     /// Until when news may be late at each conductor.
-    pub(crate) late_until: Mutex<Vec<Instant>>,
+    pub(crate) news_late_until: Mutex<Vec<Instant>>,
 }
 
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
@@ -89,17 +89,17 @@
 }
 
 /// The limits, as settings have them.
-fn rules(limits: &Limits) -> Value {
+fn rule_settings(limits: &Limits) -> Value {
     let micros = |time: Duration| time.as_micros() as u64;
-    let SlowStart { from, multiple, window, warm_within, .. } = limits.slow_start;
-    json!({"cold-from": from, "drain-grace": micros(limits.drain_grace), "fall": micros(window),
-        "fall-multiple": multiple, "grace-to-answer": 8_000, "warm-within": micros(warm_within)})
+    let SlowStart { initial_share, overload_factor, window, warm_up_time, .. } = limits.slow_start;
+    json!({"cold-from": initial_share, "drain-grace": micros(limits.drain_grace), "fall": micros(window),
+        "fall-multiple": overload_factor, "grace-to-answer": 8_000, "warm-within": micros(warm_up_time)})
 }
 
 /// Settings for so many conductors.
-pub fn settings(conductors: usize, limits: &Limits) -> Value {
+pub fn conductor_settings(conductors: usize, limits: &Limits) -> Value {
     let class = |name: &str, effect: &str| {
-        let deadline = limits.deadline.as_micros() as u64;
+        let deadline = limits.max_deadline.as_micros() as u64;
         json!({"name": name, "slo": deadline / 2, "deadline": deadline, "effect": effect, "late-share": 0.2,
             "points": 1.0, "dedup-scope": "all", "dedup-window": 0})
     };
@@ -109,66 +109,74 @@
             "retry-after": true, "max-retry-after": 2_000_000, "connect-timeout": 250_000,
             "conn-idle": 10_000_000},
         "membership-mode": "push", "over-share-worth": 0.1,
-        "rules": rules(limits),
+        "rules": rule_settings(limits),
         "specifics": {"aim-us-per-1000-prompt-tokens": [40_000.0, 40_000.0], "holds-allowed": false,
             "kind-role": ["read", "write"], "kv-tokens": [200_000, 150_000],
-            "release": limits.release.as_micros() as u64, "resume": true, "self-prefill": false,
+            "release": limits.release_timeout.as_micros() as u64, "resume": true, "self-prefill": false,
             "token-aim": [60_000.0, 80_000.0]}})
 }
 
-impl World {
-    pub(crate) async fn start(options: &Options) -> std::io::Result<Self> {
+impl Testbed {
+    pub(crate) async fn start(options: &RunOptions) -> std::io::Result<Self> {
         let oracle = Oracle::new(options.limits());
         let mut servers = Vec::new();
         for index in 0..2 * options.servers {
             servers.push(Server::start(index, index >= options.servers, oracle.clone()).await?);
         }
         let mut conductors = Vec::new();
-        for nth in 0..options.conductors {
-            conductors.push(Conductor::new(options, nth, &servers).await?);
+        for conductor_index in 0..options.conductors {
+            conductors.push(Conductor::new(options, conductor_index, &servers).await?);
         }
-        let late_until = Mutex::new(vec![Instant::now(); options.conductors]);
-        let (fired, short_per_mille) = (Mutex::default(), options.short_per_mille);
-        let kill_after = options.limits().deadline + KILL_AFTER_DEADLINE;
-        Ok(World { conductors, servers, oracle, kill_after, fired, short_per_mille, late_until })
+        let news_late_until = Mutex::new(vec![Instant::now(); options.conductors]);
+        let (shim_counts, short_per_mille) = (Mutex::default(), options.short_per_mille);
+        let kill_timeout = options.limits().max_deadline + KILL_DELAY_AFTER_DEADLINE;
+        Ok(Testbed {
+            conductors,
+            servers,
+            oracle,
+            kill_timeout,
+            shim_counts,
+            short_per_mille,
+            news_late_until,
+        })
     }
 
     /// Notes what the shim of a process that ends has done.
-    pub(crate) fn note_fired(&self, process: &Process) {
-        if let Ok(fired) = process.control.fired() {
-            let mut sum = lock(&self.fired);
-            sum.iter_mut().zip(fired).for_each(|(sum, fired)| *sum += fired);
+    pub(crate) fn add_shim_counts(&self, process: &Process) {
+        if let Ok(counts) = process.control.fired_counts() {
+            let mut total = lock(&self.shim_counts);
+            total.iter_mut().zip(counts).for_each(|(total, count)| *total += count);
         }
     }
 
-    pub(crate) async fn start_process(&self, nth: usize) -> Option<Process> {
-        let conductor = &self.conductors[nth];
+    pub(crate) async fn start_process(&self, conductor_index: usize) -> Option<Process> {
+        let conductor = &self.conductors[conductor_index];
         let process = conductor.start();
         let mut process = match process {
             Ok(process) => process,
             Err(e) => {
-                self.oracle.violation(format!("start: conductor {nth}: {e}"));
+                self.oracle.record_violation(format!("start: conductor {conductor_index}: {e}"));
                 return None;
             }
         };
-        if let Err(why) = process.ready().await {
-            self.oracle.violation(format!("{why}: conductor {nth}"));
+        if let Err(error) = process.wait_until_ready().await {
+            self.oracle.record_violation(format!("{error}: conductor {conductor_index}"));
         }
         Some(process)
     }
 
     /// The process of a conductor has to run, unless a trouble has ended it.
-    pub(crate) async fn check_alive(&self, nth: usize) {
-        let mut process = self.conductors[nth].process.lock().await;
-        if let Some(code) = process.as_mut().and_then(Process::ended) {
-            self.oracle.violation(format!("crash: conductor {nth} ended with {code}"));
+    pub(crate) async fn check_alive(&self, conductor_index: usize) {
+        let mut process = self.conductors[conductor_index].process.lock().await;
+        if let Some(code) = process.as_mut().and_then(Process::exit_code) {
+            self.oracle.record_violation(format!("crash: conductor {conductor_index} ended with {code}"));
             *process = None;
         }
     }
 }
 
 impl Conductor {
-    async fn new(options: &Options, nth: usize, servers: &[Server]) -> std::io::Result<Self> {
+    async fn new(options: &RunOptions, conductor_index: usize, servers: &[Server]) -> std::io::Result<Self> {
         let mut links = Vec::new();
         let mut targets = Vec::new();
         for server in servers {
@@ -182,33 +190,33 @@
                 "pod_group": 0, "state": "active", "capacity_hint": 1.0, "boot_ms": 0}),
             );
         }
-        let list = List { rev: 1, targets: targets.clone() };
-        let agents = [Agent::start(list.clone()).await?, Agent::start(list).await?];
-        let (name, listen) = (format!("n{nth}"), free_address()?);
+        let list = ServerList { revision: 1, targets: targets.clone() };
+        let agents = [DiscoveryAgent::start(list.clone()).await?, DiscoveryAgent::start(list).await?];
+        let (name, listen) = (format!("n{conductor_index}"), find_free_address()?);
         let folder = options.folder.join(&name);
         std::fs::create_dir_all(&folder)?;
-        let settings = settings(options.listed_conductors, &options.limits());
+        let settings = conductor_settings(options.listed_conductors, &options.limits());
         let config = json!({"name": name, "listen": listen, "discovery": agents[0].address,
-            "seed": format!("{:x}", options.seed.wrapping_add(nth as u64)),
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": SOCKETS}, "ops": "127.0.0.1:0",
+            "seed": format!("{:x}", options.seed.wrapping_add(conductor_index as u64)),
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": MAX_DESCRIPTORS}, "ops": "127.0.0.1:0",
             "known": {"rev": 1, "all": true, "targets": targets}, "settings": settings});
         let program = options.program.clone();
-        let site = Mutex::new(Site { program, folder, config, listen });
+        let spec = Mutex::new(ProcessSpec { program, folder, config, listen });
         let process = tokio::sync::Mutex::new(None);
-        let (starts, faults, agent) = (Mutex::new(0), Mutex::default(), Mutex::new(0));
-        let held_up = tokio::sync::Mutex::default();
-        Ok(Conductor { site, listen, process, starts, held_up, faults, agents, agent, links })
+        let (start_count, faults, current_agent) = (Mutex::new(0), Mutex::default(), Mutex::new(0));
+        let pause_lock = tokio::sync::Mutex::default();
+        Ok(Conductor { spec, listen, process, start_count, pause_lock, faults, agents, current_agent, links })
     }
 
     /// Starts a process, which is told the list as the agent has it now.
     fn start(&self) -> std::io::Result<Process> {
-        let nth = {
-            let mut starts = lock(&self.starts);
-            *starts += 1;
-            *starts
+        let start_number = {
+            let mut start_count = lock(&self.start_count);
+            *start_count += 1;
+            *start_count
         };
-        let mut site = lock(&self.site);
-        site.config["known"] = self.agents[*lock(&self.agent)].list().whole();
-        site.start(nth, free_address()?, *lock(&self.faults))
+        let mut spec = lock(&self.spec);
+        spec.config["known"] = self.agents[*lock(&self.current_agent)].list().to_json();
+        spec.spawn(start_number, find_free_address()?, *lock(&self.faults))
     }
 }
--- a/soak/tests/short.rs
+++ b/soak/tests/short.rs
@@ -6,26 +6,26 @@
 use std::process::Command;
 use std::time::Duration;
 
-use frosttrail_soak::oracle::{Closed, Limits, Oracle, SlowStart, Told};
-use frosttrail_soak::plan::draw;
-use support::program;
+use frosttrail_soak::oracle::{ClientResult, ClosedPeriod, Limits, Oracle, SlowStart};
+use frosttrail_soak::plan::draw_faults;
+use support::find_program;
 
 const LIMITS: Limits = Limits {
-    release: Duration::from_millis(10),
+    release_timeout: Duration::from_millis(10),
     drain_grace: Duration::ZERO,
-    deadline: Duration::from_secs(3),
+    max_deadline: Duration::from_secs(3),
     slow_start: SlowStart {
-        capacity: 2.0,
-        from: 0.5,
-        multiple: 1.0,
+        capacity_per_s: 2.0,
+        initial_share: 0.5,
+        overload_factor: 1.0,
         window: Duration::from_secs(1),
-        warm_within: Duration::from_secs(60),
+        warm_up_time: Duration::from_secs(60),
     },
 };
 const BUDGET: Duration = Duration::from_secs(1);
 
 /// The rules that are named in what the oracle has found.
-fn broken(oracle: &Oracle) -> Vec<String> {
+fn broken_rules(oracle: &Oracle) -> Vec<String> {
     let rules = oracle.report().violations;
     rules
         .into_iter()
@@ -33,130 +33,132 @@
         .collect()
 }
 
-fn oracle(fragile: bool) -> Oracle {
+fn oracle_with_request(fragile: bool) -> Oracle {
     let oracle = Oracle::new(LIMITS);
-    oracle.asked("a", 0, fragile, BUDGET);
+    oracle.record_request("a", 0, fragile, BUDGET);
     oracle
 }
 
 #[test]
 fn the_oracle_finds_nothing_in_a_request_that_went_well() {
-    let oracle = oracle(true);
-    let read = oracle.arrived("a", 0, false, BUDGET);
-    oracle.held("a", read);
-    oracle.ended("a", read, false);
-    let written = oracle.arrived("a", 1, true, BUDGET);
-    assert!(oracle.taken("a"));
-    oracle.ended("a", written, false);
-    oracle.told("a", Told::Served);
-    assert_eq!(broken(&oracle), Vec::<String>::new());
+    let oracle = oracle_with_request(true);
+    let prefill = oracle.record_attempt("a", 0, false, BUDGET);
+    oracle.record_held_kv_cache("a", prefill);
+    oracle.record_attempt_end("a", prefill, false);
+    let decode = oracle.record_attempt("a", 1, true, BUDGET);
+    assert!(oracle.record_released_kv_cache("a"));
+    oracle.record_attempt_end("a", decode, false);
+    oracle.record_result("a", ClientResult::Served);
+    assert_eq!(broken_rules(&oracle), Vec::<String>::new());
 }
 
 #[test]
 fn the_oracle_finds_each_rule_that_is_broken() {
-    let told = |found: Vec<String>, rule: &str| {
+    let assert_found = |found: Vec<String>, rule: &str| {
         assert!(found.iter().any(|found| found.starts_with(rule)), "{rule}: {found:?}");
     };
-    let again = oracle(true);
+    let retried = oracle_with_request(true);
     for _ in 0..2 {
-        let attempt = again.arrived("a", 1, true, BUDGET);
-        again.ended("a", attempt, false);
+        let attempt = retried.record_attempt("a", 1, true, BUDGET);
+        retried.record_attempt_end("a", attempt, false);
     }
-    again.told("a", Told::Refused);
-    told(broken(&again), "duplicate: sent again");
-    told(broken(&again), "duplicate: refused");
-    let two = oracle(false);
-    two.arrived("a", 0, false, BUDGET);
-    two.arrived("a", 0, false, BUDGET * 2);
-    two.told("a", Told::Nothing);
-    told(broken(&two), "duplicate: two attempts out");
-    told(broken(&two), "deadline");
-    told(broken(&two), "lost: closed without an answer");
-    for sent in [false, true] {
-        let crossed = oracle(false);
-        if sent {
-            let read = crossed.arrived("a", 0, false, BUDGET / 2);
-            crossed.ended("a", read, false);
+    retried.record_result("a", ClientResult::Refused);
+    assert_found(broken_rules(&retried), "duplicate: sent again");
+    assert_found(broken_rules(&retried), "duplicate: refused");
+    let concurrent = oracle_with_request(false);
+    concurrent.record_attempt("a", 0, false, BUDGET);
+    concurrent.record_attempt("a", 0, false, BUDGET * 2);
+    concurrent.record_result("a", ClientResult::Nothing);
+    assert_found(broken_rules(&concurrent), "duplicate: two attempts out");
+    assert_found(broken_rules(&concurrent), "deadline");
+    assert_found(broken_rules(&concurrent), "lost: closed without an answer");
+    for was_sent in [false, true] {
+        let crossing = oracle_with_request(false);
+        if was_sent {
+            let prefill = crossing.record_attempt("a", 0, false, BUDGET / 2);
+            crossing.record_attempt_end("a", prefill, false);
         }
-        crossed.told("a", Told::Crossed);
-        assert_eq!(broken(&crossed).iter().any(|rule| rule.starts_with("lost: sent on")), sent);
+        crossing.record_result("a", ClientResult::Crossed);
+        assert_eq!(broken_rules(&crossing).iter().any(|rule| rule.starts_with("lost: sent on")), was_sent);
     }
-    let late = oracle(false);
+    let violating = oracle_with_request(false);
     let (from, until) = (std::time::Instant::now(), None);
-    late.closed(Closed { server: 0, conductor: None, from, until });
-    late.gone("a");
-    let read = late.arrived("a", 1, false, BUDGET / 4);
-    late.held("a", read);
-    late.ended("a", read, false);
+    violating.record_closed_server(ClosedPeriod { server: 0, conductor: None, from, until });
+    violating.record_client_left("a");
+    let prefill = violating.record_attempt("a", 1, false, BUDGET / 4);
+    violating.record_held_kv_cache("a", prefill);
+    violating.record_attempt_end("a", prefill, false);
     std::thread::sleep(Duration::from_millis(480));
-    late.arrived("a", 0, false, BUDGET / 4);
-    told(broken(&late), "drain");
-    told(broken(&late), "lost: sent for a client that had gone");
-    told(broken(&late), "pinned");
-    told(broken(&oracle(false)), "lost: no answer");
+    violating.record_attempt("a", 0, false, BUDGET / 4);
+    assert_found(broken_rules(&violating), "drain");
+    assert_found(broken_rules(&violating), "lost: sent for a client that had gone");
+    assert_found(broken_rules(&violating), "pinned");
+    assert_found(broken_rules(&oracle_with_request(false)), "lost: no answer");
     // One call a second, and three times its root and three for chance.
-    for (calls, over) in [(7, 0), (8, 1)] {
-        let cold = oracle(false);
-        cold.started(0);
-        for _ in 0..calls {
-            let attempt = cold.arrived("a", 0, false, BUDGET);
-            cold.ended("a", attempt, false);
+    for (requests, over) in [(7, 0), (8, 1)] {
+        let slow_start = oracle_with_request(false);
+        slow_start.record_server_start(0);
+        for _ in 0..requests {
+            let attempt = slow_start.record_attempt("a", 0, false, BUDGET);
+            slow_start.record_attempt_end("a", attempt, false);
         }
-        let found = cold.report().violations;
+        let found = slow_start.report().violations;
         assert_eq!(found.iter().filter(|found| found.starts_with("failback")).count(), over, "{found:?}");
     }
 }
 
 #[test]
 fn a_read_whose_answer_is_lost_in_silence_is_out_for_as_long_as_it_is_waited_for() {
-    for (silent, found) in [(true, false), (false, true)] {
-        let oracle = oracle(false);
-        if silent {
-            oracle.silent(0, true);
+    for (is_silent, found) in [(true, false), (false, true)] {
+        let oracle = oracle_with_request(false);
+        if is_silent {
+            oracle.set_server_silent(0, true);
         }
-        let read = oracle.arrived("a", 0, false, Duration::from_millis(400));
-        oracle.held("a", read);
-        oracle.ended("a", read, false);
+        let prefill = oracle.record_attempt("a", 0, false, Duration::from_millis(400));
+        oracle.record_held_kv_cache("a", prefill);
+        oracle.record_attempt_end("a", prefill, false);
         std::thread::sleep(Duration::from_millis(550));
-        oracle.told("a", Told::Failed);
-        assert_eq!(broken(&oracle).iter().any(|rule| rule.starts_with("pinned")), found, "{silent}");
+        oracle.record_result("a", ClientResult::Failed);
+        assert_eq!(broken_rules(&oracle).iter().any(|rule| rule.starts_with("pinned")), found, "{is_silent}");
     }
 }
 
 #[test]
 fn a_seed_draws_the_same_troubles_and_several_overlap() {
-    let length = Duration::from_secs(12);
-    let events = draw(7, length);
-    assert_eq!(format!("{events:?}"), format!("{:?}", draw(7, length)));
-    assert_ne!(format!("{events:?}"), format!("{:?}", draw(8, length)));
-    let overlaps = |at: Duration| events.iter().filter(|e| e.at <= at && at < e.at + e.lasts).count();
-    assert!(events.iter().filter(|event| overlaps(event.at) >= 2).count() * 2 > events.len());
+    let run_duration = Duration::from_secs(12);
+    let faults = draw_faults(7, run_duration);
+    assert_eq!(format!("{faults:?}"), format!("{:?}", draw_faults(7, run_duration)));
+    assert_ne!(format!("{faults:?}"), format!("{:?}", draw_faults(8, run_duration)));
+    let count_active = |at: Duration| {
+        faults.iter().filter(|fault| fault.start <= at && at < fault.start + fault.duration).count()
+    };
+    assert!(faults.iter().filter(|fault| count_active(fault.start) >= 2).count() * 2 > faults.len());
 }
 
 #[test]
 fn the_program_breaks_no_rule_in_a_short_soak() {
-    let program = program();
-    let state = std::env::temp_dir().join(format!("frosttrail-soak-{}", std::process::id()));
-    let played = Command::new(env!("CARGO_BIN_EXE_frosttrail-soak"))
+    let program = find_program();
+    let folder = std::env::temp_dir().join(format!("frosttrail-soak-{}", std::process::id()));
+    let output = Command::new(env!("CARGO_BIN_EXE_frosttrail-soak"))
         .args(["--conductors", "4", "--seconds", "6", "--seed", "1", "--program"])
         .arg(&program)
         .arg("--folder")
-        .arg(&state)
+        .arg(&folder)
         .output()
         .unwrap();
-    let text = String::from_utf8_lossy(&played.stdout).into_owned();
-    assert!(played.status.success(), "{text}");
-    std::fs::remove_dir_all(&state).unwrap();
+    let text = String::from_utf8_lossy(&output.stdout).into_owned();
+    assert!(output.status.success(), "{text}");
+    std::fs::remove_dir_all(&folder).unwrap();
 }
 
 #[test]
-fn bad_input_is_told_in_one_line() {
+fn bad_input_exits_with_status_2() {
     let program = env!("CARGO_BIN_EXE_frosttrail-soak");
-    for bad in [["--program", "nowhere"], ["--rate", "0"]] {
-        let told = Command::new(program).args(["--program", program]).args(bad).output().unwrap();
-        let text = String::from_utf8_lossy(&told.stderr).into_owned();
-        assert_eq!(told.status.code(), Some(2), "{text}");
+    for arguments in [["--program", "nowhere"], ["--rate", "0"]] {
+        let output = Command::new(program).args(["--program", program]).args(arguments).output().unwrap();
+        let text = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert_eq!(output.status.code(), Some(2), "{text}");
     }
-    let told = Command::new(program).args(["--conductors", "41"]).output().unwrap();
-    assert_eq!(told.status.code(), Some(2));
+    let output = Command::new(program).args(["--conductors", "41"]).output().unwrap();
+    assert_eq!(output.status.code(), Some(2));
 }
--- a/soak/tests/stopped.rs
+++ b/soak/tests/stopped.rs
@@ -5,51 +5,51 @@
 
 use std::time::{Duration, Instant};
 
-use frosttrail_soak::client::{Ask, Manner};
-use frosttrail_soak::shim::Faults;
-use support::{Surroundings, LATEST};
+use frosttrail_soak::client::{ClientBehavior, ClientRequest};
+use frosttrail_soak::shim::SystemFaults;
+use support::{Fixture, TEST_TIMEOUT};
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout};
 
-const STOPPED_FOR: Duration = Duration::from_secs(1);
-const BEFORE: usize = 20;
-const ASKED: usize = 60;
-const EVERY: Duration = Duration::from_millis(20);
+const STOP_DURATION: Duration = Duration::from_secs(1);
+const REQUESTS_BEFORE_STOP: usize = 20;
+const REQUESTS: usize = 60;
+const REQUEST_INTERVAL: Duration = Duration::from_millis(20);
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn each_request_is_answered_after_a_stop_and_none_is_begun_too_late() {
-    let mut around = Surroundings::start("stopped").await;
-    let mut process = around.process(Faults::default());
-    process.ready().await.unwrap();
-    let mut asking = JoinSet::new();
+    let mut fixture = Fixture::start("stopped").await;
+    let mut process = fixture.spawn(SystemFaults::default());
+    process.wait_until_ready().await.unwrap();
+    let mut requests = JoinSet::new();
     let mut stopped_at = None;
-    for nth in 0..ASKED {
-        if nth == BEFORE {
+    for index in 0..REQUESTS {
+        if index == REQUESTS_BEFORE_STOP {
             process.signal("-STOP").await;
             stopped_at = Some(Instant::now());
         }
         // Some have no time left once it goes on, others have, and some clients leave.
-        let leaves = Manner::Leaves(Duration::from_millis(100 + 10 * nth as u64));
-        let ask = Ask {
-            id: format!("r-{nth}"),
+        let leaving = ClientBehavior::Leaves(Duration::from_millis(100 + 10 * index as u64));
+        let request = ClientRequest {
+            id: format!("r-{index}"),
             conductor: 0,
-            to: around.site.listen,
-            fragile: nth % 2 == 0,
-            budget: Duration::from_millis(300 + 40 * nth as u64),
-            manner: if nth % 5 == 0 { leaves } else { Manner::Waits },
+            address: fixture.spec.listen,
+            is_fragile: index % 2 == 0,
+            budget: Duration::from_millis(300 + 40 * index as u64),
+            behavior: if index % 5 == 0 { leaving } else { ClientBehavior::Waits },
         };
-        asking.spawn(ask.run(around.oracle.clone()));
-        sleep(EVERY).await;
+        requests.spawn(request.send(fixture.oracle.clone()));
+        sleep(REQUEST_INTERVAL).await;
     }
-    sleep(STOPPED_FOR.saturating_sub(stopped_at.map_or(STOPPED_FOR, |at| at.elapsed()))).await;
+    sleep(STOP_DURATION.saturating_sub(stopped_at.map_or(STOP_DURATION, |at| at.elapsed()))).await;
     process.signal("-CONT").await;
-    timeout(LATEST, asking.join_all()).await.expect("each ends");
-    let report = around.oracle.report();
-    let late = |found: &&String| !found.contains("answered") && !found.starts_with("pinned");
-    let broken: Vec<_> = report.violations.iter().filter(late).collect();
+    timeout(TEST_TIMEOUT, requests.join_all()).await.expect("each ends");
+    let report = fixture.oracle.report();
+    let is_checked = |found: &&String| !found.contains("answered") && !found.starts_with("pinned");
+    let broken: Vec<_> = report.violations.iter().filter(is_checked).collect();
     assert!(broken.is_empty(), "{broken:?}");
-    assert_eq!(report.told.get("nothing"), None, "{:?}", report.told);
-    assert!(report.told["served"] > ASKED / 3, "{:?}", report.told);
+    assert_eq!(report.results.get("nothing"), None, "{:?}", report.results);
+    assert!(report.results["served"] > REQUESTS / 3, "{:?}", report.results);
     // Its queue is empty again.
-    assert_eq!(around.figure("svc_decision_backlog").await, Some(0.0));
+    assert_eq!(fixture.metric("svc_decision_backlog").await, Some(0.0));
 }
--- a/soak/tests/support/mod.rs
+++ b/soak/tests/support/mod.rs
@@ -6,19 +6,19 @@
 use std::process::Command;
 use std::time::Duration;
 
-use frosttrail_soak::agent::{Agent, List};
-use frosttrail_soak::client::{Ask, Manner};
-use frosttrail_soak::conductor::{call, free_address, Process, Site};
+use frosttrail_soak::agent::{DiscoveryAgent, ServerList};
+use frosttrail_soak::client::{ClientBehavior, ClientRequest};
+use frosttrail_soak::conductor::{call_ops, find_free_address, Process, ProcessSpec};
 use frosttrail_soak::oracle::{Oracle, Report};
 use frosttrail_soak::server::Server;
-use frosttrail_soak::shim::Faults;
-use frosttrail_soak::world::{limits, settings};
+use frosttrail_soak::shim::SystemFaults;
+use frosttrail_soak::world::{conductor_settings, draw_limits};
 use serde_json::{json, Value};
 
 /// Decides the times of the settings.
 const SEED: u64 = 1;
 /// No wait in a test is longer.
-pub const LATEST: Duration = Duration::from_secs(20);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Whether the program is there and no source is newer: one from an earlier build would show nothing.
 fn is_up_to_date(program: &Path) -> bool {
@@ -41,7 +41,7 @@
 }
 
 /// The program, beside the test's own binary, where the workspace's tests have put it.
-pub fn program() -> PathBuf {
+pub fn find_program() -> PathBuf {
     let mut folder = std::env::current_exe().unwrap();
     folder.pop();
     folder.pop();
@@ -55,78 +55,80 @@
 }
 
 /// What surrounds a process. Its files go with it.
-pub struct Surroundings {
+pub struct Fixture {
     pub oracle: Oracle,
-    pub site: Site,
+    pub spec: ProcessSpec,
     pub ops: SocketAddr,
     servers: Vec<Server>,
-    agent: Agent,
-    starts: usize,
-    asked: usize,
+    agent: DiscoveryAgent,
+    start_count: usize,
+    request_count: usize,
 }
 
-impl Surroundings {
+impl Fixture {
     /// For a conductor of this name, which no other test has.
     pub async fn start(name: &str) -> Self {
-        let oracle = Oracle::new(limits(SEED));
+        let oracle = Oracle::new(draw_limits(SEED));
         let mut servers = Vec::new();
-        for (index, decode) in [false, true].into_iter().enumerate() {
-            servers.push(Server::start(index, decode, oracle.clone()).await.unwrap());
+        for (index, is_decode) in [false, true].into_iter().enumerate() {
+            servers.push(Server::start(index, is_decode, oracle.clone()).await.unwrap());
         }
         let target = |(index, model): (usize, &str)| -> Value {
             json!({"uid": format!("s{index}"), "endpoint": servers[index].address, "az": "z", "model": model,
                 "pod_group": 0, "state": "active", "capacity_hint": 1.0, "boot_ms": 0})
         };
         let targets: Vec<Value> = ["prefill", "decode"].into_iter().enumerate().map(target).collect();
-        let agent = Agent::start(List { rev: 1, targets: targets.clone() }).await.unwrap();
-        let (listen, ops) = (free_address().unwrap(), free_address().unwrap());
+        let agent =
+            DiscoveryAgent::start(ServerList { revision: 1, targets: targets.clone() }).await.unwrap();
+        let (listen, ops) = (find_free_address().unwrap(), find_free_address().unwrap());
         let folder = std::env::temp_dir().join(format!("frosttrail-soak-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         let config = json!({"name": name, "listen": listen, "discovery": agent.address, "seed": "1f",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 512}, "ops": "127.0.0.1:0",
-            "known": {"rev": 1, "all": true, "targets": targets}, "settings": settings(1, &limits(SEED))});
-        let site = Site { program: program(), folder, config, listen };
-        Surroundings { oracle, site, ops, servers, agent, starts: 0, asked: 0 }
+            "known": {"rev": 1, "all": true, "targets": targets},
+            "settings": conductor_settings(1, &draw_limits(SEED))});
+        let spec = ProcessSpec { program: find_program(), folder, config, listen };
+        Fixture { oracle, spec, ops, servers, agent, start_count: 0, request_count: 0 }
     }
 
     /// Starts a process under these faults.
-    pub fn process(&mut self, faults: Faults) -> Process {
-        self.starts += 1;
-        self.site.start(self.starts, self.ops, faults).unwrap()
+    pub fn spawn(&mut self, faults: SystemFaults) -> Process {
+        self.start_count += 1;
+        self.spec.spawn(self.start_count, self.ops, faults).unwrap()
     }
 
     /// Makes so many requests, one after another.
-    pub async fn ask(&mut self, count: usize) {
+    pub async fn send_requests(&mut self, count: usize) {
         for _ in 0..count {
-            self.asked += 1;
-            let ask = Ask {
-                id: format!("r-{}", self.asked),
+            self.request_count += 1;
+            let request = ClientRequest {
+                id: format!("r-{}", self.request_count),
                 conductor: 0,
-                to: self.site.listen,
-                fragile: self.asked % 2 == 0,
+                address: self.spec.listen,
+                is_fragile: self.request_count % 2 == 0,
                 budget: Duration::from_secs(3),
-                manner: Manner::Waits,
+                behavior: ClientBehavior::Waits,
             };
-            ask.run(self.oracle.clone()).await;
+            request.send(self.oracle.clone()).await;
         }
     }
 
     /// Asserts that all requests were served, and no rule broken.
-    pub fn all_served(&self) {
-        let Report { told, violations, .. } = self.oracle.report();
+    pub fn assert_all_served(&self) {
+        let Report { results, violations, .. } = self.oracle.report();
         assert_eq!(violations, Vec::<String>::new());
-        assert_eq!(told.get("served"), Some(&self.asked), "{told:?}");
+        assert_eq!(results.get("served"), Some(&self.request_count), "{results:?}");
     }
 
     /// A figure as the process reports it.
-    pub async fn figure(&self, name: &str) -> Option<f64> {
-        let (_, text) = call(self.ops, "GET", "/api/telemetry", "").await.ok()?;
-        text.lines().find_map(|line| line.strip_prefix(name)?.trim().parse().ok())
+    pub async fn metric(&self, name: &str) -> Option<f64> {
+        let (_, metrics) = call_ops(self.ops, "GET", "/api/telemetry", "").await.ok()?;
+        metrics.lines().find_map(|line| line.strip_prefix(name)?.trim().parse().ok())
     }
 }
 
-impl Drop for Surroundings {
+impl Drop for Fixture {
     fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.site.folder);
+        let _ = std::fs::remove_dir_all(&self.spec.folder);
     }
 }
