--- a/standins/src/http.rs
+++ b/standins/src/http.rs
@@ -1,4 +1,4 @@
-//! The platform's protocol as stand-in servers serve it.
+//! HTTP side of the platform's protocol, as the stub servers of this crate serve it.
 
 use std::convert::Infallible;
 use std::io;
@@ -17,7 +17,8 @@
 
 pub(crate) type Body = BoxBody<Bytes, Infallible>;
 
-/// Serves the protocol: requests by what this server does, and the call that lets go of a state.
+/// Serves the protocol on a loopback port. `handle_request` answers requests; `release_kv_cache` runs for
+/// each `DELETE /state/<id>`.
 pub(crate) async fn serve<L, F, R>(
     release_kv_cache: L,
     handle_request: F,
@@ -74,6 +75,7 @@
     })
 }
 
+/// A response that marks its request as rejected before it ran.
 pub(crate) fn rejection(status: u16) -> Response<Body> {
     response_with(status, true, "")
 }
--- a/standins/src/ledger.rs
+++ b/standins/src/ledger.rs
@@ -1,6 +1,6 @@
-//! Stand-in servers that keep one account for all of a fleet: what was held for each request, for how long
-//! nobody had taken it or let it go, and how often a writer ran it. What conductors did is counted here, not
-//! asked of them.
+//! Stub servers that record, in one ledger for a whole fleet, how long the KV cache of each request waited to
+//! be claimed or released, and how often a decode server ran the request. Tests judge conductors by this
+//! ledger, not by what conductors report.
 
 use std::collections::HashMap;
 use std::io;
@@ -16,19 +16,19 @@
 
 use crate::http::{rejection, response_with, serve, Body};
 
-/// What one request has come to.
+/// What the servers of a fleet have seen of one request.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RequestRecord {
-    /// Since when a state waits that nobody has taken.
+    /// Since when a KV cache is held that is neither claimed nor released.
     pub held_since: Option<Instant>,
-    /// The longest that one waited.
+    /// The longest that one was held.
     pub longest_hold: Duration,
-    /// How often a writer ran it.
+    /// How often a decode server ran the request.
     pub decode_runs: u32,
 }
 
 impl RequestRecord {
-    /// The state is taken or let go of; false where none was held.
+    /// Ends the hold of the KV cache, as it is claimed or released. Returns false if none was held.
     fn end_hold(&mut self) -> bool {
         let since = self.held_since.take();
         self.longest_hold = self.longest_hold.max(since.map_or(Duration::ZERO, |at| at.elapsed()));
@@ -36,7 +36,7 @@
     }
 }
 
-/// The account of a fleet; clones share it.
+/// The records of a fleet's requests, by id. Clones share them.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger(Arc<Mutex<HashMap<Id, RequestRecord>>>);
 
@@ -45,21 +45,21 @@
         f(self.0.lock().unwrap_or_else(|e| e.into_inner()).entry(id.clone()).or_default())
     }
 
-    /// All requests that reached a server.
+    /// Returns a record for each request that reached a server.
     pub fn records(&self) -> HashMap<Id, RequestRecord> {
         self.0.lock().unwrap_or_else(|e| e.into_inner()).clone()
     }
 }
 
-/// A server of the fleet. Dropping it ends it, as a crash would.
+/// A stub server of a fleet. Dropping it closes its connections, as a crash would.
 pub struct StubServer {
-    /// Where conductors send requests.
+    /// Where the server listens for requests of conductors.
     pub http_address: SocketAddr,
     _serving: AbortOnDropHandle<()>,
 }
 
 impl StubServer {
-    /// A reader that takes so long for a prompt.
+    /// Starts a prefill server that answers after `delay`.
     pub async fn start_prefill(ledger: &Ledger, delay: Duration) -> io::Result<Self> {
         Self::start(ledger, move |ledger, id| async move {
             sleep(delay).await;
@@ -69,7 +69,8 @@
         .await
     }
 
-    /// A writer that takes so long to its first token; one without the state turns the request away.
+    /// Starts a decode server that sends its whole answer after `delay`, and rejects a request whose KV cache
+    /// is not held.
     pub async fn start_decode(ledger: &Ledger, delay: Duration) -> io::Result<Self> {
         Self::start(ledger, move |ledger, id| async move {
             let was_held = ledger.update(&id, |record| {
--- a/standins/src/lib.rs
+++ b/standins/src/lib.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for outside systems, on loopback: for tests, measurements and first tries.
+//! Test doubles for outside systems, on loopback, for tests, measurements and local trials.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/standins/src/link.rs
+++ b/standins/src/link.rs
@@ -1,5 +1,5 @@
-//! A stand-in for the link between two racks: a proxy that carries connections to one address, at a rate
-//! that they share, late, with bits flipped, stalled or cut, by a script that counts bytes.
+//! A TCP proxy that models the link between two racks. Its connections lead to one address and share a rate
+//! limit and a delay; a script of faults flips bits, resets connections or stalls at given byte offsets.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,39 +14,39 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::AbortOnDropHandle;
 
-/// Bytes that are carried at a time.
+/// The most bytes that are read at a time.
 const BUFFER_BYTES: usize = 16 << 10;
-/// A line that was kept waiting for up to this long catches up.
+/// Idle time for which the rate limit compensates: timers fire up to some milliseconds late.
 const MAX_CATCH_UP: Duration = Duration::from_millis(5);
 
-/// Which way bytes go.
+/// The direction in which bytes are forwarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
-    /// From whoever connected.
+    /// From the connecting side to the target.
     Upstream,
-    /// Back to it.
+    /// From the target to the connecting side.
     Downstream,
 }
 
-/// What happens at a byte.
+/// What happens at a byte offset.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// One bit of it is flipped.
+    /// Flips one bit of the byte.
     FlipBit,
-    /// All connections are reset before it.
+    /// Resets all connections before the byte is forwarded.
     Reset,
-    /// Nothing more is carried, and nothing is closed, from before it on.
+    /// Stalls the link before the byte is forwarded; connections stay open.
     Stall,
 }
 
-/// A fault at a byte, counted over all connections of the link.
+/// A fault at a byte offset, counted over all connections of the link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ScriptedFault {
-    /// In which direction.
+    /// The direction whose bytes are counted.
     pub direction: Direction,
-    /// Before or at which byte.
+    /// How many bytes are forwarded before the fault.
     pub offset: u64,
-    /// What happens.
+    /// The kind of fault.
     pub fault: Fault,
 }
 
@@ -57,7 +57,8 @@
 }
 
 impl FaultScript {
-    /// How many of so many bytes may be carried, with what happens behind them.
+    /// Counts bytes as forwarded up to the next fault, and flips the bit if it is a flip. Returns how many of
+    /// `bytes` to forward, and the fault.
     fn advance(&mut self, direction: Direction, bytes: &mut [u8]) -> (usize, Option<Fault>) {
         let start = self.forwarded[direction as usize];
         let is_due =
@@ -86,28 +87,29 @@
 struct Shared {
     target: Mutex<SocketAddr>,
     script: Mutex<FaultScript>,
+    /// Resets the open connections when cancelled; each reset leaves a new token.
     reset: Mutex<CancellationToken>,
-    /// Nothing is carried.
+    /// While true, nothing is forwarded.
     stalled: watch::Sender<bool>,
-    /// No connection is taken.
+    /// While true, each new connection is closed at once.
     is_unreachable: AtomicBool,
-    /// Bytes a second, 0: as many as come.
+    /// The rate that all connections share; 0 is unlimited.
     rate_bytes_per_second: AtomicU64,
-    /// When the line is free again.
+    /// When all bytes that have reserved the line are through.
     line_free_at: Mutex<Option<Instant>>,
     delay: Mutex<Duration>,
 }
 
-/// The link. Dropping it ends it.
+/// A running proxy. Dropping it stops accepting connections.
 pub struct Link {
-    /// Where to connect.
+    /// Where the proxy listens.
     pub address: SocketAddr,
     shared: Arc<Shared>,
     _accepting: AbortOnDropHandle<()>,
 }
 
 impl Link {
-    /// A link to an address, without faults.
+    /// Starts a link to an address, without faults.
     pub async fn start(target: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind((target.ip(), 0)).await?;
         let address = listener.local_addr()?;
@@ -125,12 +127,12 @@
         Ok(Link { address, shared, _accepting: AbortOnDropHandle::new(tokio::spawn(accepting)) })
     }
 
-    /// Carries at most so many bytes a second, each way for itself being no rate of its own: all share one.
+    /// Limits the rate, which all connections share in both directions together; 0 is unlimited.
     pub fn set_rate(&self, bytes_per_second: u64) {
         self.shared.rate_bytes_per_second.store(bytes_per_second, Ordering::Relaxed);
     }
 
-    /// Everything comes this much later.
+    /// Delays everything that is forwarded.
     pub fn set_delay(&self, delay: Duration) {
         *lock(&self.shared.delay) = delay;
     }
@@ -140,18 +142,18 @@
         lock(&self.shared.script).faults.extend(faults);
     }
 
-    /// Bytes carried so far, up and down.
+    /// Returns the bytes forwarded so far, upstream and downstream.
     pub fn forwarded_bytes(&self) -> (u64, u64) {
         let [up, down] = lock(&self.shared.script).forwarded;
         (up, down)
     }
 
-    /// Where it leads to.
+    /// The address to which new connections lead.
     pub fn target(&self) -> SocketAddr {
         *lock(&self.shared.target)
     }
 
-    /// New connections lead elsewhere.
+    /// Makes new connections lead to another address.
     pub fn set_target(&self, target: SocketAddr) {
         *lock(&self.shared.target) = target;
     }
@@ -161,12 +163,12 @@
         self.shared.reset_connections();
     }
 
-    /// Carries nothing, or goes on.
+    /// Stalls the link, or resumes forwarding; connections stay open.
     pub fn set_stalled(&self, is_stalled: bool) {
         self.shared.stalled.send_replace(is_stalled);
     }
 
-    /// Takes no connections, or takes them again.
+    /// Closes new connections at once, or forwards them again.
     pub fn set_unreachable(&self, is_unreachable: bool) {
         self.shared.is_unreachable.store(is_unreachable, Ordering::Relaxed);
     }
@@ -181,14 +183,14 @@
         std::mem::take(&mut *lock(&self.reset)).cancel();
     }
 
-    /// When the last of so many bytes is through.
+    /// Reserves the line for bytes. Returns when the last of them is through, or `None` without a rate limit.
     fn reserve_line(&self, byte_count: usize) -> Option<Instant> {
         let rate = self.rate_bytes_per_second.load(Ordering::Relaxed);
         if rate == 0 {
             return None;
         }
         let mut line_free_at = lock(&self.line_free_at);
-        // Timers are late by up to some milliseconds; what they lose is made up for.
+        // A late timer leaves the line idle; up to `MAX_CATCH_UP` of that is made up for.
         let now = Instant::now();
         let begin =
             line_free_at.map_or(now, |free_at| free_at.max(now.checked_sub(MAX_CATCH_UP).unwrap_or(now)));
@@ -210,7 +212,7 @@
                     let target = *lock(&shared.target);
                     TcpStream::connect(target).await?
                 };
-                // What is cut is reset: nothing that is still under way arrives.
+                // With a linger of zero, closing resets the connection: data in flight does not arrive.
                 #[allow(deprecated)]
                 for stream in [&client, &server] {
                     stream.set_nodelay(true)?;
@@ -233,7 +235,8 @@
     }
 }
 
-/// One direction of one connection: a task that reads and waits its turn, one that writes after the delay.
+/// Forwards one direction of a connection: one half reads and waits for the rate limit, the other writes
+/// after the delay.
 async fn forward(
     shared: &Shared,
     direction: Direction,
@@ -263,7 +266,7 @@
                 }
                 match fault {
                     Some(Fault::Reset) => {
-                        // What went before it arrives.
+                        // The bytes before the fault are written first.
                         tokio::task::yield_now().await;
                         while chunk_sender.capacity() < chunk_sender.max_capacity() {
                             tokio::task::yield_now().await;
--- a/standins/src/split.rs
+++ b/standins/src/split.rs
@@ -1,6 +1,6 @@
-//! Stand-in servers whose state really moves: a reader that makes a state from the prompt and holds it in a
-//! transfer node, and a writer that fetches it and answers with what it finds in it. Both speak the
-//! platform's protocol to the conductor.
+//! Stub servers between which KV caches really move: a prefill server computes one from the prompt and holds
+//! it in a transfer node, and a decode server fetches it and answers with tokens computed from its bytes.
+//! Both speak the platform's protocol to the conductor.
 
 use std::convert::Infallible;
 use std::io;
@@ -21,14 +21,14 @@
 
 use crate::http::{any_loopback_port, rejection, response_with, serve, Body};
 
-/// The state that a reader makes of a prompt: so many bytes, which depend on all of it.
+/// Computes the KV cache of a prompt; its bytes depend on the whole prompt.
 pub fn kv_cache_of(prompt: &[u8], kv_cache_bytes: usize) -> Bytes {
     let mut kv_cache = vec![0; kv_cache_bytes];
     blake3::Hasher::new().update(prompt).finalize_xof().fill(&mut kv_cache);
     kv_cache.into()
 }
 
-/// The tokens that a writer finds in a state: they depend on all of its bytes.
+/// Computes the tokens of an answer from the chunks of a KV cache; they depend on all of its bytes.
 pub fn tokens_from<'a>(chunks: impl IntoIterator<Item = &'a Bytes>) -> Vec<String> {
     let mut hasher = blake3::Hasher::new();
     for chunk in chunks {
@@ -38,19 +38,19 @@
     hex.as_bytes().chunks(8).map(|token| String::from_utf8_lossy(token).into_owned()).collect()
 }
 
-/// A stand-in reader. Dropping it ends it, as a crash would.
+/// A stub prefill server. Dropping it closes its connections, as a crash would.
 pub struct PrefillServer {
-    /// Where conductors send prompts.
+    /// Where the server listens for requests of conductors.
     pub http_address: SocketAddr,
-    /// Where writers fetch states.
+    /// Where decode servers fetch KV caches.
     pub transfer_address: SocketAddr,
-    /// What holds them.
+    /// The transfer node that holds the KV caches.
     pub node: Arc<Node>,
     _serving: AbortOnDropHandle<()>,
 }
 
 impl PrefillServer {
-    /// Makes states of so many bytes, and takes so long for it.
+    /// Starts a server that computes KV caches of `kv_cache_bytes`, each in `prefill_time`.
     pub async fn start(
         config: Config,
         incarnation: u64,
@@ -84,17 +84,18 @@
     }
 }
 
-/// A stand-in writer. Dropping it ends it.
+/// A stub decode server. Dropping it closes its connections, as a crash would.
 pub struct DecodeServer {
-    /// Where conductors send requests.
+    /// Where the server listens for requests of conductors.
     pub http_address: SocketAddr,
-    /// What fetches their states.
+    /// The transfer node that fetches KV caches.
     pub node: Arc<Node>,
     _serving: AbortOnDropHandle<()>,
 }
 
 impl DecodeServer {
-    /// Fetches states from these nodes, and says a token so often.
+    /// Starts a server that fetches KV caches from the transfer nodes at `sources`, and streams a token every
+    /// `token_interval`.
     pub async fn start(
         config: Config,
         incarnation: u64,
@@ -121,7 +122,7 @@
     }
 }
 
-/// The stream of an answer; the state is held until its end.
+/// Streams the answer; the KV cache is held until the end of the stream.
 fn stream_response(kv_cache: Whole, interval: Duration) -> Response<Body> {
     let tokens = tokens_from(kv_cache.chunks());
     let events = tokens.iter().map(|token| {
@@ -155,7 +156,7 @@
     )
 }
 
-/// What the call that lets go of a state does at a server with this node.
+/// Returns what a server with this node does when a conductor releases a KV cache.
 fn release_handler(node: &Arc<Node>) -> impl Fn(&Id) + Clone + Send + Sync + 'static {
     let node = node.clone();
     move |id| node.release_unclaimed(id)
