--- a/soak/src/agent.rs
+++ b/soak/src/agent.rs
@@ -1,5 +1,5 @@
-//! Discovery's agent on each conductor's machine: the list, and a watch that tells changes. While it is
-//! silent it answers nothing; what hangs there is answered as it comes back.
+//! A stub of the discovery agent on a conductor's machine: serves the list of servers, and a watch stream of
+//! its changes. While silent it answers nothing; requests that wait are answered once it is back.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -12,29 +12,29 @@
 use tokio::time::timeout;
 use tokio_util::task::AbortOnDropHandle;
 
-/// An empty line comes this often where nothing changes.
+/// Interval of the empty lines on a watch stream without changes.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// The list of servers: each as its line for one conductor, and its version.
+/// The servers as one agent lists them, with a revision.
 #[derive(Clone, Debug, Default)]
 pub struct ServerList {
-    /// Grows with each change.
+    /// Incremented with each change.
     pub revision: u64,
-    /// A line for each server.
+    /// The entry of each server.
     pub targets: Vec<Value>,
 }
 
 impl ServerList {
-    /// The whole list as discovery words it: without the servers that are not listed for now.
+    /// Returns the full list in discovery's format, without servers in the state `left`.
     pub fn to_json(&self) -> Value {
         let targets: Vec<&Value> = self.targets.iter().filter(|line| line["state"] != "left").collect();
         json!({"rev": self.revision, "all": true, "targets": targets})
     }
 }
 
-/// An agent. Dropping it ends it.
+/// A running agent. Dropping it closes its connections.
 pub struct DiscoveryAgent {
-    /// Where it listens.
+    /// Where the agent listens.
     pub address: SocketAddr,
     list: watch::Sender<ServerList>,
     is_silent: watch::Sender<bool>,
@@ -42,7 +42,7 @@
 }
 
 impl DiscoveryAgent {
-    /// Starts one with this list.
+    /// Starts an agent with this list.
     pub async fn start(list: ServerList) -> std::io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -54,7 +54,7 @@
                 let Ok((stream, _)) = listener.accept().await else { continue };
                 let serving = serve(stream, served_list.subscribe(), served_silence.subscribe());
                 let task = AbortOnDropHandle::new(tokio::spawn(async move {
-                    // A caller that has gone is no fault.
+                    // A client that disconnects is no fault.
                     let _ = serving.await;
                 }));
                 let mut tasks = tasks.lock().unwrap_or_else(PoisonError::into_inner);
@@ -65,7 +65,7 @@
         Ok(DiscoveryAgent { address, list, is_silent, _accepting: AbortOnDropHandle::new(accepting) })
     }
 
-    /// Changes the list.
+    /// Edits the list and increments its revision.
     pub fn update(&self, edit: impl FnOnce(&mut ServerList)) {
         self.list.send_modify(|list| {
             edit(list);
@@ -73,19 +73,19 @@
         });
     }
 
-    /// The list as it is.
+    /// Returns a copy of the current list.
     pub fn list(&self) -> ServerList {
         self.list.borrow().clone()
     }
 
-    /// Falls silent, or comes back.
+    /// Stops answering, or answers again.
     pub fn set_silent(&self, is_silent: bool) {
         self.is_silent.send_replace(is_silent);
     }
 }
 
-/// The lines that have changed, as the watch tells them. Lists hold the same servers in the same order; one
-/// that is not listed for now has the state `left`.
+/// Returns the changed entries in the format of the watch stream. Both lists hold the same servers in the
+/// same order; a server that is not listed at present has the state `left`.
 fn changed_targets(previous: &ServerList, current: &ServerList) -> Value {
     let differing =
         current.targets.iter().zip(&previous.targets).filter(|(current, previous)| current != previous);
--- a/soak/src/client.rs
+++ b/soak/src/client.rs
@@ -1,4 +1,4 @@
-//! Clients: most wait for their answer, some leave, some stop in the midst of a request and stay.
+//! Clients: most wait for their answer, some leave early, and some stop within a request and stay connected.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -9,38 +9,38 @@
 
 use crate::oracle::{ClientResult, Oracle};
 
-/// A bad client gets its error or close within this time, and what the machine adds.
+/// A client that stops within a request gets an error or a close in 3 s; 300 ms allow for this machine.
 const BAD_CLIENT_TIMEOUT: Duration = Duration::from_millis(3_000 + 300);
-/// No stream takes longer.
+/// No answer streams for longer after the budget for its first token.
 const MAX_STREAM_DURATION: Duration = Duration::from_secs(10);
 
-/// How a client behaves.
+/// How a client behaves. The report prints `Stops` and `StopsAgain` by name.
 #[derive(Clone, Copy, Debug)]
 pub enum ClientBehavior {
-    /// Waits for the end of its answer.
+    /// Waits for its whole answer.
     Waits,
-    /// Closes its connection after so long.
+    /// Closes its connection after this time.
     Leaves(Duration),
-    /// Sends half of a request, and stays.
+    /// Sends part of a request, and stays connected.
     Stops,
-    /// Asks once, and then sends half of a head on the same connection, and stays.
+    /// Completes a request, sends part of a head on the same connection, and stays connected.
     StopsAgain,
 }
 
-/// One request to be made.
+/// One request to send.
 #[derive(Clone, Debug)]
 pub struct ClientRequest {
-    /// Its id.
+    /// The id of the request.
     pub id: String,
-    /// Which conductor, and where that listens.
+    /// Index of the conductor that receives it.
     pub conductor: usize,
-    /// Where it listens.
+    /// Where that conductor listens.
     pub address: SocketAddr,
-    /// May not run twice.
+    /// Whether the request must not run twice.
     pub is_fragile: bool,
-    /// How long its client waits for the first token.
+    /// How long the client waits for the first token.
     pub budget: Duration,
-    /// How it behaves.
+    /// How the client behaves.
     pub behavior: ClientBehavior,
 }
 
@@ -55,9 +55,9 @@
         )
     }
 
-    /// Makes the request, and tells the oracle what came of it.
+    /// Sends the request on a new connection, and records its result at the oracle.
     pub async fn send(self, oracle: Oracle) {
-        // The front has not noticed yet that a process is gone: that is no request.
+        // The front may not have noticed yet that a process is gone: a failed connection is not a request.
         let Ok(Ok(stream)) = timeout(self.budget, TcpStream::connect(self.address)).await else { return };
         if stream.set_nodelay(true).is_err() {
             return;
@@ -68,8 +68,8 @@
         }
     }
 
-    /// Makes the request on a connection; says whether that stays open. One that is not `new` has brought
-    /// answers before, so that its end may cross the request.
+    /// Sends the request on a connection, and returns whether that stays open. A connection that is not new
+    /// has carried answers before, so that the conductor may close it while the request is on its way.
     pub async fn send_on(&self, stream: &mut TcpStream, is_new: bool, oracle: &Oracle) -> bool {
         oracle.record_request(&self.id, self.conductor, self.is_fragile, self.budget);
         let exchanged = timeout(self.budget + MAX_STREAM_DURATION, self.exchange(stream)).await;
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Sends a part of a request, and waits for the end.
+    /// Sends part of a request, and waits for the conductor to end the connection.
     async fn send_partial(&self, mut stream: TcpStream, text: &str, oracle: &Oracle) {
         if stream.write_all(text.as_bytes()).await.is_err() {
             return;
@@ -127,7 +127,7 @@
     }
 }
 
-/// Reads one answer; says whether its connection stays open.
+/// Reads one answer, and returns whether its connection stays open.
 async fn read_answer(stream: &mut TcpStream) -> (ClientResult, bool) {
     let mut bytes = Vec::new();
     loop {
--- a/soak/src/conductor.rs
+++ b/soak/src/conductor.rs
@@ -1,4 +1,5 @@
-//! A conductor's processes: started with the fault shim, told by signals, called by operators.
+//! The processes of a conductor: starts them under the fault shim, sends them signals, and calls their
+//! operators' address.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -15,34 +16,35 @@
 
 use crate::shim::{ControlFile, SystemFaults, LIBRARY_PATH};
 
-/// A process that starts is ready within this time.
+/// A new process is ready within this time.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
-/// A caller at the operators' address waits this long.
+/// Timeout of a call to an operators' address.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Where a conductor's files lie, and how it is configured.
+/// What a conductor's processes are started with.
 #[derive(Debug)]
 pub struct ProcessSpec {
-    /// The program.
+    /// The conductor's program.
     pub program: PathBuf,
-    /// The conductor's own folder: configuration, state, log, control file.
+    /// The conductor's own folder, for configuration, state, logs and control files.
     pub folder: PathBuf,
-    /// Its configuration.
+    /// The configuration, as JSON.
     pub config: Value,
-    /// Where clients come.
+    /// Where the conductor listens for clients.
     pub listen: SocketAddr,
 }
 
 impl ProcessSpec {
-    /// Writes the configuration, as a new one at SIGHUP.
+    /// Writes the configuration file, which a running process reads again at SIGHUP.
     pub fn write_config(&self) -> std::io::Result<()> {
-        // Whole or not at all, as for a process that reads it just then.
+        // Renamed into place, as a process may read the file at this moment.
         let temporary = self.folder.join("config.json.part");
         std::fs::write(&temporary, self.config.to_string())?;
         std::fs::rename(temporary, self.folder.join("config.json"))
     }
 
-    /// Starts a process with an operators' address of its own, under these faults.
+    /// Starts a process with its own operators' address, under these faults. The start number names its log
+    /// and its control file.
     pub fn spawn(
         &self,
         start_number: usize,
@@ -67,12 +69,12 @@
     }
 }
 
-/// Below the ports that the kernel gives out by itself, to whoever connects or binds without naming one.
+/// Below the ephemeral ports, which the kernel assigns to sockets that connect or bind without naming one.
 const PORT_RANGE: std::ops::Range<u16> = 12_000..30_000;
-/// So many are tried.
+/// How many ports are tried for a free one.
 const MAX_PORT_ATTEMPTS: u32 = 100;
 
-/// An address on this machine that is free, and that nobody is given by chance.
+/// Finds a free loopback address whose port the kernel assigns to no other socket by itself.
 pub fn find_free_address() -> std::io::Result<SocketAddr> {
     let mut rng = SmallRng::from_os_rng();
     let mut last_error = std::io::ErrorKind::AddrInUse.into();
@@ -86,42 +88,42 @@
     Err(last_error)
 }
 
-/// One process. Dropping it kills it.
+/// A conductor's process. Dropping it kills it.
 #[derive(Debug)]
 pub struct Process {
     child: Child,
-    /// Its operators' address.
+    /// The operators' address of the process.
     pub ops: SocketAddr,
-    /// Its faults.
+    /// Switches the faults of the process.
     pub control: ControlFile,
 }
 
 impl Process {
-    /// Sends a signal by its name.
+    /// Sends a signal, named as for the `kill` command, such as `-TERM`.
     pub async fn signal(&self, name: &str) {
         let Some(id) = self.child.id() else { return };
-        // A process that has ended gets none.
+        // A process that has ended gets no signal.
         let _ = Command::new("kill").args([name, &id.to_string()]).stderr(Stdio::null()).status().await;
     }
 
-    /// Whether it has ended, and how.
+    /// Returns the exit code if the process has ended, -1 if a signal ended it.
     pub fn exit_code(&mut self) -> Option<i32> {
         self.child.try_wait().ok().flatten().map(|status| status.code().unwrap_or(-1))
     }
 
-    /// Waits for its end.
+    /// Waits for the process to end, and returns the exit code; `None` if it runs on at the limit.
     pub async fn wait_for_exit(&mut self, limit: Duration) -> Option<i32> {
         let status = timeout(limit, self.child.wait()).await.ok()?.ok()?;
         Some(status.code().unwrap_or(-1))
     }
 
-    /// Kills it.
+    /// Kills the process.
     pub async fn kill(&mut self) {
-        // It may have ended already.
+        // The process may have ended already.
         let _ = self.child.kill().await;
     }
 
-    /// Waits until it says that it is ready.
+    /// Waits until the process reports that it is ready.
     pub async fn wait_until_ready(&mut self) -> Result<(), String> {
         let start = Instant::now();
         while start.elapsed() < READY_TIMEOUT {
@@ -136,7 +138,7 @@
         Err(format!("start: not ready after {READY_TIMEOUT:?}"))
     }
 
-    /// How many violations of its own invariants it has counted.
+    /// Returns how many violations of its own invariants the process has counted.
     pub async fn count_violations(&self) -> Option<u64> {
         let (_, metrics) = call_ops(self.ops, "GET", "/api/telemetry", "").await.ok()?;
         let counts = metrics.lines().filter(|line| line.starts_with("svc_violations{"));
@@ -144,7 +146,7 @@
     }
 }
 
-/// One call at an operators' address: status and body.
+/// Sends one request to an operators' address, and returns status and body.
 pub async fn call_ops(
     address: SocketAddr,
     method: &str,
@@ -164,7 +166,7 @@
     timeout(CALL_TIMEOUT, exchange).await.unwrap_or_else(|_| Err(std::io::ErrorKind::TimedOut.into()))
 }
 
-/// Whether a program is there to be started.
+/// Checks that the program has been built.
 pub fn check_program_exists(program: &Path) -> Result<(), String> {
     match program.is_file() {
         true => Ok(()),
--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -1,6 +1,6 @@
-//! A randomized fault soak: real conductor processes on loopback, stand-in servers, discovery agents and
-//! clients around them, troubles that overlap, and the rules as the oracle. All clocks are this process's
-//! own.
+//! A randomized fault soak: runs real conductor processes on loopback among stub servers, discovery agents
+//! and clients, injects overlapping faults, and checks rules on what servers and clients see. All times are
+//! taken from this process's clock.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -1,4 +1,4 @@
-//! Plays the fault soak for some seeds, and ends with 1 where a rule was broken.
+//! Runs the fault soak for a range of seeds, and exits with status 1 if a rule was broken.
 
 #![forbid(unsafe_code)]
 
@@ -53,8 +53,8 @@
     folder: PathBuf,
 }
 
-/// Resolves once this process is told to end: conductors that outlive it would go on calling ports that the
-/// next run's stand-ins are given.
+/// Resolves once this process is asked to terminate. Conductors must not outlive it, as they would go on
+/// calling ports that the stub servers of the next run are given.
 async fn wait_for_termination() {
     let Ok(mut terminate) = signal(SignalKind::terminate()) else { return std::future::pending().await };
     tokio::select! {
@@ -91,7 +91,7 @@
         };
         let outcome = tokio::select! {
             outcome = run_soak(options) => outcome,
-            // What was started ends with what is dropped here.
+            // Dropping the run ends the processes that it has started.
             () = wait_for_termination() => return ExitCode::FAILURE,
         };
         let outcome = match outcome {
--- a/soak/src/oracle.rs
+++ b/soak/src/oracle.rs
@@ -1,159 +1,170 @@
-//! The invariants, checked on what stand-in servers and clients have seen. It asks no conductor.
+//! The oracle: records what stub servers and clients see, and checks the rules on these records alone,
+//! without asking a conductor.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// What sockets and this machine add to each time limit: 50 ms by the rules, 100 ms for this process's
-/// delays.
+/// Added to each time limit for sockets and this machine: 50 ms by the rules, and 100 ms for delays of this
+/// process.
 const TIMING_ALLOWANCE: Duration = Duration::from_millis(150);
-/// What is held has this much more than the settings say.
+/// A KV cache may be held for this much longer than the settings say.
 const HOLD_ALLOWANCE: Duration = Duration::from_millis(300);
-/// The time told to a server may be this much more than what is left.
+/// The remaining time that a server is told may exceed the time left by this much.
 const REMAINING_TIME_ALLOWANCE: Duration = Duration::from_millis(150);
-/// After its client has gone, an attempt may begin for so long.
+/// An attempt may begin for this long after its client has left.
 const CLIENT_LEFT_ALLOWANCE: Duration = Duration::from_millis(100);
-/// A final answer that is later than this after its time has not been given.
+/// A final answer may come this long after the request's budget; a later one counts as lost.
 const LATE_ANSWER_ALLOWANCE: Duration = Duration::from_millis(500);
-/// The end of an attempt may be on its way to its server for so long.
+/// The end of an attempt may take this long to reach its server.
 const MAX_END_DELAY: Duration = Duration::from_millis(50);
 
-/// The limits that the settings give.
+/// The limits that the settings of a run define.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// What is held is taken or let go within this time.
+    /// A KV cache is claimed or released within this time.
     pub release_timeout: Duration,
-    /// Nothing new goes to a server so long after a conductor was told that it drains.
+    /// A conductor sends nothing new to a server once this time has passed since it learned of the drain.
     pub drain_grace: Duration,
-    /// What a server that has just started may be sent.
+    /// What a server in slow start may be sent.
     pub slow_start: SlowStart,
-    /// The longest deadline of a class, which decides when SIGKILL may come.
+    /// The longest deadline of a class, which decides when SIGKILL may follow SIGTERM.
     pub max_deadline: Duration,
 }
 
 /// The budget of a server in slow start.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStart {
-    /// Requests a second that a warm server can do.
+    /// Requests per second that a server can serve after its slow start.
     pub capacity_per_s: f64,
-    /// Share of it that one can do which starts.
+    /// Share of the capacity that a server has when it starts.
     pub initial_share: f64,
-    /// It falls when it gets so many times what it can do,
+    /// A server fails when it gets more than this many times its capacity within `window`.
     pub overload_factor: f64,
-    /// within this time.
+    /// The time within which requests are counted.
     pub window: Duration,
-    /// It is warm by then.
+    /// How long slow start lasts.
     pub warm_up_time: Duration,
 }
 
 impl SlowStart {
-    /// The most that a server may get within the window, so long after its start.
+    /// The most requests that a server may get within the window, at this age.
     fn max_requests(&self, age: Duration) -> f64 {
         let warmed_share = (age.as_secs_f64() / self.warm_up_time.as_secs_f64()).min(1.0);
         let share = self.initial_share + (1.0 - self.initial_share) * warmed_share;
         let expected = self.overload_factor * self.capacity_per_s * share * self.window.as_secs_f64();
-        // Room for chance, as the rule has it.
+        // An allowance for random arrivals, as the slow start rule has it.
         let (deviations, extra) = if expected < 30.0 { (3.0, 3.0) } else { (2.0, 2.0) };
         expected + deviations * expected.sqrt() + extra
     }
 }
 
-/// An attempt as its server saw it.
+/// An attempt as its server saw it. The report prints it with `Debug`, so its names are part of the output.
 #[derive(Clone, Debug)]
 struct Attempt {
     server: usize,
     decode: bool,
     arrived: Instant,
     ended: Option<Instant>,
+    /// The server rejected the attempt before it ran.
     never_ran: bool,
+    /// The remaining time that the server was told.
     told: Duration,
 }
 
-/// What became of a request, as its client saw it.
+/// How a request ended for its client. The report prints the variants by name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientResult {
-    /// A whole answer.
+    /// A complete answer.
     Served,
-    /// A stream that broke off.
+    /// A stream that ended early.
     Broken,
-    /// 429 or 503.
+    /// Status 429 or 503.
     Refused,
     /// Any other status.
     Failed,
     /// The connection ended without an answer.
     Nothing,
-    /// A connection that had brought answers did, maybe before the request was read.
+    /// A connection that had carried answers ended without one, maybe before the request was read.
     Crossed,
 }
 
-/// A request as its client knows it.
+/// A request as its client knows it. The report prints it with `Debug`, so its names are part of the output.
 #[derive(Clone, Debug)]
 struct Asked {
     conductor: usize,
+    /// The request must not run twice.
     fragile: bool,
     sent: Instant,
+    /// How long the client waits for the first token.
     budget: Duration,
+    /// When the client left early.
     gone: Option<Instant>,
+    /// The result, and when the client had it.
     told: Option<(ClientResult, Instant)>,
 }
 
+/// All that was seen of one request. The report prints it with each violation, so its names are part of the
+/// output.
 #[derive(Debug, Default)]
 struct Record {
+    /// The client's side; `None` for an id that reached a server but was sent by no client.
     asked: Option<Asked>,
     attempts: Vec<Attempt>,
+    /// Since when a KV cache is held that is neither claimed nor released.
     held_since: Option<Instant>,
     held_longest: Duration,
 }
 
-/// A span in which a conductor's process was killed, or ended before its time.
+/// Conductors, each with a period in which its process was killed or down: requests may be lost with it.
 type Outages = Vec<(usize, Instant, Instant)>;
 
 #[derive(Debug, Default)]
 struct Observations {
     requests: HashMap<String, Record>,
-    /// When conductors may count as told that a server takes nothing new, and until when that holds.
+    /// Periods in which conductors count as informed that a server takes nothing new.
     closed_periods: Vec<ClosedPeriod>,
-    /// Servers from which nothing comes, each as often as it was silenced.
+    /// Servers whose connections are silent, each as often as it was silenced.
     silent_servers: Vec<usize>,
-    /// When servers have started.
+    /// Servers, and when they started.
     server_starts: Vec<(usize, Instant)>,
     outages: Outages,
     violations: Vec<String>,
 }
 
-/// A time in which a server takes nothing new from a conductor.
+/// A period in which a server takes nothing new from a conductor.
 #[derive(Clone, Copy, Debug)]
 pub struct ClosedPeriod {
-    /// The server.
+    /// Index of the server.
     pub server: usize,
-    /// The conductor; all of them where none is named.
+    /// Index of the conductor; `None` stands for all.
     pub conductor: Option<usize>,
-    /// Since when it counts as told.
+    /// When the conductor counts as informed.
     pub from: Instant,
-    /// Until when.
+    /// The end of the period, once it is known.
     pub until: Option<Instant>,
 }
 
-/// The account of one run; clones share it.
+/// The observations of one run. Clones share them.
 #[derive(Clone, Debug)]
 pub struct Oracle {
     observations: Arc<Mutex<Observations>>,
     limits: Limits,
 }
 
-/// How a run ended.
+/// What the checks of a run have found.
 #[derive(Clone, Debug, Default)]
 pub struct Report {
-    /// Requests by what their clients were told.
+    /// How many requests ended with each result.
     pub results: BTreeMap<&'static str, usize>,
-    /// Attempts that reached servers.
+    /// How many attempts reached servers.
     pub attempts: usize,
-    /// Rules that were broken, each with its trace.
+    /// Broken rules, each with the record that shows it.
     pub violations: Vec<String>,
 }
 
 impl Oracle {
-    /// Nothing has been seen yet.
+    /// Creates an oracle without observations.
     pub fn new(limits: Limits) -> Self {
         Oracle { observations: Arc::default(), limits }
     }
@@ -162,19 +173,19 @@
         self.observations.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Something that needs no further account was broken.
+    /// Records a violation that has been found outside the oracle.
     pub fn record_violation(&self, message: String) {
         self.observations().violations.push(message);
     }
 
-    /// A client is about to send a request.
+    /// Records that a client is about to send a request.
     pub fn record_request(&self, id: &str, conductor: usize, fragile: bool, budget: Duration) {
         let sent = Instant::now();
         let asked = Asked { conductor, fragile, sent, budget, gone: None, told: None };
         self.observations().requests.entry(id.into()).or_default().asked = Some(asked);
     }
 
-    /// A client has all of its answer, or its connection has ended.
+    /// Records that a client has its whole answer, or that its connection has ended.
     pub fn record_result(&self, id: &str, result: ClientResult) {
         if let Some(asked) = self.observations().requests.get_mut(id).and_then(|record| record.asked.as_mut())
         {
@@ -182,7 +193,7 @@
         }
     }
 
-    /// A client is about to close its connection.
+    /// Records that a client is about to close its connection early.
     pub fn record_client_left(&self, id: &str) {
         if let Some(asked) = self.observations().requests.get_mut(id).and_then(|record| record.asked.as_mut())
         {
@@ -190,7 +201,7 @@
         }
     }
 
-    /// The last byte of an attempt has come; gives its number.
+    /// Records that the last byte of an attempt has arrived, and returns its number within the request.
     pub fn record_attempt(&self, id: &str, server: usize, decode: bool, told: Duration) -> usize {
         let mut observations = self.observations();
         let record = observations.requests.entry(id.into()).or_default();
@@ -199,7 +210,7 @@
         record.attempts.len() - 1
     }
 
-    /// An attempt has ended at its server, by its answer or its connection's end.
+    /// Records that an attempt has ended at its server, by its answer or by the end of its connection.
     pub fn record_attempt_end(&self, id: &str, attempt: usize, never_ran: bool) {
         let mut observations = self.observations();
         let attempts = observations.requests.get_mut(id).and_then(|record| record.attempts.get_mut(attempt));
@@ -209,7 +220,7 @@
         }
     }
 
-    /// Nothing comes from a server any more, or something does again.
+    /// Records that a server's connections fall silent, or that they work again.
     pub fn set_server_silent(&self, server: usize, is_silent: bool) {
         let mut observations = self.observations();
         match is_silent {
@@ -221,8 +232,9 @@
         }
     }
 
-    /// A prompt has been read by this attempt: its state waits. An attempt whose answer is lost in silence
-    /// is out for as long as its conductor has said that it waits.
+    /// Records that an attempt has computed a KV cache, which is held from now on. If the server is silent,
+    /// the answer is lost and the attempt stays open for as long as its conductor said that it waits: the
+    /// hold counts from then.
     pub fn record_held_kv_cache(&self, id: &str, attempt: usize) {
         let mut observations = self.observations();
         let Observations { requests, silent_servers, .. } = &mut *observations;
@@ -234,7 +246,7 @@
         record.held_since = Some(now.max(out_until));
     }
 
-    /// What is held is taken or let go; false where nothing was.
+    /// Records that a KV cache is claimed or released, and returns whether one was held.
     pub fn record_released_kv_cache(&self, id: &str) -> bool {
         let mut observations = self.observations();
         let Some(record) = observations.requests.get_mut(id) else { return false };
@@ -244,12 +256,12 @@
         since.is_some()
     }
 
-    /// A server takes nothing new.
+    /// Records that a server takes nothing new.
     pub fn record_closed_server(&self, period: ClosedPeriod) {
         self.observations().closed_periods.push(period);
     }
 
-    /// A server takes requests again.
+    /// Records that a server takes requests again.
     pub fn record_reopened_server(&self, server: usize, conductor: Option<usize>) {
         let now = Instant::now();
         for closed in &mut self.observations().closed_periods {
@@ -259,17 +271,17 @@
         }
     }
 
-    /// A server starts, and is cold.
+    /// Records that a server starts, and is in slow start.
     pub fn record_server_start(&self, server: usize) {
         self.observations().server_starts.push((server, Instant::now()));
     }
 
-    /// A conductor's process did not run in this span: what it had taken ends with it.
+    /// Records that a conductor's process did not run in this period: what it had accepted ended with it.
     pub fn record_outage(&self, conductor: usize, from: Instant, until: Instant) {
         self.observations().outages.push((conductor, from, until));
     }
 
-    /// Checks all that has been seen.
+    /// Checks all observations.
     pub fn report(&self) -> Report {
         let observations = self.observations();
         let mut report = Report { violations: observations.violations.clone(), ..Report::default() };
@@ -298,7 +310,7 @@
         report
     }
 
-    /// Whether a server in slow start was sent more than it can bear, by all conductors together.
+    /// Checks whether all conductors together sent a server in slow start more than it can serve.
     fn check_start(&self, observations: &Observations, (server, start): (usize, Instant)) -> Option<String> {
         let limits = self.limits.slow_start;
         let attempts = observations.requests.values().flat_map(|record| &record.attempts);
@@ -318,7 +330,7 @@
         })
     }
 
-    /// The rules that a request's account breaks.
+    /// Returns the rules that a request's record breaks.
     fn check(&self, observations: &Observations, record: &Record) -> Vec<String> {
         let mut broken_rules = Vec::new();
         let Some(asked) = &record.asked else {
--- a/soak/src/plan.rs
+++ b/soak/src/plan.rs
@@ -1,62 +1,62 @@
-//! What goes wrong, and when: drawn by a seed, so that two or three troubles overlap.
+//! The schedule of faults: drawn from a seed, so that two or three faults overlap.
 
 use std::time::Duration;
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// One kind of trouble.
+/// A kind of fault. The report prints the variants by name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultKind {
-    /// A conductor's process is killed, and started anew.
+    /// Kills a conductor's process, and starts a new one.
     Kill,
-    /// It is told to end, killed when its time is over, and started anew.
+    /// Terminates a conductor's process, kills it if it overruns its time, and starts a new one.
     Restart,
-    /// A second process takes over, then the first is told to end.
+    /// Starts a second process that takes over, then terminates the first.
     Upgrade,
-    /// New settings and another agent, twice in a row.
+    /// Reloads the configuration twice in a row, each time with the other agent.
     Reload,
-    /// It is held up for 0.14 s, again and again.
+    /// Pauses a conductor's process for 0.14 s, again and again.
     HoldUps,
-    /// Its wall clock is an hour off: forward or back.
+    /// Shifts a conductor's wall clock by so many milliseconds: an hour forward or back.
     Clock(i64),
-    /// Its state folder fails.
+    /// Calls on a conductor's state folder fail.
     Disk,
-    /// Its calls to accept, connect and socket fail, and reads and writes are short.
+    /// A conductor's calls to accept, connect and socket fail, and its reads and writes are short.
     Network,
-    /// Its configuration can't be opened, beside two new ones.
+    /// Most attempts to open a conductor's configuration fail, beside two reloads.
     Configuration,
-    /// Its agent is silent.
+    /// A conductor's agents are silent.
     SilentAgent,
-    /// A server's connections fall silent, from all conductors.
+    /// A server's connections from all conductors fall silent.
     SilentServer,
-    /// Those of half of the servers do.
+    /// The connections of half of the servers fall silent.
     SilentHalf,
-    /// A server's are reset.
+    /// A server's connections are reset.
     ResetServer,
-    /// A server's new connections are refused.
+    /// A server cannot be reached: new connections are closed at once.
     DarkServer,
-    /// A server hangs, is full, errs, or breaks its streams off.
+    /// A server takes requests and never answers.
     HangingServer,
-    /// It is full.
+    /// A server rejects all requests.
     FullServer,
-    /// It errs.
+    /// A server answers with errors.
     ErringServer,
-    /// It breaks its streams off.
+    /// A server ends its streams early.
     BreakingServer,
-    /// A server drains, and comes back cold.
+    /// A server drains, and comes back in slow start.
     Drain,
-    /// Operators take a server out of one conductor's use, and put it back.
+    /// Operators exclude a server at one conductor, and include it again.
     Exclusion,
-    /// Idle clients fill a conductor's descriptors.
+    /// Idle clients use up a conductor's descriptors.
     Crowd,
-    /// A part of all ids, as many as stand for one in [`TURNOVER_BATCHES`], goes and comes back restarted.
+    /// One of [`TURNOVER_BATCHES`] batches of all ids leaves the list, and comes back restarted.
     Turnover,
 }
 
-/// In so many batches all ids are replaced.
+/// The number of batches into which all ids are divided for their replacement.
 pub const TURNOVER_BATCHES: usize = 48;
-/// A batch goes this often, and comes back restarted so much later.
+/// Interval between batches, and how long a batch is away.
 const TURNOVER_INTERVAL: Duration = Duration::from_millis(450);
 
 /// Which troubles a run has.
@@ -71,7 +71,7 @@
 }
 
 impl Plan {
-    /// The troubles of a run, in the order in which they begin.
+    /// Returns the faults of a run, in the order in which they begin.
     pub fn schedule(self, seed: u64, run_duration: Duration) -> Vec<ScheduledFault> {
         let mut events = match self {
             Plan::Drawn | Plan::DrawnAndTurnover => draw_faults(seed, run_duration),
@@ -85,7 +85,7 @@
     }
 }
 
-/// A quarter of all ids in turn, from a sixth of the run on.
+/// Schedules the replacement of a quarter of all ids, batch after batch, from a sixth of the run on.
 fn schedule_turnover(run_duration: Duration) -> Vec<ScheduledFault> {
     let batches = TURNOVER_BATCHES / 4;
     let event = |batch: usize| ScheduledFault {
@@ -97,20 +97,20 @@
     (0..batches).map(event).collect()
 }
 
-/// A trouble, whom it strikes and when.
+/// A fault, its target and its time.
 #[derive(Clone, Copy, Debug)]
 pub struct ScheduledFault {
-    /// What goes wrong.
+    /// The kind of fault.
     pub kind: FaultKind,
-    /// Drawn; which conductor or server follows from it.
+    /// A drawn number, from which the conductor or server follows.
     pub target_draw: usize,
-    /// When it begins, and for how long.
+    /// When the fault begins, counted from the start of the run.
     pub start: Duration,
-    /// For how long.
+    /// How long the fault lasts.
     pub duration: Duration,
 }
 
-/// The troubles of a run, in the order in which they begin.
+/// Draws the faults of a run, in the order in which they begin.
 pub fn draw_faults(seed: u64, run_duration: Duration) -> Vec<ScheduledFault> {
     use FaultKind::*;
     const ALL: [FaultKind; 22] = [
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! One run: conductors, servers, agents, clients, and the troubles of a seed.
+//! Runs one seed: conductors, servers, agents and clients, and the faults that the seed draws.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -17,49 +17,50 @@
 use crate::shim::COUNTERS;
 use crate::world::{lock, Testbed};
 
-/// Clients of each conductor that keep their connections, and the most that they pause between requests.
+/// Clients of each conductor that keep their connections.
 const PERSISTENT_CLIENTS: usize = 3;
+/// The longest pause of such a client between requests.
 const MAX_CLIENT_PAUSE_MS: u64 = 800;
 
-/// What is run.
+/// The parameters of a run.
 #[derive(Clone, Debug)]
 pub struct RunOptions {
-    /// The program.
+    /// The conductor's program.
     pub program: PathBuf,
-    /// Decides all that is drawn.
+    /// The seed of all random draws.
     pub seed: u64,
-    /// Conductors.
+    /// How many conductors run.
     pub conductors: usize,
-    /// Servers of each role.
+    /// How many servers of each role run.
     pub servers: usize,
-    /// Under so many ids each of them is listed: few sockets stand for a large fleet.
+    /// Under how many ids each server is listed, so that few sockets stand for a large fleet.
     pub ids_per_server: usize,
     /// How many conductors the settings name.
     pub listed_conductors: usize,
-    /// Which troubles come.
+    /// Which faults are injected.
     pub plan: Plan,
-    /// How long troubles and clients come.
+    /// For how long faults begin and clients send requests.
     pub duration: Duration,
-    /// Requests a second at each conductor.
+    /// Open-loop requests per second at each conductor.
     pub rate: f64,
-    /// Reads and writes that are cut short while the network fails, of 1,000.
+    /// Reads and writes that are short while the network fails, of 1,000.
     pub short_per_mille: u32,
-    /// Where files and logs go.
+    /// The folder for configurations and logs.
     pub folder: PathBuf,
 }
 
-/// What a run has shown.
+/// The outcome of a run.
 #[derive(Clone, Debug, Default)]
 pub struct RunOutcome {
-    /// Rules and requests.
+    /// Broken rules, and results of requests.
     pub report: Report,
-    /// How often each trouble struck.
+    /// How often each fault was injected.
     pub fault_counts: BTreeMap<String, usize>,
-    /// How often each fault of the shim fired.
+    /// How often each counter of the fault shim fired.
     pub shim_counts: BTreeMap<&'static str, u64>,
 }
 
-/// Clients of one conductor, until the end.
+/// Starts clients of one conductor at random times, until the end.
 async fn run_open_loop_clients(testbed: Arc<Testbed>, conductor: usize, options: RunOptions, end: Instant) {
     let mut rng = SmallRng::seed_from_u64(options.seed ^ (conductor as u64 + 1).wrapping_mul(0x9e37_79b9));
     let mut requests = JoinSet::new();
@@ -82,7 +83,7 @@
             behavior,
         };
         requests.spawn(request.send(testbed.oracle.clone()));
-        // Open-loop: exponential times between arrivals.
+        // Open loop: the times between arrivals are exponential.
         let interarrival_s = -rng.random_range(f64::EPSILON..1.0).ln() / options.rate;
         sleep(Duration::from_secs_f64(interarrival_s)).await;
         while requests.try_join_next().is_some() {}
@@ -90,7 +91,7 @@
     requests.join_all().await;
 }
 
-/// Makes requests one after another on a connection for as long as that stays open, also after SIGTERM.
+/// Sends requests one after another on a connection for as long as that stays open, also after SIGTERM.
 async fn run_persistent_client(
     testbed: Arc<Testbed>,
     conductor: usize,
@@ -117,7 +118,7 @@
         let is_new = stream.is_none();
         let mut connection = match stream.take() {
             Some(open_connection) => open_connection,
-            // Nobody listens where a process has just ended.
+            // Nothing listens where a process has just ended.
             None => match TcpStream::connect(request.address).await {
                 Ok(new_connection) => new_connection,
                 Err(_) => continue,
@@ -129,7 +130,7 @@
     }
 }
 
-/// Plays one seed.
+/// Runs the soak for one seed.
 pub async fn run_soak(options: RunOptions) -> std::io::Result<RunOutcome> {
     let testbed = Arc::new(Testbed::start(&options).await?);
     let mut starting = JoinSet::new();
--- a/soak/src/server.rs
+++ b/soak/src/server.rs
@@ -1,5 +1,4 @@
-//! Stand-in servers: prefill and decode, with an account at the oracle and faults that are switched from
-//! outside.
+//! Stub prefill and decode servers. They record each attempt at the oracle, and fail in ways that a run sets.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -23,34 +22,36 @@
 
 type Body = BoxBody<Bytes, std::io::Error>;
 
-/// For a prompt, and from a decode request to its first event.
+/// Time of a prefill.
 const PREFILL_DURATION: Duration = Duration::from_millis(30);
+/// Time from a decode request to its first event.
 const FIRST_EVENT_DELAY: Duration = Duration::from_millis(20);
-/// Between events, and how many there are.
+/// Interval between events.
 const EVENT_INTERVAL: Duration = Duration::from_millis(40);
+/// Events of an answer.
 const EVENT_COUNT: usize = 12;
 
-/// How a server behaves.
+/// How a server treats requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerMode {
-    /// As it should.
+    /// Serves them.
     Healthy,
-    /// Takes requests and never answers.
+    /// Takes them and never answers.
     Hanging,
-    /// Turns requests away.
+    /// Rejects them.
     Full,
-    /// Answers with an error.
+    /// Answers them with an error.
     Failing,
-    /// Ends its answer in the midst.
+    /// Ends the stream halfway.
     Truncating,
 }
 
 const MODES: [ServerMode; 5] =
     [ServerMode::Healthy, ServerMode::Hanging, ServerMode::Full, ServerMode::Failing, ServerMode::Truncating];
 
-/// A server. Dropping it ends it.
+/// A running server. Dropping it closes its connections.
 pub struct Server {
-    /// Where it listens.
+    /// Where the server listens.
     pub address: SocketAddr,
     mode: Arc<AtomicU8>,
     _accepting: AbortOnDropHandle<()>,
@@ -71,7 +72,7 @@
                 let service = service_fn(move |request| handler.clone().answer(request));
                 let http = hyper::server::conn::http1::Builder::new();
                 connections.spawn(async move {
-                    // How a connection ends shows in the account.
+                    // The oracle learns how a connection ends.
                     let _ = http.serve_connection(TokioIo::new(stream), service).await;
                 });
                 while connections.try_join_next().is_some() {}
@@ -80,7 +81,7 @@
         Ok(Server { address, mode, _accepting: AbortOnDropHandle::new(accepting) })
     }
 
-    /// Changes how it behaves from the next request on.
+    /// Sets how the server treats requests, from the next one on.
     pub fn set_mode(&self, mode: ServerMode) {
         let index = MODES.iter().position(|known| *known == mode).unwrap_or(0);
         self.mode.store(index as u8, Ordering::Relaxed);
@@ -95,7 +96,7 @@
     mode: Arc<AtomicU8>,
 }
 
-/// An attempt at this server; it ends with its drop at the latest, as its connection closes.
+/// An attempt at this server. Dropping it, at the latest when its connection closes, records its end.
 struct AttemptGuard {
     oracle: Oracle,
     id: String,
@@ -176,7 +177,7 @@
     response
 }
 
-/// Events at their pace; a broken one ends its connection without the last chunk.
+/// Streams events at their interval. A truncated stream ends its connection without the last chunk.
 fn stream_events(attempt: AttemptGuard, is_truncated: bool) -> Response<Body> {
     let (mut sender, body) = Channel::<Bytes, std::io::Error>::new(4);
     tokio::spawn(async move {
--- a/soak/src/shim.rs
+++ b/soak/src/shim.rs
@@ -1,39 +1,40 @@
-//! The control file of the fault shim (`shim/fault_shim.c`).
+//! The control file of the fault shim, whose layout is `struct control` in `shim/fault_shim.c`.
 
 use std::fs::File;
 use std::io::Result;
 use std::os::unix::fs::FileExt;
 use std::path::{Path, PathBuf};
 
-/// The library, as the build has left it.
+/// The shared library that `build.rs` has built.
 pub const LIBRARY_PATH: &str = env!("FAULT_SHIM");
 
-/// What the shim counts, in the order of its counters.
+/// Names of the shim's counters, in the order of its `enum counter`.
 pub const COUNTERS: [&str; 8] =
     ["clock", "disk", "accept", "connect", "socket", "short io", "configuration", "thread"];
 
-/// Where the counters begin, behind the faults.
+/// Offset of the counters, which follow the faults.
 const COUNTERS_OFFSET: u64 = 32;
 const FILE_BYTES: u64 = COUNTERS_OFFSET + 8 * COUNTERS.len() as u64;
 
-/// Which faults are on.
+/// The faults of the operating system that are on.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SystemFaults {
-    /// The wall clock is off by so much.
+    /// Offset of the wall clock.
     pub wall_offset_ms: i64,
     /// Calls on the state folder that fail, of 1,000.
     pub disk_per_mille: u32,
-    /// Calls that accept, connect or make a socket, or what waits for sockets, and fail, of 1,000.
+    /// Calls that fail, of 1,000, among those that accept, connect or bind, or that create a socket or a
+    /// descriptor to wait for sockets.
     pub network_per_mille: u32,
     /// Reads and writes of sockets that are short, of 1,000.
     pub short_per_mille: u32,
-    /// Openings of the configuration that fail, of 1,000.
+    /// Attempts to open the configuration that fail, of 1,000.
     pub config_per_mille: u32,
-    /// Threads that can't be made, of 1,000.
+    /// Threads that cannot be created, of 1,000.
     pub thread_per_mille: u32,
 }
 
-/// One process's control file.
+/// The control file of one process.
 #[derive(Debug)]
 pub struct ControlFile {
     file: File,
@@ -41,7 +42,7 @@
 }
 
 impl ControlFile {
-    /// Makes the file, with these faults on.
+    /// Creates the file, with these faults on.
     pub fn create(path: &Path, faults: SystemFaults) -> Result<Self> {
         let file = File::options().create(true).truncate(true).read(true).write(true).open(path)?;
         file.set_len(FILE_BYTES)?;
@@ -50,12 +51,12 @@
         Ok(control)
     }
 
-    /// Where it lies.
+    /// The path of the file.
     pub fn path(&self) -> &Path {
         &self.path
     }
 
-    /// Switches faults.
+    /// Replaces the faults that are on.
     pub fn set_faults(&self, faults: SystemFaults) -> Result<()> {
         let mut bytes = Vec::with_capacity(COUNTERS_OFFSET as usize);
         bytes.extend(faults.wall_offset_ms.to_ne_bytes());
@@ -70,7 +71,7 @@
         self.file.write_all_at(&bytes, 0)
     }
 
-    /// How often each fault has fired.
+    /// Reads how often each fault has fired, in the order of [`COUNTERS`].
     pub fn fired_counts(&self) -> Result<[u64; COUNTERS.len()]> {
         let mut counts = [0; COUNTERS.len()];
         for (index, count) in counts.iter_mut().enumerate() {
--- a/soak/src/strike.rs
+++ b/soak/src/strike.rs
@@ -1,4 +1,4 @@
-//! What each trouble does.
+//! Injects each kind of fault.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -17,16 +17,16 @@
 use crate::shim::SystemFaults;
 use crate::world::{lock, Testbed};
 
-/// After SIGHUP, what the new agent has counts as told.
+/// The longest that a conductor may take after SIGHUP to learn what its new agent lists.
 const MAX_NEWS_DELAY_AFTER_RELOAD: Duration = Duration::from_secs(4);
-/// After a silence of its agent, news may be told so late.
+/// The longest that a conductor may take to learn of changes after a silence of its agent.
 const MAX_NEWS_DELAY_AFTER_SILENCE: Duration = Duration::from_secs(6);
-/// Signals come in series.
+/// The series of signals that ends a process.
 const SHUTDOWN_SIGNALS: [&str; 3] = ["-TERM", "-HUP", "-TERM"];
 const SIGNAL_INTERVAL: Duration = Duration::from_millis(20);
-/// So many idle clients come at once: more than a conductor has places for.
+/// Idle clients that connect at once: more than a conductor takes.
 const IDLE_CLIENTS: usize = 400;
-/// A process is held up for so long at a time.
+/// How long a process is paused at a time.
 const PAUSE_DURATION: Duration = Duration::from_millis(140);
 
 fn unix_time_ms() -> u64 {
@@ -34,7 +34,7 @@
 }
 
 impl Testbed {
-    /// Lets a trouble strike. Resolves once it is over.
+    /// Injects a fault, and returns once it is over.
     pub(crate) async fn inject(&self, fault: ScheduledFault, rng: &mut SmallRng) {
         let conductor = fault.target_draw % self.conductors.len();
         let server = fault.target_draw / 7 % self.servers.len();
@@ -76,7 +76,7 @@
             }
             FaultKind::SilentServer => self.silence_servers(&[server], fault.duration).await,
             FaultKind::SilentHalf => {
-                // Always the same: where all are silent at once, nobody could let go of anything.
+                // Always the same half: if all were silent at once, no KV cache could be released.
                 let half: Vec<usize> = (0..self.servers.len()).step_by(2).collect();
                 self.silence_servers(&half, fault.duration).await
             }
@@ -121,17 +121,17 @@
         self.oracle.record_outage(conductor, from, Instant::now());
     }
 
-    /// Idle clients take all places of a conductor, as far as it lets them.
+    /// Connects idle clients to a conductor, as many as it takes.
     async fn connect_idle_clients(&self, conductor: usize, duration: Duration) {
         let mut clients = Vec::new();
         for _ in 0..IDLE_CLIENTS {
-            // Who finds no place has not come.
+            // A client that is refused is left out.
             clients.extend(TcpStream::connect(self.conductors[conductor].listen).await.ok());
         }
         sleep(duration).await;
     }
 
-    /// Ends a process as the platform does, and checks its end.
+    /// Ends a process as the platform does, and checks how it exits.
     pub(crate) async fn shut_down(&self, conductor: usize, mut process: Process) {
         let from = Instant::now();
         for signal in SHUTDOWN_SIGNALS {
@@ -145,7 +145,7 @@
                 .record_violation(format!("crash: conductor {conductor} ended with {code} at its end")),
             None => {
                 process.kill().await;
-                // What came before it is free; later requests have to be answered by then.
+                // Requests of the first 700 ms may be lost; later ones have to be answered before the kill.
                 self.oracle.record_outage(conductor, from, from + Duration::from_millis(700));
             }
         }
@@ -158,7 +158,7 @@
         self.shut_down(conductor, process).await;
         let from = Instant::now();
         *process_slot = self.start_process(conductor).await;
-        // Nobody listens meanwhile.
+        // Nothing listens meanwhile.
         self.oracle.record_outage(conductor, from, Instant::now());
     }
 
@@ -196,7 +196,7 @@
     }
 
     async fn pause_repeatedly(&self, conductor: usize, duration: Duration) {
-        // Two at once would hold it up for longer than the rules allow for.
+        // Two at once would pause the process for longer than the rules allow for.
         let Ok(_guard) = self.conductors[conductor].pause_lock.try_lock() else { return };
         let start = Instant::now();
         while start.elapsed() < duration {
@@ -211,7 +211,7 @@
 
     async fn apply_system_faults(&self, conductor: usize, faults: SystemFaults, duration: Duration) {
         for faults in [faults, SystemFaults::default()] {
-            // A process that starts meanwhile has them too.
+            // A process that starts meanwhile has the faults too.
             *lock(&self.conductors[conductor].faults) = faults;
             if let Some(process) = self.conductors[conductor].process.lock().await.as_ref() {
                 if let Err(e) = process.control.set_faults(faults) {
@@ -230,7 +230,7 @@
         agents.iter().for_each(|agent| agent.set_silent(false));
     }
 
-    /// What is sent on their connections, open or new, does not arrive, and nothing says so.
+    /// Stalls all connections to servers, open or new: what is sent is lost without an error.
     async fn silence_servers(&self, servers: &[usize], duration: Duration) {
         let all_links =
             || self.conductors.iter().flat_map(|c| servers.iter().map(|server| &c.links[*server]));
@@ -262,13 +262,13 @@
         self.servers[server].set_mode(ServerMode::Healthy);
     }
 
-    /// Tells all agents of a server's state, under each of its ids.
+    /// Sets a server's state in the lists of all agents, under each of its ids.
     fn announce_server(&self, server: usize, state: &str, boot_ms: Option<u64>) {
         let servers = self.servers.len();
         self.announce_ids(|id, _| id % servers == server, state, boot_ms);
     }
 
-    /// Tells all agents of the state of some ids, chosen by their number and the state that they have.
+    /// Sets the state of some ids in the lists of all agents, selected by number and current state.
     fn announce_ids(&self, is_selected: impl Fn(usize, &Value) -> bool, state: &str, boot_ms: Option<u64>) {
         for agent in self.conductors.iter().flat_map(|conductor| &conductor.agents) {
             agent.update(|list| {
@@ -285,9 +285,9 @@
         }
     }
 
-    /// A batch of ids goes, and comes back restarted; but for those that drain meanwhile.
+    /// Removes a batch of ids from the lists, and brings them back restarted, except for ids that drain.
     async fn replace_batch(&self, batch: usize, duration: Duration) {
-        // Neighbours among the ids have different sockets.
+        // Neighbouring ids belong to different sockets.
         let is_in_batch = |id: usize| id / self.servers.len() % TURNOVER_BATCHES == batch;
         self.announce_ids(|id, state| is_in_batch(id) && state == "active", "left", None);
         sleep(duration).await;
@@ -309,7 +309,7 @@
         self.announce_server(server, "active", Some(unix_time_ms()));
     }
 
-    /// Calls for each id, until one is not answered with a yes; whether all were.
+    /// Posts each id to a path until one call fails. Returns whether all succeeded.
     async fn call_for_each_id(&self, ops: SocketAddr, path: &str, ids: &[String]) -> bool {
         for id in ids {
             if !call_ops(ops, "POST", path, id).await.is_ok_and(|(status, _)| status == 200) {
@@ -322,7 +322,7 @@
     async fn exclude_server(&self, conductor: usize, server: usize, duration: Duration, rng: &mut SmallRng) {
         let ops = self.conductors[conductor].process.lock().await.as_ref().map(|process| process.ops);
         let Some(ops) = ops else { return };
-        // Under each of its ids, as the oracle knows servers by their sockets.
+        // Under each of its ids, as the oracle identifies servers by their sockets.
         let (servers, ids) = (self.servers.len(), self.conductors[conductor].agents[0].list().targets.len());
         let ids: Vec<String> = (server..ids).step_by(servers).map(|id| format!("s{id}")).collect();
         if self.call_for_each_id(ops, "/api/exclude", &ids).await {
@@ -330,11 +330,11 @@
             self.oracle.record_closed_server(ClosedPeriod { server, conductor, from, until });
         }
         sleep(duration.mul_f64(rng.random_range(0.5..1.0))).await;
-        // Before the call: it is in use as soon as the call has been heard.
+        // Recorded before the call, which takes effect before it returns.
         self.oracle.record_reopened_server(server, Some(conductor));
         let ops = self.conductors[conductor].process.lock().await.as_ref().map(|process| process.ops);
         let Some(ops) = ops else { return };
-        // A no leaves it out, which breaks no rule here.
+        // If a call fails, the server stays excluded, which breaks no rule here.
         self.call_for_each_id(ops, "/api/include", &ids).await;
     }
 }
--- a/soak/src/world.rs
+++ b/soak/src/world.rs
@@ -1,4 +1,4 @@
-//! The conductors of a run, and what surrounds them.
+//! The testbed of a run: conductors, servers, and the links and agents between them.
 
 use std::net::SocketAddr;
 use std::sync::{Mutex, PoisonError};
@@ -16,7 +16,7 @@
 use crate::server::Server;
 use crate::shim::{SystemFaults, COUNTERS};
 
-/// What a server in slow start may be sent.
+/// The slow start of the servers.
 const SLOW_START: SlowStart = SlowStart {
     capacity_per_s: 20.0,
     initial_share: 0.25,
@@ -25,10 +25,10 @@
     warm_up_time: Duration::from_secs(3),
 };
 
-/// With thousands of ids a server takes longer to warm up, so that many do so at once.
+/// With thousands of ids, slow start lasts longer, so that many servers are in it at once.
 const LARGE_FLEET_WARM_UP_TIME: Duration = Duration::from_secs(13);
 
-/// What the settings of a run say: deployments differ in these times.
+/// Draws the limits of a run: deployments differ in these times.
 pub fn draw_limits(seed: u64) -> Limits {
     let mut rng = SmallRng::seed_from_u64(seed);
     let release_timeout = Duration::from_millis([300, 500, 1_000][rng.random_range(0..3)]);
@@ -38,7 +38,7 @@
 }
 
 impl RunOptions {
-    /// The limits of this run: each socket stands for as many servers as it has ids.
+    /// Returns the limits of this run. Each socket stands for as many servers as it has ids.
     pub(crate) fn limits(&self) -> Limits {
         let mut limits = draw_limits(self.seed);
         if self.ids_per_server > 1 {
@@ -49,38 +49,38 @@
     }
 }
 
-/// What follows the longest deadline before SIGKILL, which comes as early as it may.
+/// Time from the longest deadline to SIGKILL, which comes as early as it may.
 const KILL_DELAY_AFTER_DEADLINE: Duration = Duration::from_millis(700);
 
-/// Descriptors of a conductor's process.
+/// The limit on descriptors of a conductor's process.
 const MAX_DESCRIPTORS: u64 = 512;
 
-/// A conductor, whichever process runs it.
+/// A conductor, which outlives its processes.
 pub(crate) struct Conductor {
     pub(crate) spec: Mutex<ProcessSpec>,
     pub(crate) listen: SocketAddr,
     pub(crate) process: tokio::sync::Mutex<Option<Process>>,
     start_count: Mutex<usize>,
-    /// Taken while it is held up now and then.
+    /// Held while the process is paused again and again.
     pub(crate) pause_lock: tokio::sync::Mutex<()>,
-    /// What is wrong with its machine now, also for a process that starts.
+    /// The system faults that are on now, which a process that starts has too.
     pub(crate) faults: Mutex<SystemFaults>,
     pub(crate) agents: [DiscoveryAgent; 2],
-    /// Which agent the configuration names.
+    /// Index of the agent that the configuration names.
     pub(crate) current_agent: Mutex<usize>,
     pub(crate) links: Vec<Link>,
 }
 
-/// All that a run consists of.
+/// Conductors, servers and oracle of a run.
 pub(crate) struct Testbed {
     pub(crate) conductors: Vec<Conductor>,
     pub(crate) servers: Vec<Server>,
     pub(crate) oracle: Oracle,
-    /// From SIGTERM to SIGKILL.
+    /// Time from SIGTERM to SIGKILL.
     pub(crate) kill_timeout: Duration,
     pub(crate) shim_counts: Mutex<[u64; COUNTERS.len()]>,
     pub(crate) short_per_mille: u32,
-    /// Until when news may be late at each conductor.
+    /// Until when each conductor may lack the latest changes of the list.
     pub(crate) news_late_until: Mutex<Vec<Instant>>,
 }
 
@@ -88,7 +88,7 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// The limits, as settings have them.
+/// Returns the rules section of the settings.
 fn rule_settings(limits: &Limits) -> Value {
     let micros = |time: Duration| time.as_micros() as u64;
     let SlowStart { initial_share, overload_factor, window, warm_up_time, .. } = limits.slow_start;
@@ -96,7 +96,7 @@
         "fall-multiple": overload_factor, "grace-to-answer": 8_000, "warm-within": micros(warm_up_time)})
 }
 
-/// Settings for so many conductors.
+/// Returns the settings of a deployment with so many conductors.
 pub fn conductor_settings(conductors: usize, limits: &Limits) -> Value {
     let class = |name: &str, effect: &str| {
         let deadline = limits.max_deadline.as_micros() as u64;
@@ -141,7 +141,7 @@
         })
     }
 
-    /// Notes what the shim of a process that ends has done.
+    /// Adds the shim's counts of a process that ends to those of the run.
     pub(crate) fn add_shim_counts(&self, process: &Process) {
         if let Ok(counts) = process.control.fired_counts() {
             let mut total = lock(&self.shim_counts);
@@ -165,7 +165,7 @@
         Some(process)
     }
 
-    /// The process of a conductor has to run, unless a trouble has ended it.
+    /// Records a violation if a conductor's process has ended, unless a fault has ended it.
     pub(crate) async fn check_alive(&self, conductor_index: usize) {
         let mut process = self.conductors[conductor_index].process.lock().await;
         if let Some(code) = process.as_mut().and_then(Process::exit_code) {
@@ -208,7 +208,7 @@
         Ok(Conductor { spec, listen, process, start_count, pause_lock, faults, agents, current_agent, links })
     }
 
-    /// Starts a process, which is told the list as the agent has it now.
+    /// Starts a process whose configuration holds the agent's current list.
     fn start(&self) -> std::io::Result<Process> {
         let start_number = {
             let mut start_count = lock(&self.start_count);
--- a/soak/tests/large_fleet.rs
+++ b/soak/tests/large_fleet.rs
@@ -1,5 +1,5 @@
-//! One real conductor before thousands of servers, of which a quarter is replaced in turn: each request
-//! gets its final answer in time, and what is held is let go in time.
+//! One real conductor routes to thousands of servers, of which a quarter is replaced in turn: each request
+//! gets its final answer in time, and each KV cache is claimed or released in time.
 
 mod support;
 
@@ -10,12 +10,13 @@
 use frosttrail_soak::run::{run_soak, RunOptions};
 use support::find_program;
 
-/// Sockets of each role, and the ids of each: 3,200 in all.
+/// Server sockets of each role.
 const SERVERS: usize = 8;
+/// Ids under which each socket is listed: 3,200 in all.
 const IDS_PER_SERVER: usize = 200;
 const REQUESTS_PER_S: f64 = 80.0;
 
-/// How often each rule was broken.
+/// Counts how often each rule was broken.
 fn count_by_rule(violations: &[String]) -> BTreeMap<&str, usize> {
     let mut counts = BTreeMap::new();
     for violation in violations {
--- a/soak/tests/short.rs
+++ b/soak/tests/short.rs
@@ -1,5 +1,5 @@
-//! A soak of seconds: all that is played is there, the oracle sees what is broken, and the program breaks
-//! nothing.
+//! The parts of the soak, and a run of seconds: a seed draws overlapping faults, the oracle finds each broken
+//! rule, and the conductor breaks none.
 
 mod support;
 
@@ -24,7 +24,7 @@
 };
 const BUDGET: Duration = Duration::from_secs(1);
 
-/// The rules that are named in what the oracle has found.
+/// Returns the rules that the oracle has found broken for request `a`.
 fn broken_rules(oracle: &Oracle) -> Vec<String> {
     let rules = oracle.report().violations;
     rules
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn the_oracle_finds_nothing_in_a_request_that_went_well() {
+fn the_oracle_finds_no_broken_rule_in_a_request_that_went_well() {
     let oracle = oracle_with_request(true);
     let prefill = oracle.record_attempt("a", 0, false, BUDGET);
     oracle.record_held_kv_cache("a", prefill);
@@ -94,7 +94,7 @@
     assert_found(broken_rules(&violating), "lost: sent for a client that had gone");
     assert_found(broken_rules(&violating), "pinned");
     assert_found(broken_rules(&oracle_with_request(false)), "lost: no answer");
-    // One call a second, and three times its root and three for chance.
+    // The budget is 1 request a second, plus 3 times its square root and 3 for random arrivals.
     for (requests, over) in [(7, 0), (8, 1)] {
         let slow_start = oracle_with_request(false);
         slow_start.record_server_start(0);
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_read_whose_answer_is_lost_in_silence_is_out_for_as_long_as_it_is_waited_for() {
+fn a_prefill_whose_answer_is_lost_is_open_for_as_long_as_its_conductor_waits() {
     for (is_silent, found) in [(true, false), (false, true)] {
         let oracle = oracle_with_request(false);
         if is_silent {
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn a_seed_draws_the_same_troubles_and_several_overlap() {
+fn a_seed_draws_the_same_faults_and_several_overlap() {
     let run_duration = Duration::from_secs(12);
     let faults = draw_faults(7, run_duration);
     assert_eq!(format!("{faults:?}"), format!("{:?}", draw_faults(7, run_duration)));
--- a/soak/tests/stopped.rs
+++ b/soak/tests/stopped.rs
@@ -1,5 +1,6 @@
-//! A real process that stands still for a second, with requests open and more coming: once it goes on, each
-//! gets its answer, and nothing is begun for those whose time is over or whose clients have gone.
+//! A real conductor process is stopped for a second while requests are open and more arrive. After it
+//! continues, each request gets its answer, and no attempt starts for a request whose time is over or whose
+//! client has left.
 
 mod support;
 
@@ -28,7 +29,7 @@
             process.signal("-STOP").await;
             stopped_at = Some(Instant::now());
         }
-        // Some have no time left once it goes on, others have, and some clients leave.
+        // When the process continues, some requests have no time left, and some clients have left.
         let leaving = ClientBehavior::Leaves(Duration::from_millis(100 + 10 * index as u64));
         let request = ClientRequest {
             id: format!("r-{index}"),
@@ -43,13 +44,13 @@
     }
     sleep(STOP_DURATION.saturating_sub(stopped_at.map_or(STOP_DURATION, |at| at.elapsed()))).await;
     process.signal("-CONT").await;
-    timeout(TEST_TIMEOUT, requests.join_all()).await.expect("each ends");
+    timeout(TEST_TIMEOUT, requests.join_all()).await.expect("each request ends in time");
     let report = fixture.oracle.report();
     let is_checked = |found: &&String| !found.contains("answered") && !found.starts_with("pinned");
     let broken: Vec<_> = report.violations.iter().filter(is_checked).collect();
     assert!(broken.is_empty(), "{broken:?}");
     assert_eq!(report.results.get("nothing"), None, "{:?}", report.results);
     assert!(report.results["served"] > REQUESTS / 3, "{:?}", report.results);
-    // Its queue is empty again.
+    // The decision queue is empty again.
     assert_eq!(fixture.metric("svc_decision_backlog").await, Some(0.0));
 }
--- a/soak/tests/support/mod.rs
+++ b/soak/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! One conductor's process under the fault shim, with two servers and an agent around it.
+//! A fixture for tests of one conductor process under the fault shim, with two stub servers and an agent.
 #![allow(dead_code)]
 
 use std::net::SocketAddr;
@@ -15,12 +15,12 @@
 use frosttrail_soak::world::{conductor_settings, draw_limits};
 use serde_json::{json, Value};
 
-/// Decides the times of the settings.
+/// The seed from which the limits of the settings are drawn.
 const SEED: u64 = 1;
-/// No wait in a test is longer.
+/// The longest wait in a test.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Whether the program is there and no source is newer: one from an earlier build would show nothing.
+/// Checks that the program exists and no source is newer: an older build would test other code.
 fn is_up_to_date(program: &Path) -> bool {
     let modified = |path: &Path| std::fs::metadata(path).and_then(|data| data.modified()).ok();
     let Some(built) = modified(program) else { return false };
@@ -40,7 +40,7 @@
     true
 }
 
-/// The program, beside the test's own binary, where the workspace's tests have put it.
+/// Returns the program beside the test's own binary, where the workspace's tests put it. Builds it if needed.
 pub fn find_program() -> PathBuf {
     let mut folder = std::env::current_exe().unwrap();
     folder.pop();
@@ -54,7 +54,7 @@
     program
 }
 
-/// What surrounds a process. Its files go with it.
+/// The servers, agent and files around a conductor process. Dropping it removes the files.
 pub struct Fixture {
     pub oracle: Oracle,
     pub spec: ProcessSpec,
@@ -66,7 +66,7 @@
 }
 
 impl Fixture {
-    /// For a conductor of this name, which no other test has.
+    /// Starts the servers and the agent, for a conductor with a name that no other test uses.
     pub async fn start(name: &str) -> Self {
         let oracle = Oracle::new(draw_limits(SEED));
         let mut servers = Vec::new();
@@ -91,13 +91,13 @@
         Fixture { oracle, spec, ops, servers, agent, start_count: 0, request_count: 0 }
     }
 
-    /// Starts a process under these faults.
+    /// Starts a conductor process under these faults.
     pub fn spawn(&mut self, faults: SystemFaults) -> Process {
         self.start_count += 1;
         self.spec.spawn(self.start_count, self.ops, faults).unwrap()
     }
 
-    /// Makes so many requests, one after another.
+    /// Sends so many requests, one after another.
     pub async fn send_requests(&mut self, count: usize) {
         for _ in 0..count {
             self.request_count += 1;
@@ -113,14 +113,14 @@
         }
     }
 
-    /// Asserts that all requests were served, and no rule broken.
+    /// Asserts that all requests were served and no rule was broken.
     pub fn assert_all_served(&self) {
         let Report { results, violations, .. } = self.oracle.report();
         assert_eq!(violations, Vec::<String>::new());
         assert_eq!(results.get("served"), Some(&self.request_count), "{results:?}");
     }
 
-    /// A figure as the process reports it.
+    /// Reads a metric of the process.
     pub async fn metric(&self, name: &str) -> Option<f64> {
         let (_, metrics) = call_ops(self.ops, "GET", "/api/telemetry", "").await.ok()?;
         metrics.lines().find_map(|line| line.strip_prefix(name)?.trim().parse().ok())
