--- a/soak/shim/fault_shim.c
+++ b/soak/shim/fault_shim.c
@@ -1,9 +1,9 @@
-/* Faults of the operating system, for processes that the soak starts with LD_PRELOAD.
+/* Injects operating system faults into processes that the soak starts with LD_PRELOAD.
  *
- * The file that FAULT_SHIM_CONTROL names is mapped and says which faults are on; what fired is counted there.
- * It reaches what goes through the C library. It does not reach system calls that a program makes past it, such
- * as the descriptor passing of the rustix crate, clocks that are read through the vDSO without the library, and
- * threads that the C library makes for itself.
+ * The control file that FAULT_SHIM_CONTROL names is mapped: it sets which faults are on, and counts those that
+ * fired. The shim reaches calls that go through the C library. It does not reach system calls that a program makes
+ * past the library, such as the descriptor passing of the rustix crate, clocks that are read through the vDSO
+ * without the library, and threads that the C library creates for itself.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -25,6 +25,7 @@
 
 enum counter { CLOCK, DISK, ACCEPT, CONNECT, SOCKET, SHORT_IO, CONFIG, THREAD, COUNTERS };
 
+/* The layout of the control file, which soak/src/shim.rs writes and reads. */
 struct control {
     int64_t wall_offset_ms;
     uint32_t disk_per_mille;
@@ -50,22 +51,24 @@
     if (block != MAP_FAILED) control = block;
 }
 
-static uint32_t draw(uint32_t below) {
+/* A random number below a bound, from a xorshift generator of each thread. */
+static uint32_t draw_below(uint32_t bound) {
     if (random_state == 0) random_state = (uint64_t)getpid() * 0x9e3779b97f4a7c15ull ^ (uintptr_t)&random_state;
     random_state ^= random_state << 13;
     random_state ^= random_state >> 7;
     random_state ^= random_state << 17;
-    return (uint32_t)(random_state >> 33) % below;
+    return (uint32_t)(random_state >> 33) % bound;
 }
 
-static int fires(enum counter what, uint32_t per_mille) {
-    if (control == NULL || per_mille == 0 || draw(1000) >= per_mille) return 0;
-    __atomic_fetch_add(&control->fired[what], 1, __ATOMIC_RELAXED);
+/* Decides whether a fault fires at this call, and counts it if so. */
+static int fires(enum counter counter, uint32_t per_mille) {
+    if (control == NULL || per_mille == 0 || draw_below(1000) >= per_mille) return 0;
+    __atomic_fetch_add(&control->fired[counter], 1, __ATOMIC_RELAXED);
     return 1;
 }
 
 static int fail_with(const int *errors, uint32_t count) {
-    errno = errors[draw(count)];
+    errno = errors[draw_below(count)];
     return -1;
 }
 
@@ -88,11 +91,12 @@
     return result;
 }
 
-/* The file that says how the conductor is configured: opening it fails as where no descriptor is left. */
+/* Opening the conductor's configuration fails, as if no descriptor were left or the disk had an error. */
 static int config_fails(const char *path) {
     return control != NULL && strstr(path, "/config.json") != NULL && fires(CONFIG, control->config_per_mille);
 }
 
+/* Calls on files of the conductor's state folder fail, as if the disk were full or had an error. */
 static int disk_fails(const char *path) {
     return control != NULL && strstr(path, "/frosttrail-") != NULL && fires(DISK, control->disk_per_mille);
 }
@@ -143,24 +147,24 @@
 int connect(int fd, const struct sockaddr *address, socklen_t length) {
     static int (*real)(int, const struct sockaddr *, socklen_t);
     if (real == NULL) real = dlsym(RTLD_NEXT, "connect");
-    int internet = address->sa_family == AF_INET;
-    if (internet && control != NULL && fires(CONNECT, control->network_per_mille)) return fail_with(connect_errors, 3);
+    int is_internet = address->sa_family == AF_INET;
+    if (is_internet && control != NULL && fires(CONNECT, control->network_per_mille)) return fail_with(connect_errors, 3);
     return real(fd, address, length);
 }
 
 int socket(int domain, int type, int protocol) {
     static int (*real)(int, int, int);
     if (real == NULL) real = dlsym(RTLD_NEXT, "socket");
-    int internet = domain == AF_INET;
-    if (internet && control != NULL && fires(SOCKET, control->network_per_mille)) return fail_with(socket_errors, 3);
+    int is_internet = domain == AF_INET;
+    if (is_internet && control != NULL && fires(SOCKET, control->network_per_mille)) return fail_with(socket_errors, 3);
     return real(domain, type, protocol);
 }
 
 int bind(int fd, const struct sockaddr *address, socklen_t length) {
     static int (*real)(int, const struct sockaddr *, socklen_t);
     if (real == NULL) real = dlsym(RTLD_NEXT, "bind");
-    int internet = address->sa_family == AF_INET;
-    if (internet && control != NULL && fires(SOCKET, control->network_per_mille)) return fail_with(bind_errors, 2);
+    int is_internet = address->sa_family == AF_INET;
+    if (is_internet && control != NULL && fires(SOCKET, control->network_per_mille)) return fail_with(bind_errors, 2);
     return real(fd, address, length);
 }
 
@@ -185,19 +189,20 @@
     return real(thread, attributes, run, argument);
 }
 
-static size_t shortened(size_t length) {
+/* The length for a read or write of a socket: at most 64 bytes if the fault fires. */
+static size_t shorten_length(size_t length) {
     if (length < 2 || control == NULL || !fires(SHORT_IO, control->short_per_mille)) return length;
-    return 1 + draw((uint32_t)(length > 64 ? 64 : length - 1));
+    return 1 + draw_below((uint32_t)(length > 64 ? 64 : length - 1));
 }
 
 ssize_t recv(int fd, void *bytes, size_t length, int flags) {
     static ssize_t (*real)(int, void *, size_t, int);
     if (real == NULL) real = dlsym(RTLD_NEXT, "recv");
-    return real(fd, bytes, shortened(length), flags);
+    return real(fd, bytes, shorten_length(length), flags);
 }
 
 ssize_t send(int fd, const void *bytes, size_t length, int flags) {
     static ssize_t (*real)(int, const void *, size_t, int);
     if (real == NULL) real = dlsym(RTLD_NEXT, "send");
-    return real(fd, bytes, shortened(length), flags);
+    return real(fd, bytes, shorten_length(length), flags);
 }
