--- a/soak/shim/fault_shim.c
+++ b/soak/shim/fault_shim.c
@@ -147,24 +147,24 @@
 int connect(int fd, const struct sockaddr *address, socklen_t length) {
     static int (*real)(int, const struct sockaddr *, socklen_t);
     if (real == NULL) real = dlsym(RTLD_NEXT, "connect");
-    int is_internet = address->sa_family == AF_INET;
-    if (is_internet && control != NULL && fires(CONNECT, control->network_per_mille)) return fail_with(connect_errors, 3);
+    int is_inet = address->sa_family == AF_INET;
+    if (is_inet && control != NULL && fires(CONNECT, control->network_per_mille)) return fail_with(connect_errors, 3);
     return real(fd, address, length);
 }
 
 int socket(int domain, int type, int protocol) {
     static int (*real)(int, int, int);
     if (real == NULL) real = dlsym(RTLD_NEXT, "socket");
-    int is_internet = domain == AF_INET;
-    if (is_internet && control != NULL && fires(SOCKET, control->network_per_mille)) return fail_with(socket_errors, 3);
+    int is_inet = domain == AF_INET;
+    if (is_inet && control != NULL && fires(SOCKET, control->network_per_mille)) return fail_with(socket_errors, 3);
     return real(domain, type, protocol);
 }
 
 int bind(int fd, const struct sockaddr *address, socklen_t length) {
     static int (*real)(int, const struct sockaddr *, socklen_t);
     if (real == NULL) real = dlsym(RTLD_NEXT, "bind");
-    int is_internet = address->sa_family == AF_INET;
-    if (is_internet && control != NULL && fires(SOCKET, control->network_per_mille)) return fail_with(bind_errors, 2);
+    int is_inet = address->sa_family == AF_INET;
+    if (is_inet && control != NULL && fires(SOCKET, control->network_per_mille)) return fail_with(bind_errors, 2);
     return real(fd, address, length);
 }
 
--- a/soak/src/client.rs
+++ b/soak/src/client.rs
@@ -9,9 +9,9 @@
 
 use crate::oracle::{ClientResult, Oracle};
 
-/// A client that stops within a request gets an error or a close in 3 s; 300 ms allow for this machine.
+/// A client that stops within a request gets an error or a close within 3 s; 300 ms allow for this machine.
 const BAD_CLIENT_TIMEOUT: Duration = Duration::from_millis(3_000 + 300);
-/// No answer streams for longer after the budget for its first token.
+/// The longest that an answer streams, beyond the budget for its first token.
 const MAX_STREAM_DURATION: Duration = Duration::from_secs(10);
 
 /// How a client behaves. The report prints `Stops` and `StopsAgain` by name.
@@ -57,7 +57,7 @@
 
     /// Sends the request on a new connection, and records its result at the oracle.
     pub async fn send(self, oracle: Oracle) {
-        // The front may not have noticed yet that a process is gone: a failed connection is not a request.
+        // The front end may not know yet that a process is gone: a failed connection is not a request.
         let Ok(Ok(stream)) = timeout(self.budget, TcpStream::connect(self.address)).await else { return };
         if stream.set_nodelay(true).is_err() {
             return;
--- a/soak/src/plan.rs
+++ b/soak/src/plan.rs
@@ -73,28 +73,28 @@
 impl Plan {
     /// Returns the faults of a run, in the order in which they begin.
     pub fn schedule(self, seed: u64, run_duration: Duration) -> Vec<ScheduledFault> {
-        let mut events = match self {
+        let mut faults = match self {
             Plan::Drawn | Plan::DrawnAndTurnover => draw_faults(seed, run_duration),
             Plan::Turnover => Vec::new(),
         };
         if self != Plan::Drawn {
-            events.extend(schedule_turnover(run_duration));
-            events.sort_by_key(|event| event.start);
+            faults.extend(schedule_turnover(run_duration));
+            faults.sort_by_key(|fault| fault.start);
         }
-        events
+        faults
     }
 }
 
 /// Schedules the replacement of a quarter of all ids, batch after batch, from a sixth of the run on.
 fn schedule_turnover(run_duration: Duration) -> Vec<ScheduledFault> {
     let batches = TURNOVER_BATCHES / 4;
-    let event = |batch: usize| ScheduledFault {
+    let fault = |batch: usize| ScheduledFault {
         kind: FaultKind::Turnover,
         target_draw: batch,
         start: run_duration / 6 + TURNOVER_INTERVAL * batch as u32,
         duration: TURNOVER_INTERVAL,
     };
-    (0..batches).map(event).collect()
+    (0..batches).map(fault).collect()
 }
 
 /// A fault, its target and its time.
@@ -102,7 +102,7 @@
 pub struct ScheduledFault {
     /// The kind of fault.
     pub kind: FaultKind,
-    /// A drawn number, from which the conductor or server follows.
+    /// A drawn number, from which the conductor or server follows; for a turnover, the batch.
     pub target_draw: usize,
     /// When the fault begins, counted from the start of the run.
     pub start: Duration,
@@ -138,13 +138,13 @@
         Crowd,
     ];
     let mut rng = SmallRng::seed_from_u64(seed);
-    let mut events = Vec::new();
+    let mut faults = Vec::new();
     let mut start = Duration::from_millis(500);
     while start + Duration::from_secs(2) < run_duration {
         let kind = ALL[rng.random_range(0..ALL.len())];
         let duration = Duration::from_millis(rng.random_range(400..2_000));
-        events.push(ScheduledFault { kind, target_draw: rng.random_range(0..1 << 16), start, duration });
+        faults.push(ScheduledFault { kind, target_draw: rng.random_range(0..1 << 16), start, duration });
         start += Duration::from_millis(rng.random_range(100..500));
     }
-    events
+    faults
 }
--- a/soak/src/server.rs
+++ b/soak/src/server.rs
@@ -22,13 +22,13 @@
 
 type Body = BoxBody<Bytes, std::io::Error>;
 
-/// Time of a prefill.
+/// How long a prefill takes.
 const PREFILL_DURATION: Duration = Duration::from_millis(30);
 /// Time from a decode request to its first event.
 const FIRST_EVENT_DELAY: Duration = Duration::from_millis(20);
 /// Interval between events.
 const EVENT_INTERVAL: Duration = Duration::from_millis(40);
-/// Events of an answer.
+/// Number of events in an answer.
 const EVENT_COUNT: usize = 12;
 
 /// How a server treats requests.
--- a/soak/src/strike.rs
+++ b/soak/src/strike.rs
@@ -42,7 +42,7 @@
             FaultKind::Kill => self.kill_conductor(conductor, fault.duration).await,
             FaultKind::Restart => self.restart_conductor(conductor).await,
             FaultKind::Upgrade => self.upgrade_conductor(conductor).await,
-            FaultKind::Reload => self.reload_settings(conductor).await,
+            FaultKind::Reload => self.reload_configuration(conductor).await,
             FaultKind::HoldUps => self.pause_repeatedly(conductor, fault.duration).await,
             FaultKind::Clock(wall_offset_ms) => {
                 self.apply_system_faults(
@@ -71,7 +71,7 @@
                 let faults = SystemFaults { config_per_mille: 900, ..SystemFaults::default() };
                 tokio::join!(
                     self.apply_system_faults(conductor, faults, fault.duration / 3),
-                    self.reload_settings(conductor)
+                    self.reload_configuration(conductor)
                 );
             }
             FaultKind::SilentServer => self.silence_servers(&[server], fault.duration).await,
@@ -145,7 +145,8 @@
                 .record_violation(format!("crash: conductor {conductor} ended with {code} at its end")),
             None => {
                 process.kill().await;
-                // Requests of the first 700 ms may be lost; later ones have to be answered before the kill.
+                // Requests of the first 700 ms after SIGTERM may be lost; later ones have to be answered
+                // before the kill.
                 self.oracle.record_outage(conductor, from, from + Duration::from_millis(700));
             }
         }
@@ -164,17 +165,17 @@
 
     async fn upgrade_conductor(&self, conductor: usize) {
         let mut process_slot = self.conductors[conductor].process.lock().await;
-        let Some(old) = process_slot.take() else { return };
+        let Some(old_process) = process_slot.take() else { return };
         match self.start_process(conductor).await {
-            Some(new) => {
-                self.shut_down(conductor, old).await;
-                *process_slot = Some(new);
+            Some(new_process) => {
+                self.shut_down(conductor, old_process).await;
+                *process_slot = Some(new_process);
             }
-            None => *process_slot = Some(old),
+            None => *process_slot = Some(old_process),
         }
     }
 
-    async fn reload_settings(&self, conductor_index: usize) {
+    async fn reload_configuration(&self, conductor_index: usize) {
         let conductor = &self.conductors[conductor_index];
         lock(&self.news_late_until)[conductor_index] = Instant::now() + MAX_NEWS_DELAY_AFTER_RELOAD;
         for _ in 0..2 {
@@ -264,8 +265,8 @@
 
     /// Sets a server's state in the lists of all agents, under each of its ids.
     fn announce_server(&self, server: usize, state: &str, boot_ms: Option<u64>) {
-        let servers = self.servers.len();
-        self.announce_ids(|id, _| id % servers == server, state, boot_ms);
+        let server_count = self.servers.len();
+        self.announce_ids(|id, _| id % server_count == server, state, boot_ms);
     }
 
     /// Sets the state of some ids in the lists of all agents, selected by number and current state.
@@ -297,8 +298,8 @@
     async fn drain_server(&self, server: usize, duration: Duration) {
         let now = Instant::now();
         self.announce_server(server, "leaving", None);
-        for (conductor, late) in lock(&self.news_late_until).iter().enumerate() {
-            let from = now.max(*late);
+        for (conductor, late_until) in lock(&self.news_late_until).iter().enumerate() {
+            let from = now.max(*late_until);
             let (conductor, until) = (Some(conductor), None);
             self.oracle.record_closed_server(ClosedPeriod { server, conductor, from, until });
         }
@@ -323,8 +324,9 @@
         let ops = self.conductors[conductor].process.lock().await.as_ref().map(|process| process.ops);
         let Some(ops) = ops else { return };
         // Under each of its ids, as the oracle identifies servers by their sockets.
-        let (servers, ids) = (self.servers.len(), self.conductors[conductor].agents[0].list().targets.len());
-        let ids: Vec<String> = (server..ids).step_by(servers).map(|id| format!("s{id}")).collect();
+        let (server_count, id_count) =
+            (self.servers.len(), self.conductors[conductor].agents[0].list().targets.len());
+        let ids: Vec<String> = (server..id_count).step_by(server_count).map(|id| format!("s{id}")).collect();
         if self.call_for_each_id(ops, "/api/exclude", &ids).await {
             let (conductor, from, until) = (Some(conductor), Instant::now(), None);
             self.oracle.record_closed_server(ClosedPeriod { server, conductor, from, until });
