--- a/soak/src/plan.rs
+++ b/soak/src/plan.rs
@@ -1,63 +1,63 @@
-//! What goes wrong, and when: drawn by a seed, so that two or three troubles overlap.
+//! The schedule of faults: drawn from a seed, so that two or three faults overlap.
 
 use std::time::Duration;
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// One kind of trouble.
+/// A kind of fault. The report prints the variants by name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
-    /// A conductor's process is killed, and started anew.
+pub enum FaultKind {
+    /// Kills a conductor's process, and starts a new one.
     Kill,
-    /// It is told to end, killed when its time is over, and started anew.
+    /// Terminates a conductor's process, kills it if it overruns its time, and starts a new one.
     Restart,
-    /// A second process takes over, then the first is told to end.
+    /// Starts a second process that takes over, then terminates the first.
     Upgrade,
-    /// New settings and another agent, twice in a row.
+    /// Reloads the configuration twice in a row, each time with the other agent.
     Reload,
-    /// It is held up for 0.14 s, again and again.
+    /// Pauses a conductor's process for 0.14 s, again and again.
     HoldUps,
-    /// Its wall clock is an hour off: forward or back.
+    /// Shifts a conductor's wall clock by so many milliseconds: an hour forward or back.
     Clock(i64),
-    /// Its state folder fails.
+    /// Calls on a conductor's state folder fail.
     Disk,
-    /// Its calls to accept, connect and socket fail, and reads and writes are short.
+    /// A conductor's calls to accept, connect and socket fail, and its reads and writes are short.
     Network,
-    /// Its configuration can't be opened, beside two new ones.
+    /// Most attempts to open a conductor's configuration fail, beside two reloads.
     Configuration,
-    /// Its agent is silent.
+    /// A conductor's agents are silent.
     SilentAgent,
-    /// A server's connections fall silent, from all conductors.
+    /// A server's connections from all conductors fall silent.
     SilentServer,
-    /// Those of half of the servers do.
+    /// The connections of half of the servers fall silent.
     SilentHalf,
-    /// A server's are reset.
+    /// A server's connections are reset.
     ResetServer,
-    /// A server's new connections are refused.
+    /// A server cannot be reached: new connections are closed at once.
     DarkServer,
-    /// A server hangs, is full, errs, or breaks its streams off.
+    /// A server takes requests and never answers.
     HangingServer,
-    /// It is full.
+    /// A server rejects all requests.
     FullServer,
-    /// It errs.
+    /// A server answers with errors.
     ErringServer,
-    /// It breaks its streams off.
+    /// A server ends its streams early.
     BreakingServer,
-    /// A server drains, and comes back cold.
+    /// A server drains, and comes back in slow start.
     Drain,
-    /// Operators take a server out of one conductor's use, and put it back.
+    /// Operators exclude a server at one conductor, and include it again.
     Exclusion,
-    /// Idle clients fill a conductor's descriptors.
+    /// Idle clients use up a conductor's descriptors.
     Crowd,
-    /// A part of all ids, as many as stand for one in [`TURNOVER_BATCHES`], goes and comes back restarted.
+    /// One of [`TURNOVER_BATCHES`] batches of all ids leaves the list, and comes back restarted.
     Turnover,
 }
 
-/// In so many batches all ids are replaced.
+/// The number of batches into which all ids are divided for their replacement.
 pub const TURNOVER_BATCHES: usize = 48;
-/// A batch goes this often, and comes back restarted so much later.
-const TURNOVER_EVERY: Duration = Duration::from_millis(450);
+/// Interval between batches, and how long a batch is away.
+const TURNOVER_INTERVAL: Duration = Duration::from_millis(450);
 
 /// Which troubles a run has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
@@ -71,49 +71,49 @@
 }
 
 impl Plan {
-    /// The troubles of a run, in the order in which they begin.
-    pub fn events(self, seed: u64, length: Duration) -> Vec<Event> {
-        let mut events = match self {
-            Plan::Drawn | Plan::DrawnAndTurnover => draw(seed, length),
+    /// Returns the faults of a run, in the order in which they begin.
+    pub fn schedule(self, seed: u64, run_duration: Duration) -> Vec<ScheduledFault> {
+        let mut faults = match self {
+            Plan::Drawn | Plan::DrawnAndTurnover => draw_faults(seed, run_duration),
             Plan::Turnover => Vec::new(),
         };
         if self != Plan::Drawn {
-            events.extend(turnover(length));
-            events.sort_by_key(|event| event.at);
+            faults.extend(schedule_turnover(run_duration));
+            faults.sort_by_key(|fault| fault.start);
         }
-        events
+        faults
     }
 }
 
-/// A quarter of all ids in turn, from a sixth of the run on.
-fn turnover(length: Duration) -> Vec<Event> {
+/// Schedules the replacement of a quarter of all ids, batch after batch, from a sixth of the run on.
+fn schedule_turnover(run_duration: Duration) -> Vec<ScheduledFault> {
     let batches = TURNOVER_BATCHES / 4;
-    let event = |nth: usize| Event {
-        trouble: Trouble::Turnover,
-        whom: nth,
-        at: length / 6 + TURNOVER_EVERY * nth as u32,
-        lasts: TURNOVER_EVERY,
+    let fault = |batch: usize| ScheduledFault {
+        kind: FaultKind::Turnover,
+        target_draw: batch,
+        start: run_duration / 6 + TURNOVER_INTERVAL * batch as u32,
+        duration: TURNOVER_INTERVAL,
     };
-    (0..batches).map(event).collect()
+    (0..batches).map(fault).collect()
 }
 
-/// A trouble, whom it strikes and when.
+/// A fault, its target and its time.
 #[derive(Clone, Copy, Debug)]
-pub struct Event {
-    /// What goes wrong.
-    pub trouble: Trouble,
-    /// Drawn; which conductor or server follows from it.
-    pub whom: usize,
-    /// When it begins, and for how long.
-    pub at: Duration,
-    /// For how long.
-    pub lasts: Duration,
+pub struct ScheduledFault {
+    /// The kind of fault.
+    pub kind: FaultKind,
+    /// A drawn number, from which the conductor or server follows; for a turnover, the batch.
+    pub target_draw: usize,
+    /// When the fault begins, counted from the start of the run.
+    pub start: Duration,
+    /// How long the fault lasts.
+    pub duration: Duration,
 }
 
-/// The troubles of a run, in the order in which they begin.
-pub fn draw(seed: u64, length: Duration) -> Vec<Event> {
-    use Trouble::*;
-    const ALL: [Trouble; 22] = [
+/// Draws the faults of a run, in the order in which they begin.
+pub fn draw_faults(seed: u64, run_duration: Duration) -> Vec<ScheduledFault> {
+    use FaultKind::*;
+    const ALL: [FaultKind; 22] = [
         Kill,
         Restart,
         Upgrade,
@@ -137,14 +137,14 @@
         Exclusion,
         Crowd,
     ];
-    let mut draws = SmallRng::seed_from_u64(seed);
-    let mut events = Vec::new();
-    let mut at = Duration::from_millis(500);
-    while at + Duration::from_secs(2) < length {
-        let trouble = ALL[draws.random_range(0..ALL.len())];
-        let lasts = Duration::from_millis(draws.random_range(400..2_000));
-        events.push(Event { trouble, whom: draws.random_range(0..1 << 16), at, lasts });
-        at += Duration::from_millis(draws.random_range(100..500));
+    let mut rng = SmallRng::seed_from_u64(seed);
+    let mut faults = Vec::new();
+    let mut start = Duration::from_millis(500);
+    while start + Duration::from_secs(2) < run_duration {
+        let kind = ALL[rng.random_range(0..ALL.len())];
+        let duration = Duration::from_millis(rng.random_range(400..2_000));
+        faults.push(ScheduledFault { kind, target_draw: rng.random_range(0..1 << 16), start, duration });
+        start += Duration::from_millis(rng.random_range(100..500));
     }
-    events
+    faults
 }
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! One run: conductors, servers, agents, clients, and the troubles of a seed.
+//! Runs one seed: conductors, servers, agents and clients, and the faults that the seed draws.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -11,161 +11,170 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, sleep_until};
 
-use crate::client::{Ask, Manner};
+use crate::client::{ClientBehavior, ClientRequest};
 use crate::oracle::Report;
 use crate::plan::Plan;
 use crate::shim::COUNTERS;
-use crate::world::{lock, World};
+use crate::world::{lock, Testbed};
 
-/// Clients of each conductor that keep their connections, and the most that they pause between requests.
-const REGULARS: usize = 3;
-const REGULAR_PAUSE_MS: u64 = 800;
+/// Clients of each conductor that keep their connections.
+const PERSISTENT_CLIENTS: usize = 3;
+/// The longest pause of such a client between requests.
+const MAX_CLIENT_PAUSE_MS: u64 = 800;
 
-/// What is run.
+/// The parameters of a run.
 #[derive(Clone, Debug)]
-pub struct Options {
-    /// The program.
+pub struct RunOptions {
+    /// The conductor's program.
     pub program: PathBuf,
-    /// Decides all that is drawn.
+    /// The seed of all random draws.
     pub seed: u64,
-    /// Conductors.
+    /// How many conductors run.
     pub conductors: usize,
-    /// Servers of each role.
+    /// How many servers of each role run.
     pub servers: usize,
-    /// Under so many ids each of them is listed: few sockets stand for a large fleet.
+    /// Under how many ids each server is listed, so that few sockets stand for a large fleet.
     pub ids_per_server: usize,
     /// How many conductors the settings name.
     pub listed_conductors: usize,
-    /// Which troubles come.
+    /// Which faults are injected.
     pub plan: Plan,
-    /// How long troubles and clients come.
-    pub length: Duration,
-    /// Requests a second at each conductor.
+    /// For how long faults begin and clients send requests.
+    pub duration: Duration,
+    /// Open-loop requests per second at each conductor.
     pub rate: f64,
-    /// Reads and writes that are cut short while the network fails, of 1,000.
+    /// Reads and writes that are short while the network fails, of 1,000.
     pub short_per_mille: u32,
-    /// Where files and logs go.
+    /// The folder for configurations and logs.
     pub folder: PathBuf,
 }
 
-/// What a run has shown.
+/// The outcome of a run.
 #[derive(Clone, Debug, Default)]
-pub struct Outcome {
-    /// Rules and requests.
+pub struct RunOutcome {
+    /// Broken rules, and results of requests.
     pub report: Report,
-    /// How often each trouble struck.
-    pub troubles: BTreeMap<String, usize>,
-    /// How often each fault of the shim fired.
-    pub fired: BTreeMap<&'static str, u64>,
+    /// How often each fault was injected.
+    pub fault_counts: BTreeMap<String, usize>,
+    /// How often each counter of the fault shim fired.
+    pub shim_counts: BTreeMap<&'static str, u64>,
 }
 
-/// Clients of one conductor, until the end.
-async fn clients(world: Arc<World>, nth: usize, options: Options, end: Instant) {
-    let mut draws = SmallRng::seed_from_u64(options.seed ^ (nth as u64 + 1).wrapping_mul(0x9e37_79b9));
-    let mut asks = JoinSet::new();
-    for count in 0.. {
+/// Starts clients of one conductor at random times, until the end.
+async fn run_open_loop_clients(testbed: Arc<Testbed>, conductor: usize, options: RunOptions, end: Instant) {
+    let mut rng = SmallRng::seed_from_u64(options.seed ^ (conductor as u64 + 1).wrapping_mul(0x9e37_79b9));
+    let mut requests = JoinSet::new();
+    for request_index in 0.. {
         if Instant::now() >= end {
             break;
         }
-        let manner = match draws.random_range(0..100) {
-            0..12 => Manner::Leaves(Duration::from_millis(draws.random_range(0..400))),
-            12..14 => Manner::Stops,
-            14..16 => Manner::StopsAgain,
-            _ => Manner::Waits,
+        let behavior = match rng.random_range(0..100) {
+            0..12 => ClientBehavior::Leaves(Duration::from_millis(rng.random_range(0..400))),
+            12..14 => ClientBehavior::Stops,
+            14..16 => ClientBehavior::StopsAgain,
+            _ => ClientBehavior::Waits,
         };
-        let ask = Ask {
-            id: format!("{}-{nth}-{count}", options.seed),
-            conductor: nth,
-            to: world.conductors[nth].listen,
-            fragile: draws.random_range(0..3) == 0,
-            budget: draws.random_range(Duration::from_millis(400)..options.limits().deadline),
-            manner,
+        let request = ClientRequest {
+            id: format!("{}-{conductor}-{request_index}", options.seed),
+            conductor,
+            address: testbed.conductors[conductor].listen,
+            is_fragile: rng.random_range(0..3) == 0,
+            budget: rng.random_range(Duration::from_millis(400)..options.limits().max_deadline),
+            behavior,
         };
-        asks.spawn(ask.run(world.oracle.clone()));
-        // Open-loop: exponential times between arrivals.
-        let gap = -draws.random_range(f64::EPSILON..1.0).ln() / options.rate;
-        sleep(Duration::from_secs_f64(gap)).await;
-        while asks.try_join_next().is_some() {}
+        requests.spawn(request.send(testbed.oracle.clone()));
+        // Open loop: the times between arrivals are exponential.
+        let interarrival_s = -rng.random_range(f64::EPSILON..1.0).ln() / options.rate;
+        sleep(Duration::from_secs_f64(interarrival_s)).await;
+        while requests.try_join_next().is_some() {}
     }
-    asks.join_all().await;
+    requests.join_all().await;
 }
 
-/// Makes requests one after another on a connection for as long as that stays open, also after SIGTERM.
-async fn regular_client(world: Arc<World>, nth: usize, which: usize, options: Options, end: Instant) {
-    let seed = options.seed ^ (nth as u64 + 1).wrapping_mul(0x51_7cc1) ^ (which as u64 + 1) << 32;
-    let mut draws = SmallRng::seed_from_u64(seed);
+/// Sends requests one after another on a connection for as long as that stays open, also after SIGTERM.
+async fn run_persistent_client(
+    testbed: Arc<Testbed>,
+    conductor: usize,
+    client: usize,
+    options: RunOptions,
+    end: Instant,
+) {
+    let seed = options.seed ^ (conductor as u64 + 1).wrapping_mul(0x51_7cc1) ^ (client as u64 + 1) << 32;
+    let mut rng = SmallRng::seed_from_u64(seed);
     let mut stream = None;
-    for count in 0.. {
-        sleep(Duration::from_millis(draws.random_range(0..REGULAR_PAUSE_MS))).await;
+    for request_index in 0.. {
+        sleep(Duration::from_millis(rng.random_range(0..MAX_CLIENT_PAUSE_MS))).await;
         if Instant::now() >= end {
             return;
         }
-        let ask = Ask {
-            id: format!("{}-{nth}-regular-{which}-{count}", options.seed),
-            conductor: nth,
-            to: world.conductors[nth].listen,
-            fragile: draws.random_range(0..3) == 0,
-            budget: draws.random_range(Duration::from_millis(400)..options.limits().deadline),
-            manner: Manner::Waits,
+        let request = ClientRequest {
+            id: format!("{}-{conductor}-regular-{client}-{request_index}", options.seed),
+            conductor,
+            address: testbed.conductors[conductor].listen,
+            is_fragile: rng.random_range(0..3) == 0,
+            budget: rng.random_range(Duration::from_millis(400)..options.limits().max_deadline),
+            behavior: ClientBehavior::Waits,
         };
-        let new = stream.is_none();
+        let is_new = stream.is_none();
         let mut connection = match stream.take() {
-            Some(open) => open,
-            // Nobody listens where a process has just ended.
-            None => match TcpStream::connect(ask.to).await {
-                Ok(connected) => connected,
+            Some(open_connection) => open_connection,
+            // Nothing listens where a process has just ended.
+            None => match TcpStream::connect(request.address).await {
+                Ok(new_connection) => new_connection,
                 Err(_) => continue,
             },
         };
-        if ask.run_on(&mut connection, new, &world.oracle).await {
+        if request.send_on(&mut connection, is_new, &testbed.oracle).await {
             stream = Some(connection);
         }
     }
 }
 
-/// Plays one seed.
-pub async fn run(options: Options) -> std::io::Result<Outcome> {
-    let world = Arc::new(World::start(&options).await?);
+/// Runs the soak for one seed.
+pub async fn run_soak(options: RunOptions) -> std::io::Result<RunOutcome> {
+    let testbed = Arc::new(Testbed::start(&options).await?);
     let mut starting = JoinSet::new();
-    for nth in 0..options.conductors {
-        let world = world.clone();
+    for conductor in 0..options.conductors {
+        let testbed = testbed.clone();
         starting.spawn(async move {
-            let process = world.start_process(nth).await;
-            *world.conductors[nth].process.lock().await = process;
+            let process = testbed.start_process(conductor).await;
+            *testbed.conductors[conductor].process.lock().await = process;
         });
     }
     starting.join_all().await;
-    let begin = Instant::now();
-    let mut asking = JoinSet::new();
-    for nth in 0..options.conductors {
-        let end = begin + options.length;
-        asking.spawn(clients(world.clone(), nth, options.clone(), end));
-        for which in 0..REGULARS {
-            asking.spawn(regular_client(world.clone(), nth, which, options.clone(), end));
+    let start = Instant::now();
+    let mut clients = JoinSet::new();
+    for conductor in 0..options.conductors {
+        let end = start + options.duration;
+        clients.spawn(run_open_loop_clients(testbed.clone(), conductor, options.clone(), end));
+        for client in 0..PERSISTENT_CLIENTS {
+            clients.spawn(run_persistent_client(testbed.clone(), conductor, client, options.clone(), end));
         }
     }
-    let (mut troubles, mut counts) = (JoinSet::new(), BTreeMap::new());
-    for event in options.plan.events(options.seed, options.length) {
-        sleep_until((begin + event.at).into()).await;
-        for nth in 0..options.conductors {
-            world.check_alive(nth).await;
+    let (mut faults, mut fault_counts) = (JoinSet::new(), BTreeMap::new());
+    for fault in options.plan.schedule(options.seed, options.duration) {
+        sleep_until((start + fault.start).into()).await;
+        for conductor in 0..options.conductors {
+            testbed.check_alive(conductor).await;
         }
-        *counts.entry(format!("{:?}", event.trouble)).or_default() += 1;
-        let world = world.clone();
-        let mut draws = SmallRng::seed_from_u64(options.seed ^ event.whom as u64);
-        troubles.spawn(async move { world.strike(event, &mut draws).await });
+        *fault_counts.entry(format!("{:?}", fault.kind)).or_default() += 1;
+        let testbed = testbed.clone();
+        let mut rng = SmallRng::seed_from_u64(options.seed ^ fault.target_draw as u64);
+        faults.spawn(async move { testbed.inject(fault, &mut rng).await });
     }
-    troubles.join_all().await;
-    asking.join_all().await;
-    for (nth, conductor) in world.conductors.iter().enumerate() {
-        world.check_alive(nth).await;
+    faults.join_all().await;
+    clients.join_all().await;
+    for (index, conductor) in testbed.conductors.iter().enumerate() {
+        testbed.check_alive(index).await;
         let Some(process) = conductor.process.lock().await.take() else { continue };
-        if let Some(violations @ 1..) = process.violations().await {
-            world.oracle.violation(format!("invariant: conductor {nth} counted {violations} of its own"));
+        if let Some(violations @ 1..) = process.count_violations().await {
+            testbed
+                .oracle
+                .record_violation(format!("invariant: conductor {index} counted {violations} of its own"));
         }
-        world.end(nth, process).await;
+        testbed.shut_down(index, process).await;
     }
-    let fired = lock(&world.fired);
-    let fired = COUNTERS.iter().copied().zip(fired.iter().copied()).collect();
-    Ok(Outcome { report: world.oracle.report(), troubles: counts, fired })
+    let shim_counts = lock(&testbed.shim_counts);
+    let shim_counts = COUNTERS.iter().copied().zip(shim_counts.iter().copied()).collect();
+    Ok(RunOutcome { report: testbed.oracle.report(), fault_counts, shim_counts })
 }
--- a/standins/src/ledger.rs
+++ b/standins/src/ledger.rs
@@ -1,6 +1,6 @@
-//! Stand-in servers that keep one account for all of a fleet: what was held for each request, for how long
-//! nobody had taken it or let it go, and how often a writer ran it. What conductors did is counted here, not
-//! asked of them.
+//! Stub servers that record, in one ledger for a whole fleet, how long the KV cache of each request waited to
+//! be claimed or released, and how often a decode server ran the request. Tests judge conductors by this
+//! ledger, not by what conductors report.
 
 use std::collections::HashMap;
 use std::io;
@@ -14,91 +14,93 @@
 use tokio::time::{sleep, Instant};
 use tokio_util::task::AbortOnDropHandle;
 
-use crate::http::{answer, serve, turned_away, Body};
+use crate::http::{rejection, response_with, serve, Body};
 
-/// What one request has come to.
+/// What the servers of a fleet have seen of one request.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RequestRecord {
-    /// Since when a state waits that nobody has taken.
+    /// Since when a KV cache is held that is neither claimed nor released.
     pub held_since: Option<Instant>,
-    /// The longest that one waited.
+    /// The longest that one was held.
     pub longest_hold: Duration,
-    /// How often a writer ran it.
+    /// How often a decode server ran the request.
     pub decode_runs: u32,
 }
 
 impl RequestRecord {
-    /// The state is taken or let go of; false where none was held.
-    fn ends(&mut self) -> bool {
+    /// Ends the hold of the KV cache, as it is claimed or released. Returns false if none was held.
+    fn end_hold(&mut self) -> bool {
         let since = self.held_since.take();
         self.longest_hold = self.longest_hold.max(since.map_or(Duration::ZERO, |at| at.elapsed()));
         since.is_some()
     }
 }
 
-/// The account of a fleet; clones share it.
+/// The records of a fleet's requests, by id. Clones share them.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger(Arc<Mutex<HashMap<RequestId, RequestRecord>>>);
 
 impl Ledger {
-    fn with<T>(&self, id: &RequestId, f: impl FnOnce(&mut RequestRecord) -> T) -> T {
+    fn update<T>(&self, id: &RequestId, f: impl FnOnce(&mut RequestRecord) -> T) -> T {
         f(self.0.lock().unwrap_or_else(|e| e.into_inner()).entry(id.clone()).or_default())
     }
 
-    /// All requests that reached a server.
+    /// Returns a record for each request that reached a server.
     pub fn records(&self) -> HashMap<RequestId, RequestRecord> {
         self.0.lock().unwrap_or_else(|e| e.into_inner()).clone()
     }
 }
 
-/// A server of the fleet. Dropping it ends it, as a crash would.
+/// A stub server of a fleet. Dropping it closes its connections, as a crash would.
 pub struct StubServer {
-    /// Where conductors send requests.
+    /// Where the server listens for requests of conductors.
     pub http_address: SocketAddr,
     _serving: AbortOnDropHandle<()>,
 }
 
 impl StubServer {
-    /// A reader that takes so long for a prompt.
-    pub async fn start_prefill(ledger: &Ledger, takes: Duration) -> io::Result<Self> {
+    /// Starts a prefill server that answers after `delay`.
+    pub async fn start_prefill(ledger: &Ledger, delay: Duration) -> io::Result<Self> {
         Self::start(ledger, move |ledger, id| async move {
-            sleep(takes).await;
-            ledger.with(&id, |account| account.held_since = Some(Instant::now()));
-            answer(202, false, "{\"cached_tokens\":0}")
+            sleep(delay).await;
+            ledger.update(&id, |record| record.held_since = Some(Instant::now()));
+            response_with(202, false, "{\"cached_tokens\":0}")
         })
         .await
     }
 
-    /// A writer that takes so long to its first token; one without the state turns the request away.
-    pub async fn start_decode(ledger: &Ledger, takes: Duration) -> io::Result<Self> {
+    /// Starts a decode server that sends its whole answer after `delay`, and rejects a request whose KV cache
+    /// is not held.
+    pub async fn start_decode(ledger: &Ledger, delay: Duration) -> io::Result<Self> {
         Self::start(ledger, move |ledger, id| async move {
-            let there = ledger.with(&id, |account| {
-                let there = account.ends();
-                account.decode_runs += u32::from(there);
-                there
+            let was_held = ledger.update(&id, |record| {
+                let was_held = record.end_hold();
+                record.decode_runs += u32::from(was_held);
+                was_held
             });
-            if !there {
-                return turned_away(410);
+            if !was_held {
+                return rejection(410);
             }
-            sleep(takes).await;
-            let mut response = answer(200, false, "data: {\"choices\":[]}\n\ndata: [DONE]\n\n");
-            let kind = hyper::header::HeaderValue::from_static("text/event-stream");
-            response.headers_mut().insert("content-type", kind);
+            sleep(delay).await;
+            let mut response = response_with(200, false, "data: {\"choices\":[]}\n\ndata: [DONE]\n\n");
+            let content_type = hyper::header::HeaderValue::from_static("text/event-stream");
+            response.headers_mut().insert("content-type", content_type);
             response
         })
         .await
     }
 
-    async fn start<F, R>(ledger: &Ledger, does: F) -> io::Result<Self>
+    async fn start<F, R>(ledger: &Ledger, handle_request: F) -> io::Result<Self>
     where
         F: Fn(Ledger, RequestId) -> R + Clone + Send + Sync + 'static,
         R: std::future::Future<Output = Response<Body>> + Send + 'static,
     {
-        let (here, books) = (ledger.clone(), ledger.clone());
-        let lets_go = move |id: &RequestId| {
-            here.with(id, RequestRecord::ends);
+        let (release_ledger, request_ledger) = (ledger.clone(), ledger.clone());
+        let release_kv_cache = move |id: &RequestId| {
+            release_ledger.update(id, RequestRecord::end_hold);
         };
-        let (http_address, serving) = serve(lets_go, move |id, _: Bytes| does(books.clone(), id)).await?;
+        let (http_address, serving) =
+            serve(release_kv_cache, move |id, _: Bytes| handle_request(request_ledger.clone(), id)).await?;
         Ok(StubServer { http_address, _serving: serving })
     }
 }
--- a/standins/src/split.rs
+++ b/standins/src/split.rs
@@ -1,6 +1,6 @@
-//! Stand-in servers whose state really moves: a reader that makes a state from the prompt and holds it in a
-//! transfer node, and a writer that fetches it and answers with what it finds in it. Both speak the
-//! platform's protocol to the conductor.
+//! Stub servers between which KV caches really move: a prefill server computes one from the prompt and holds
+//! it in a transfer node, and a decode server fetches it and answers with tokens computed from its bytes.
+//! Both speak the platform's protocol to the conductor.
 
 use std::convert::Infallible;
 use std::io;
@@ -19,16 +19,16 @@
 use tokio::time::sleep;
 use tokio_util::task::AbortOnDropHandle;
 
-use crate::http::{answer, any, serve, turned_away, Body};
+use crate::http::{any_loopback_port, rejection, response_with, serve, Body};
 
-/// The state that a reader makes of a prompt: so many bytes, which depend on all of it.
-pub fn kv_cache_of(prompt: &[u8], length: usize) -> Bytes {
-    let mut state = vec![0; length];
-    blake3::Hasher::new().update(prompt).finalize_xof().fill(&mut state);
-    state.into()
+/// Computes the KV cache of a prompt; its bytes depend on the whole prompt.
+pub fn kv_cache_of(prompt: &[u8], kv_cache_bytes: usize) -> Bytes {
+    let mut kv_cache = vec![0; kv_cache_bytes];
+    blake3::Hasher::new().update(prompt).finalize_xof().fill(&mut kv_cache);
+    kv_cache.into()
 }
 
-/// The tokens that a writer finds in a state: they depend on all of its bytes.
+/// Computes the tokens of an answer from the chunks of a KV cache; they depend on all of its bytes.
 pub fn tokens_from<'a>(chunks: impl IntoIterator<Item = &'a Bytes>) -> Vec<String> {
     let mut hasher = blake3::Hasher::new();
     for chunk in chunks {
@@ -38,99 +38,100 @@
     hex.as_bytes().chunks(8).map(|token| String::from_utf8_lossy(token).into_owned()).collect()
 }
 
-/// A stand-in reader. Dropping it ends it, as a crash would.
+/// A stub prefill server. Dropping it closes its connections, as a crash would.
 pub struct PrefillServer {
-    /// Where conductors send prompts.
+    /// Where the server listens for requests of conductors.
     pub http_address: SocketAddr,
-    /// Where writers fetch states.
+    /// Where decode servers fetch KV caches.
     pub transfer_address: SocketAddr,
-    /// What holds them.
+    /// The transfer node that holds the KV caches.
     pub node: Arc<Node>,
     _serving: AbortOnDropHandle<()>,
 }
 
 impl PrefillServer {
-    /// Makes states of so many bytes, and takes so long for it.
+    /// Starts a server that computes KV caches of `kv_cache_bytes`, each in `prefill_time`.
     pub async fn start(
         config: Config,
         incarnation: u64,
-        length: usize,
-        takes: Duration,
+        kv_cache_bytes: usize,
+        prefill_time: Duration,
         log: Logger,
     ) -> io::Result<Self> {
         let node = Arc::new(Node::new(config, incarnation, log));
-        let transfer_address = node.listen(any()).await?;
-        let read = {
+        let transfer_address = node.listen(any_loopback_port()).await?;
+        let handle_prefill = {
             let node = node.clone();
-            move |id, prompt| read(node.clone(), id, prompt, length, takes)
+            move |id, prompt| prefill(node.clone(), id, prompt, kv_cache_bytes, prefill_time)
         };
-        let (http_address, serving) = serve(releases(&node), read).await?;
+        let (http_address, serving) = serve(release_handler(&node), handle_prefill).await?;
         Ok(PrefillServer { http_address, transfer_address, node, _serving: serving })
     }
 }
 
-async fn read(
+async fn prefill(
     node: Arc<Node>,
     id: RequestId,
     prompt: Bytes,
-    length: usize,
-    takes: Duration,
+    kv_cache_bytes: usize,
+    prefill_time: Duration,
 ) -> Response<Body> {
-    let Ok(reading) = node.begin_prefill(id) else { return turned_away(503) };
-    sleep(takes).await;
-    match reading.store(kv_cache_of(&prompt, length)).await {
-        Ok(()) => answer(202, false, "{\"cached_tokens\":0}"),
-        Err(_) => answer(500, false, ""),
+    let Ok(pending) = node.begin_prefill(id) else { return rejection(503) };
+    sleep(prefill_time).await;
+    match pending.store(kv_cache_of(&prompt, kv_cache_bytes)).await {
+        Ok(()) => response_with(202, false, "{\"cached_tokens\":0}"),
+        Err(_) => response_with(500, false, ""),
     }
 }
 
-/// A stand-in writer. Dropping it ends it.
+/// A stub decode server. Dropping it closes its connections, as a crash would.
 pub struct DecodeServer {
-    /// Where conductors send requests.
+    /// Where the server listens for requests of conductors.
     pub http_address: SocketAddr,
-    /// What fetches their states.
+    /// The transfer node that fetches KV caches.
     pub node: Arc<Node>,
     _serving: AbortOnDropHandle<()>,
 }
 
 impl DecodeServer {
-    /// Fetches states from these nodes, and says a token so often.
+    /// Starts a server that fetches KV caches from the transfer nodes at `sources`, and streams a token every
+    /// `token_interval`.
     pub async fn start(
         config: Config,
         incarnation: u64,
-        readers: Vec<SocketAddr>,
-        token: Duration,
+        sources: Vec<SocketAddr>,
+        token_interval: Duration,
         log: Logger,
     ) -> io::Result<Self> {
         let node = Arc::new(Node::new(config, incarnation, log));
-        let readers = Arc::new(readers);
-        let write = {
+        let sources = Arc::new(sources);
+        let handle_decode = {
             let node = node.clone();
             move |id, _| {
-                let (node, readers) = (node.clone(), readers.clone());
+                let (node, sources) = (node.clone(), sources.clone());
                 async move {
-                    match node.fetch(&id, &readers, None).await {
-                        Ok(state) => stream_of(state, token),
-                        Err(_) => turned_away(410),
+                    match node.fetch(&id, &sources, None).await {
+                        Ok(kv_cache) => stream_response(kv_cache, token_interval),
+                        Err(_) => rejection(410),
                     }
                 }
             }
         };
-        let (http_address, serving) = serve(releases(&node), write).await?;
+        let (http_address, serving) = serve(release_handler(&node), handle_decode).await?;
         Ok(DecodeServer { http_address, node, _serving: serving })
     }
 }
 
-/// The stream of an answer; the state is held until its end.
-fn stream_of(state: ReceivedCache, every: Duration) -> Response<Body> {
-    let tokens = tokens_from(state.chunks());
+/// Streams the answer; the KV cache is held until the end of the stream.
+fn stream_response(kv_cache: ReceivedCache, interval: Duration) -> Response<Body> {
+    let tokens = tokens_from(kv_cache.chunks());
     let events = tokens.iter().map(|token| {
         let choice = format!("{{\"index\":0,\"delta\":{{\"content\":\"{token}\"}},\"finish_reason\":null}}");
         format!("data: {{\"choices\":[{choice}]}}\n\n")
     });
     let usage = format!("data: {{\"choices\":[],\"usage\":{{\"completion_tokens\":{}}}}}\n\n", tokens.len());
-    let all: Vec<String> = events.chain([usage, "data: [DONE]\n\n".to_string()]).collect();
-    let body = StreamBody::new(paced(all, every, state)).boxed();
+    let frames: Vec<String> = events.chain([usage, "data: [DONE]\n\n".to_string()]).collect();
+    let body = StreamBody::new(paced_events(frames, interval, kv_cache)).boxed();
     let mut response = Response::new(body);
     response
         .headers_mut()
@@ -138,22 +139,25 @@
     response
 }
 
-fn paced(
+fn paced_events(
     events: Vec<String>,
-    every: Duration,
-    state: ReceivedCache,
+    interval: Duration,
+    kv_cache: ReceivedCache,
 ) -> impl Stream<Item = Result<Frame<Bytes>, Infallible>> + Send + Sync {
-    stream::unfold((events.into_iter(), false, state), move |(mut events, begun, state)| async move {
-        let event = events.next()?;
-        if begun {
-            sleep(every).await;
-        }
-        Some((Ok(Frame::data(Bytes::from(event))), (events, true, state)))
-    })
+    stream::unfold(
+        (events.into_iter(), false, kv_cache),
+        move |(mut events, has_begun, kv_cache)| async move {
+            let event = events.next()?;
+            if has_begun {
+                sleep(interval).await;
+            }
+            Some((Ok(Frame::data(Bytes::from(event))), (events, true, kv_cache)))
+        },
+    )
 }
 
-/// What the call that lets go of a state does at a server with this node.
-fn releases(node: &Arc<Node>) -> impl Fn(&RequestId) + Clone + Send + Sync + 'static {
+/// Returns what a server with this node does when a conductor releases a KV cache.
+fn release_handler(node: &Arc<Node>) -> impl Fn(&RequestId) + Clone + Send + Sync + 'static {
     let node = node.clone();
     move |id| node.release_unclaimed(id)
 }
