--- a/core/src/answer_stream.rs
+++ b/core/src/answer_stream.rs
@@ -97,7 +97,7 @@
     }
 
     /// True once the end, good or bad, has been given.
-    pub fn is_over(&self) -> bool {
+    pub fn is_finished(&self) -> bool {
         self.entry.is_none()
     }
 }
--- a/core/src/conductor.rs
+++ b/core/src/conductor.rs
@@ -47,7 +47,7 @@
     /// Instances that operators have taken out of use before.
     pub excluded: Vec<Id>,
     /// What is counted.
-    pub figures: Metrics,
+    pub metrics: Metrics,
     /// What the process before has learned, and how long ago it said so.
     pub inherited: Option<(InheritedState, Duration)>,
     /// The log.
@@ -67,7 +67,7 @@
     pub(crate) releases: Arc<Releases<B>>,
     pub(crate) exclusions: Arc<Mutex<Exclusions>>,
     pub(crate) admissions: Admissions,
-    pub(crate) figures: Metrics,
+    pub(crate) metrics: Metrics,
 }
 
 impl<B> Clone for Conductor<B> {
@@ -83,7 +83,7 @@
             releases: self.releases.clone(),
             exclusions: self.exclusions.clone(),
             admissions: self.admissions.clone(),
-            figures: self.figures.clone(),
+            metrics: self.metrics.clone(),
         }
     }
 }
@@ -100,7 +100,7 @@
 
     /// A front has refused a request of this class by itself.
     pub fn count_refused(&self, class: &str) {
-        self.figures.open(class).deferred();
+        self.metrics.open(class).deferred();
     }
 
     /// Whether there is a member to send to.
--- a/core/src/dispatcher.rs
+++ b/core/src/dispatcher.rs
@@ -52,11 +52,11 @@
         upstream,
         members,
         excluded,
-        figures,
+        metrics,
         inherited: learned,
         log,
     } = parts;
-    figures.add_classes(&settings);
+    metrics.add_classes(&settings);
     let (sender, receiver) = commands(clock);
     let (able_tx, able) = watch::channel(false);
     let admissions = Admissions::default();
@@ -79,7 +79,7 @@
         releases: releases.clone(),
         exclusions: exclusions.clone(),
         admissions: admissions.clone(),
-        figures: figures.clone(),
+        metrics: metrics.clone(),
         read_figures_at: 0,
         tell_lag_at: 0,
         pending_snapshot,
@@ -106,7 +106,7 @@
         releases,
         exclusions,
         admissions,
-        figures,
+        metrics,
     }
 }
 
@@ -125,12 +125,12 @@
     async fn run<M: MembershipSource>(self, mut members: M) {
         while let Some(news) = members.next().await {
             let Some(commands) = self.commands.upgrade() else { return };
-            let up = self.releases.members(news.form, &news.entries);
-            info!(self.log, "members"; "form" => ?news.form, "entries" => news.entries.len(), "up" => up);
+            let up = self.releases.members(news.kind, &news.entries);
+            info!(self.log, "members"; "form" => ?news.kind, "entries" => news.entries.len(), "up" => up);
             let now = self.clock.now();
-            let entries = lock(&self.exclusions).news(now, news.form, &news.entries);
-            self.admissions.follow(news.form, &entries);
-            commands.send(Command::Members(news.form, entries));
+            let entries = lock(&self.exclusions).news(now, news.kind, &news.entries);
+            self.admissions.follow(news.kind, &entries);
+            commands.send(Command::Members(news.kind, entries));
         }
     }
 }
@@ -156,7 +156,7 @@
     releases: Arc<Releases<B>>,
     exclusions: Arc<Mutex<Exclusions>>,
     admissions: Admissions,
-    figures: Metrics,
+    metrics: Metrics,
     /// When figures are read next.
     read_figures_at: Micros,
     /// When the log is told next that commands wait.
@@ -197,7 +197,7 @@
                         self.note_lag(&taken);
                         self.take(command);
                         let took = begin.elapsed();
-                        self.figures.decided(took);
+                        self.metrics.decided(took);
                         taken.done(took);
                         took
                     }
@@ -217,7 +217,7 @@
         }
         self.read_figures_at = now + READ_FIGURES_EVERY;
         let backlog = commands.backlog();
-        self.figures.set_backlog(backlog.waiting(), Duration::from_micros(backlog.age(now)));
+        self.metrics.set_backlog(backlog.waiting(), Duration::from_micros(backlog.age(now)));
         self.read_figures();
     }
 
@@ -225,7 +225,7 @@
     fn note_lag(&mut self, taken: &Taken) {
         let now = self.clock.now();
         let age = now.saturating_sub(taken.sent_at());
-        self.figures.waited(Duration::from_micros(age));
+        self.metrics.waited(Duration::from_micros(age));
         if age > LAG_TOLD && now >= self.tell_lag_at {
             self.tell_lag_at = now + LAG_TOLD_EVERY;
             let open = self.open.len();
@@ -305,7 +305,7 @@
 
     fn reconfigure(&mut self, now: Micros, settings: &Settings) -> Decisions {
         self.releases.set_within(Duration::from_micros(settings.cache_release_timeout));
-        self.figures.add_classes(settings);
+        self.metrics.add_classes(settings);
         lock(&self.exclusions).set_warm_within(settings.slow_start_duration);
         self.facade.reconfigure(now, settings.clone())
     }
@@ -324,8 +324,8 @@
     fn read_figures(&self) {
         let listed = self.releases.count();
         let avoided = listed.saturating_sub(self.facade.usable_servers());
-        self.figures.cluster_size.set(listed as i64);
-        self.figures.cluster_unhealthy.set(avoided as i64);
+        self.metrics.cluster_size.set(listed as i64);
+        self.metrics.cluster_unhealthy.set(avoided as i64);
     }
 
     fn members(&mut self, now: Micros, form: ListUpdateKind, entries: Vec<ServerEntry>) -> Decisions {
@@ -344,7 +344,7 @@
         }
         for (id, violation) in verdicts.violations {
             warn!(self.log, "withheld, as it would break a rule"; "id" => %id, "rule" => %violation);
-            self.figures.violated(violation);
+            self.metrics.violated(violation);
         }
         for server in verdicts.probes {
             self.probe(server);
@@ -370,10 +370,10 @@
                 cleanup.sent(server);
                 after = no_server_heard.then(|| cleanup.end()).flatten();
                 if let Some(last) = open.last.filter(|last| *last != Outcome::PrefillDone) {
-                    self.figures.retried(last);
+                    self.metrics.retried(last);
                 }
             }
-            Decision::Refuse { .. } => self.figures.refused(open.last),
+            Decision::Refuse { .. } => self.metrics.refused(open.last),
             _ => {}
         }
         // A request that has just gone says so itself, in a command that lies in the queue.
@@ -384,7 +384,7 @@
         let (server, started) = (server.clone(), self.facade.server_started(server));
         let (deadline, ended) = (open.deadline, open.ended.clone());
         let conditions = Conditions { server, started, send_by, deadline, ended };
-        self.admissions.permit(conditions, self.clock, self.figures.clone())
+        self.admissions.permit(conditions, self.clock, self.metrics.clone())
     }
 
     fn probe(&self, server: Id) {
--- a/core/src/metrics.rs
+++ b/core/src/metrics.rs
@@ -119,7 +119,7 @@
     }
 
     /// All of them as text.
-    pub fn text(&self) -> prometheus::Result<String> {
+    pub fn encode_text(&self) -> prometheus::Result<String> {
         let mut text = Vec::new();
         let figures = {
             let _moving = lock(&self.moving);
--- a/core/src/permit.rs
+++ b/core/src/permit.rs
@@ -75,8 +75,8 @@
     }
 
     /// Leave for an attempt under these conditions.
-    pub(crate) fn permit(&self, conditions: Conditions, clock: Clock, figures: Metrics) -> SendPermit {
-        SendPermit(Some(Arc::new(Permit { admissions: self.clone(), conditions, clock, figures })))
+    pub(crate) fn permit(&self, conditions: Conditions, clock: Clock, metrics: Metrics) -> SendPermit {
+        SendPermit(Some(Arc::new(Permit { admissions: self.clone(), conditions, clock, metrics })))
     }
 }
 
@@ -102,7 +102,7 @@
     admissions: Admissions,
     conditions: Conditions,
     clock: Clock,
-    figures: Metrics,
+    metrics: Metrics,
 }
 
 impl std::fmt::Debug for SendPermit {
@@ -124,7 +124,7 @@
     /// and its server is not to blame.
     pub fn check(&self) -> Result<(), WithheldReason> {
         let Some(permit) = &self.0 else { return Ok(()) };
-        permit.check().inspect_err(|withheld| permit.figures.withheld(*withheld))
+        permit.check().inspect_err(|withheld| permit.metrics.withheld(*withheld))
     }
 }
 
--- a/core/src/request.rs
+++ b/core/src/request.rs
@@ -41,12 +41,12 @@
         /// How long the client should stay away; zero for no advice.
         retry_after: Duration,
         /// How the last attempt had ended, if there was one.
-        last: Option<Outcome>,
+        last_outcome: Option<Outcome>,
     },
     /// Failed: it may have run.
     Failed {
         /// The last outcome, if there was one.
-        last: Option<Outcome>,
+        last_outcome: Option<Outcome>,
     },
 }
 
@@ -66,7 +66,7 @@
     /// What is held is let go after this time.
     release_within: Duration,
     run: ExecutionRecord,
-    last: Option<Outcome>,
+    last_outcome: Option<Outcome>,
 }
 
 /// An attempt as it has been decided.
@@ -130,14 +130,14 @@
     }
 
     /// The final answer without a decision, and without a look at where others stand.
-    fn overdue<E: EventStream>(&mut self, figures: &Metrics) -> Answer<E> {
+    fn overdue<E: EventStream>(&mut self, metrics: &Metrics) -> Answer<E> {
         let refused = self.run.may_be_refused();
-        figures.overdue(refused);
+        metrics.overdue(refused);
         if refused {
             self.entry.account.deferred();
-            return Answer::Refused { retry_after: Duration::ZERO, last: self.last };
+            return Answer::Refused { retry_after: Duration::ZERO, last_outcome: self.last_outcome };
         }
-        Answer::Failed { last: self.last }
+        Answer::Failed { last_outcome: self.last_outcome }
     }
 }
 
@@ -162,8 +162,8 @@
         loop {
             let order = match next {
                 Ok(Some(order)) => order,
-                Ok(None) => return Ok(Answer::Failed { last: open.last }),
-                Err(Overdue) => return Ok(open.overdue(&self.figures)),
+                Ok(None) => return Ok(Answer::Failed { last_outcome: open.last_outcome }),
+                Err(Overdue) => return Ok(open.overdue(&self.metrics)),
             };
             let Order { verdict, after, permit, takes_effect } = order;
             next = match verdict {
@@ -181,9 +181,9 @@
                 Decision::Refuse { retry_after } => {
                     open.entry.account.deferred();
                     let retry_after = Duration::from_micros(retry_after);
-                    return Ok(Answer::Refused { retry_after, last: open.last });
+                    return Ok(Answer::Refused { retry_after, last_outcome: open.last_outcome });
                 }
-                Decision::Fail => return Ok(Answer::Failed { last: open.last }),
+                Decision::Fail => return Ok(Answer::Failed { last_outcome: open.last_outcome }),
                 // Nothing is out, nothing runs; the dispatcher sees to releases itself.
                 Decision::Cancel | Decision::Move | Decision::Release => open.order().await,
             };
@@ -191,10 +191,10 @@
     }
 
     fn refuse_at_the_door(&self, query: &Query) -> Answer<B::Events> {
-        self.figures.open(&query.class.name).deferred();
-        self.figures.refused_at_the_door();
+        self.metrics.open(&query.class.name).deferred();
+        self.metrics.refused_at_the_door();
         let retry_after = admission::retry_after(self.settings.borrow().max_retry_after, query);
-        Answer::Refused { retry_after: Duration::from_micros(retry_after), last: None }
+        Answer::Refused { retry_after: Duration::from_micros(retry_after), last_outcome: None }
     }
 
     /// Tells the dispatcher of a request.
@@ -207,7 +207,7 @@
             ticket,
             orders,
             commands: self.commands.clone(),
-            account: self.figures.open(&query.class.name),
+            account: self.metrics.open(&query.class.name),
             ended: ended.clone(),
             cleanup: cleanup.clone(),
             releaser: self.releases.clone(),
@@ -223,7 +223,7 @@
             answer_by: Instant::now() + within,
             release_within: Duration::from_micros(release),
             run: ExecutionRecord::new(&query),
-            last: None,
+            last_outcome: None,
         };
         let deadline = arrived.saturating_add(query.budget);
         let new = NewRequest { query, ticket, arrived, deadline, orders: to_entry, ended, cleanup };
@@ -307,14 +307,14 @@
                 lock(&entry.cleanup).call_off();
                 entry.cache.prefilled(Instant::now());
                 entry.ended(outcome, cached_tokens, load);
-                open.last = Some(outcome);
+                open.last_outcome = Some(outcome);
                 Next::Again
             }
             AttemptReply::Ended(_, load) => {
                 lock(&entry.cleanup).left_something();
                 entry.cache.attempt_ended(outcome, !takes_effect, Instant::now());
                 entry.ended(outcome, 0, load);
-                open.last = Some(outcome);
+                open.last_outcome = Some(outcome);
                 Next::Again
             }
         }
--- a/core/src/traits.rs
+++ b/core/src/traits.rs
@@ -82,7 +82,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct MembershipUpdate {
     /// What kind of news.
-    pub form: ListUpdateKind,
+    pub kind: ListUpdateKind,
     /// The lines.
     pub entries: Vec<ServerEntry>,
 }
--- a/core/tests/held.rs
+++ b/core/tests/held.rs
@@ -195,12 +195,12 @@
     let conductor = start(ConductorParts {
         excluded: Vec::new(),
         inherited: None,
-        figures: Metrics::new().unwrap(),
+        metrics: Metrics::new().unwrap(),
         settings,
         seed: 7,
         clock: Clock::new(),
         upstream: Arc::new(table.clone()),
-        members: Fixed(Some(MembershipUpdate { form: ListUpdateKind::Full, entries })),
+        members: Fixed(Some(MembershipUpdate { kind: ListUpdateKind::Full, entries })),
         log: slog::Logger::root(slog::Discard, slog::o!()),
     });
     sleep(Duration::from_millis(15)).await;
--- a/core/tests/model.rs
+++ b/core/tests/model.rs
@@ -221,12 +221,12 @@
     start(ConductorParts {
         excluded: Vec::new(),
         inherited: None,
-        figures: Metrics::new().unwrap(),
+        metrics: Metrics::new().unwrap(),
         settings: settings(),
         seed: 7,
         clock: Clock::new(),
         upstream: Arc::new(table.clone()),
-        members: Fixed(Some(MembershipUpdate { form: ListUpdateKind::Full, entries })),
+        members: Fixed(Some(MembershipUpdate { kind: ListUpdateKind::Full, entries })),
         log: slog::Logger::root(slog::Discard, slog::o!()),
     })
 }
@@ -373,7 +373,7 @@
             }
         } else if let Some(events) = &mut stream {
             while let Poll::Ready(Some(Ok(_))) = poll_fn(|cx| Poll::Ready(events.poll_next(cx))).await {}
-            if events.is_over() {
+            if events.is_finished() {
                 stream = None;
             }
         }
--- a/core/tests/permit.rs
+++ b/core/tests/permit.rs
@@ -85,7 +85,7 @@
     let conductor = start(ConductorParts {
         excluded: Vec::new(),
         inherited: None,
-        figures: Metrics::new().unwrap(),
+        metrics: Metrics::new().unwrap(),
         settings,
         seed: 7,
         clock: Clock::new(),
@@ -102,7 +102,7 @@
     news: &mpsc::UnboundedSender<MembershipUpdate>,
 ) -> tokio::task::JoinHandle<()> {
     let entries = vec![entry("r1", 0, Health::Up), entry("r2", 0, Health::Up), entry("w", 1, Health::Up)];
-    news.send(MembershipUpdate { form: ListUpdateKind::Full, entries }).unwrap();
+    news.send(MembershipUpdate { kind: ListUpdateKind::Full, entries }).unwrap();
     sleep(Duration::from_millis(15)).await;
     let conductor = conductor.clone();
     tokio::spawn(async move {
@@ -137,7 +137,7 @@
         sleep(CONNECT_TAKES / 2).await;
         let restarted = |name| ServerEntry { started: 3_600_000_000, ..entry(name, 0, Health::Up) };
         news.send(MembershipUpdate {
-            form: ListUpdateKind::Changes,
+            kind: ListUpdateKind::Changes,
             entries: vec![restarted("r1"), restarted("r2")],
         })
         .unwrap();
@@ -158,7 +158,7 @@
         sleep(Duration::from_millis(30)).await;
         let drained_at = Instant::now();
         let entries = vec![entry("r1", 0, Health::Draining), entry("r2", 0, Health::Draining)];
-        news.send(MembershipUpdate { form: ListUpdateKind::Changes, entries }).unwrap();
+        news.send(MembershipUpdate { kind: ListUpdateKind::Changes, entries }).unwrap();
         sleep(Duration::from_secs(6)).await;
         assert!(answer.is_finished());
         let began = servers.0.lock().unwrap().began.clone();
--- a/core/tests/slow_decisions.rs
+++ b/core/tests/slow_decisions.rs
@@ -121,7 +121,7 @@
     let conductor = start(ConductorParts {
         excluded: Vec::new(),
         inherited: None,
-        figures: Metrics::new().unwrap(),
+        metrics: Metrics::new().unwrap(),
         settings,
         seed: 7,
         clock: Clock::new(),
@@ -131,7 +131,7 @@
     });
     let up = |name| entry(name, usize::from(str::starts_with(name, "w")), Health::Up);
     let entries = ["r1", "r2", "r3", "w1", "w2", "w3"].map(up).to_vec();
-    news.send(MembershipUpdate { form: ListUpdateKind::Full, entries }).unwrap();
+    news.send(MembershipUpdate { kind: ListUpdateKind::Full, entries }).unwrap();
     sleep(Duration::from_millis(50)).await;
     (conductor, news)
 }
@@ -243,7 +243,7 @@
         }
         sleep(Duration::from_millis(5)).await;
         let entries = vec![entry("r1", 0, Health::Draining), entry("w1", 1, Health::Draining)];
-        news.send(MembershipUpdate { form: ListUpdateKind::Changes, entries }).unwrap();
+        news.send(MembershipUpdate { kind: ListUpdateKind::Changes, entries }).unwrap();
         let told = Instant::now();
         asking.join_all().await;
         for (id, seen) in servers.0.lock().unwrap().iter() {
--- a/core/tests/unit/answer_stream.rs
+++ b/core/tests/unit/answer_stream.rs
@@ -99,7 +99,7 @@
         ends.orders.send(order(Decision::Move)).unwrap();
         ends.events.send(event()).unwrap();
         assert_eq!(poll_fn(|cx| stream.poll_next(cx)).await, Some(Err(StreamBroken)), "{before} before");
-        assert!(stream.is_over() && poll_fn(|cx| stream.poll_next(cx)).await.is_none());
+        assert!(stream.is_finished() && poll_fn(|cx| stream.poll_next(cx)).await.is_none());
         assert_eq!(outcomes(&mut ends), [Outcome::Cancelled], "told once");
     }
 }
--- a/daemon/src/command/serve.rs
+++ b/daemon/src/command/serve.rs
@@ -244,7 +244,7 @@
                 upstream,
                 members,
                 excluded,
-                figures,
+                metrics: figures,
                 inherited: learned,
                 log,
             })
@@ -259,7 +259,7 @@
                 upstream,
                 members,
                 excluded,
-                figures,
+                metrics: figures,
                 inherited: learned,
                 log,
             })
--- a/daemon/src/discovery/platform.rs
+++ b/daemon/src/discovery/platform.rs
@@ -141,7 +141,7 @@
                 Err(e) => warn!(self.log, "a member is passed over"; "uid" => target.uid, "why" => %e),
             }
         }
-        let news = MembershipUpdate { form, entries };
+        let news = MembershipUpdate { kind: form, entries };
         if form == ListUpdateKind::Full {
             self.starts.forget_but(&news.entries);
         }
--- a/daemon/src/discovery/xds.rs
+++ b/daemon/src/discovery/xds.rs
@@ -266,7 +266,7 @@
                 Ok(entries) if self.told.as_ref() == Some(&entries) => {}
                 Ok(entries) => {
                     self.told = Some(entries.clone());
-                    let news = MembershipUpdate { form: ListUpdateKind::Full, entries };
+                    let news = MembershipUpdate { kind: ListUpdateKind::Full, entries };
                     self.book.follow(&news);
                     return Some(news);
                 }
--- a/daemon/src/front/body.rs
+++ b/daemon/src/front/body.rs
@@ -43,7 +43,7 @@
     fn is_end_stream(&self) -> bool {
         match self {
             FrontBody::Whole(bytes) => bytes.is_none(),
-            FrontBody::Events(events) => events.is_over(),
+            FrontBody::Events(events) => events.is_finished(),
             // Its end is known only once it has been asked for.
             FrontBody::Chat(_) => false,
         }
--- a/daemon/src/front/chat/mod.rs
+++ b/daemon/src/front/chat/mod.rs
@@ -77,15 +77,17 @@
                 Ok(text) => whole(StatusCode::OK, JSON, text),
                 Err(e) => e.response(),
             },
-            Ok(Answer::Refused { retry_after, last }) => {
-                let reached = self.conductor.is_ready() && last != Some(Outcome::NoConnection);
+            Ok(Answer::Refused { retry_after, last_outcome }) => {
+                let reached = self.conductor.is_ready() && last_outcome != Some(Outcome::NoConnection);
                 let mut refused = ApiError::refused(reached).response();
                 advise(&mut refused, RETRY_AFTER, retry_after, |t| t.as_secs_f64().ceil().to_string());
                 advise(&mut refused, RETRY_AFTER_MS, retry_after, |t| t.as_millis().to_string());
                 refused.headers_mut().insert(SHOULD_RETRY, HeaderValue::from_static("true"));
                 refused
             }
-            Ok(Answer::Failed { last: None | Some(Outcome::NoAnswer) }) => ApiError::TimedOut.response(),
+            Ok(Answer::Failed { last_outcome: None | Some(Outcome::NoAnswer) }) => {
+                ApiError::TimedOut.response()
+            }
             Ok(Answer::Failed { .. }) => ApiError::HttpUpstream.response(),
             Err(CallError::IdInUse) => return Err(InputError::IdInUse.into()),
         };
--- a/daemon/src/ops/conductor.rs
+++ b/daemon/src/ops/conductor.rs
@@ -38,7 +38,7 @@
     }
 
     fn telemetry(&self) -> Result<String, CallError> {
-        Ok(self.figures.text()?)
+        Ok(self.figures.encode_text()?)
     }
 
     fn exclude(&self, id: &Id) -> Result<(), CallError> {
--- a/daemon/src/upstream/mod.rs
+++ b/daemon/src/upstream/mod.rs
@@ -68,7 +68,7 @@
     /// Follows the list of members: what has left it is forgotten after a while.
     pub fn follow(&self, news: &MembershipUpdate) {
         let (now, mut book) = (Instant::now(), lock(&self.0));
-        if matches!(news.form, ListUpdateKind::Full | ListUpdateKind::StaleCopy) {
+        if matches!(news.kind, ListUpdateKind::Full | ListUpdateKind::StaleCopy) {
             book.values_mut().for_each(|entry| entry.gone = entry.gone.or(Some(now)));
         }
         for member in &news.entries {
--- a/daemon/tests/discovery.rs
+++ b/daemon/tests/discovery.rs
@@ -73,13 +73,13 @@
         log(),
     );
     let first = list.next().await.unwrap();
-    assert_eq!((first.form, states(&first)), (ListUpdateKind::StaleCopy, vec![("a", Health::Up)]));
+    assert_eq!((first.kind, states(&first)), (ListUpdateKind::StaleCopy, vec![("a", Health::Up)]));
     assert_eq!((first.entries[0].kind, first.entries[0].rack, first.entries[0].started), (1, 3, 0));
     let second = list.next().await.unwrap();
-    assert_eq!((second.form, states(&second)), (ListUpdateKind::Changes, vec![("a", Health::Draining)]));
+    assert_eq!((second.kind, states(&second)), (ListUpdateKind::Changes, vec![("a", Health::Draining)]));
     assert_eq!(book.get(&Id::from("a")), Some(([127, 0, 0, 1], 7).into()), "its address has moved");
     let third = list.next().await.unwrap();
-    assert_eq!((third.form, third.entries.len()), (ListUpdateKind::Full, 0));
+    assert_eq!((third.kind, third.entries.len()), (ListUpdateKind::Full, 0));
     let watched = |rev: u32| format!("GET /catalog/members?stream=1&index={rev} HTTP/1.1");
     let lines: Vec<String> = agent.got.lock().unwrap().iter().map(|g| g.line.clone()).collect();
     assert_eq!(lines, [watched(7), watched(8), watched(8)]);
@@ -96,9 +96,9 @@
     let book = Arc::new(AddressTable::default());
     let mut list =
         Discovery::new(at, known("decode", 0), Backoff::new(2, 7), names(), Clock::new(), book, log());
-    let mut forms = vec![list.next().await.unwrap().form, list.next().await.unwrap().form];
+    let mut forms = vec![list.next().await.unwrap().kind, list.next().await.unwrap().kind];
     address.send(told_agent(new.address)).unwrap();
-    forms.extend([list.next().await.unwrap().form, list.next().await.unwrap().form]);
+    forms.extend([list.next().await.unwrap().kind, list.next().await.unwrap().kind]);
     assert_eq!(
         forms,
         [ListUpdateKind::StaleCopy, ListUpdateKind::Changes, ListUpdateKind::Full, ListUpdateKind::Changes]
@@ -123,12 +123,12 @@
     let mut list = Discovery::new(at, known("decode", 0), backoff, names(), Clock::new(), book, log());
     let mut forms = Vec::new();
     for _ in 0..3 {
-        forms.push(timeout(LATEST, list.next()).await.expect("a list in time").unwrap().form);
+        forms.push(timeout(LATEST, list.next()).await.expect("a list in time").unwrap().kind);
     }
     assert_eq!(forms, [ListUpdateKind::StaleCopy, ListUpdateKind::Full, ListUpdateKind::Changes]);
     address.send(told_agent(moved.address)).unwrap();
     let whole = timeout(LATEST, list.next()).await.expect("a list in time").unwrap();
-    assert_eq!((whole.form, whole.entries.len()), (ListUpdateKind::Full, 0));
+    assert_eq!((whole.kind, whole.entries.len()), (ListUpdateKind::Full, 0));
     assert_eq!(agent.posts().len() + agent.got.lock().unwrap().len(), 1, "one watch has brought all");
 }
 
@@ -220,7 +220,7 @@
     new.next(Does::Says(200, false, "{\"rev\":2,\"all\":true,\"targets\":[]}"));
     let (address, at) = watch::channel(told_agent(old.address));
     let mut list = started(at, 3).await;
-    let moved = tokio::spawn(async move { list.next().await.unwrap().form });
+    let moved = tokio::spawn(async move { list.next().await.unwrap().kind });
     // By then its waits have grown.
     while old.got.lock().unwrap().len() < 3 {
         tokio::time::sleep(Duration::from_millis(20)).await;
@@ -257,7 +257,7 @@
             started: 0,
             health: *health,
         };
-        MembershipUpdate { form, entries: members.iter().map(entry).collect() }
+        MembershipUpdate { kind: form, entries: members.iter().map(entry).collect() }
     };
     for name in ["a", "b", "c"] {
         book.set(Id::from(name), ([127, 0, 0, 1], 1).into());
@@ -313,7 +313,7 @@
     let mut list = Xds::new(config, "n1".into(), names(), Clock::new(), book.clone(), log());
     let first = list.next().await.unwrap();
     let up = [("127.0.0.1:11", Health::Up), ("127.0.0.1:12", Health::Up), ("w", Health::Up)];
-    assert_eq!((first.form, states(&first)), (ListUpdateKind::Full, up.to_vec()));
+    assert_eq!((first.kind, states(&first)), (ListUpdateKind::Full, up.to_vec()));
     let kinds: Vec<_> = first.entries.iter().map(|e| e.kind).collect();
     assert_eq!((kinds, first.entries[2].rack), (vec![0, 0, 1], 4));
     assert_eq!(first.entries[0].rack, first.entries[1].rack);
@@ -380,7 +380,7 @@
     let (configured, at) = watch::channel(told_agent(agent.address));
     let (book, backoff) = (Arc::new(AddressTable::default()), Backoff::new(2, 7));
     let mut list = Discovery::new(at, known("decode", 0), backoff, names(), Clock::new(), book, log());
-    assert_eq!(list.next().await.unwrap().form, ListUpdateKind::StaleCopy);
+    assert_eq!(list.next().await.unwrap().kind, ListUpdateKind::StaleCopy);
     let head = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
     let chunk = format!("{:x}\r\n{WHOLE_LIST}\r\n", WHOLE_LIST.len());
     let (told, configured) = (agent.told.clone(), Arc::new(configured));
@@ -394,6 +394,6 @@
         }
     });
     let next = timeout(LATEST, list.next()).await.expect("no list is ever read to its end").unwrap();
-    assert_eq!(next.form, ListUpdateKind::Full);
+    assert_eq!(next.kind, ListUpdateKind::Full);
     assert_eq!(*agent.accepted.lock().unwrap(), 1, "the call was made anew");
 }
--- a/daemon/tests/gone.rs
+++ b/daemon/tests/gone.rs
@@ -69,7 +69,7 @@
         sleep(Duration::from_millis(100)).await;
         site.book.set("prefill".into(), prefill.address);
         let entries = vec![entry("prefill", 0, Health::Up)];
-        site.news.send(MembershipUpdate { form: ListUpdateKind::Changes, entries }).unwrap();
+        site.news.send(MembershipUpdate { kind: ListUpdateKind::Changes, entries }).unwrap();
         assert_eq!(stays.await.unwrap().status, 200, "{name}: who stays is served");
         sleep(Duration::from_millis(50)).await;
         assert_eq!((attempts(&prefill), attempts(&decode)), (0, 0), "{name}");
@@ -87,7 +87,7 @@
             let site = Open::before(&[("decode", 1, decode.address)], CLIENT_TIMEOUTS);
             let turns_up = |health| {
                 let entries = vec![entry("prefill", 0, health)];
-                site.news.send(MembershipUpdate { form: ListUpdateKind::Changes, entries }).unwrap();
+                site.news.send(MembershipUpdate { kind: ListUpdateKind::Changes, entries }).unwrap();
             };
             site.book.set("prefill".into(), prefill.address);
             if kept {
--- a/daemon/tests/interleavings.rs
+++ b/daemon/tests/interleavings.rs
@@ -121,7 +121,7 @@
             let (name, kind, _) = servers[draws.random_range(0..4)];
             for health in [Health::Draining, Health::Up] {
                 let news = MembershipUpdate {
-                    form: ListUpdateKind::Changes,
+                    kind: ListUpdateKind::Changes,
                     entries: vec![entry(name, kind, health)],
                 };
                 site.news.send(news).unwrap();
--- a/daemon/tests/support/mod.rs
+++ b/daemon/tests/support/mod.rs
@@ -513,11 +513,11 @@
     let book = book(servers);
     let entries = servers.iter().map(|(name, kind, _)| entry(name, *kind, Health::Up)).collect();
     let (news, told) = mpsc::unbounded_channel();
-    let _ = news.send(MembershipUpdate { form: ListUpdateKind::Full, entries });
+    let _ = news.send(MembershipUpdate { kind: ListUpdateKind::Full, entries });
     let conductor = start(ConductorParts {
         excluded: Vec::new(),
         inherited: None,
-        figures: Metrics::new().unwrap(),
+        metrics: Metrics::new().unwrap(),
         settings: settings.clone(),
         seed: 7,
         clock: Clock::new(),
--- a/daemon/tests/whole_path.rs
+++ b/daemon/tests/whole_path.rs
@@ -163,7 +163,7 @@
         };
         let (reader, name) = (&path.readers[n], format!("reader-{n}"));
         let entries = vec![entry(&name, 0, Health::Draining)];
-        path.site.news.send(MembershipUpdate { form: ListUpdateKind::Changes, entries }).unwrap();
+        path.site.news.send(MembershipUpdate { kind: ListUpdateKind::Changes, entries }).unwrap();
         // Too short for what is left: it is freed and read at the other.
         reader.node.drain(Duration::from_millis(200));
         reader.node.wait_until_idle().await;
--- a/rpc/src/members.rs
+++ b/rpc/src/members.rs
@@ -41,7 +41,7 @@
                 health: Health::Up,
             }
         });
-        Fixed(Some(MembershipUpdate { form: ListUpdateKind::Full, entries: entries.collect() }))
+        Fixed(Some(MembershipUpdate { kind: ListUpdateKind::Full, entries: entries.collect() }))
     }
 }
 
