--- a/rpc/src/members.rs
+++ b/rpc/src/members.rs
@@ -42,7 +42,7 @@
                 health: Health::Up,
             }
         });
-        StaticMembership(Some(MembershipUpdate { form: ListUpdateKind::Full, entries: entries.collect() }))
+        StaticMembership(Some(MembershipUpdate { kind: ListUpdateKind::Full, entries: entries.collect() }))
     }
 }
 
