--- a/core/src/clock.rs
+++ b/core/src/clock.rs
@@ -6,7 +6,7 @@
 use tokio::time::Instant;
 
 /// What the clock shows when the program starts, so that a server that started earlier has a time too.
-const AT_START: Micros = 3_600_000_000;
+const MICROS_AT_START: Micros = 3_600_000_000;
 
 /// Monotonic time since an hour before the start. Its relation to the wall clock is read once: were it
 /// read again for each list, a server's start would seem to move and each list would look like a restart.
@@ -25,17 +25,17 @@
 
     /// Now.
     pub fn now(&self) -> Micros {
-        AT_START + self.start.elapsed().as_micros() as Micros
+        MICROS_AT_START + self.start.elapsed().as_micros() as Micros
     }
 
     /// The instant for a timer.
-    pub fn instant(&self, at: Micros) -> Instant {
-        self.start + Duration::from_micros(at.saturating_sub(AT_START))
+    pub fn to_instant(&self, at: Micros) -> Instant {
+        self.start + Duration::from_micros(at.saturating_sub(MICROS_AT_START))
     }
 
     /// Unix milliseconds on this clock; 0, which means long ago, for what lies before it.
     pub fn from_unix_ms(&self, ms: u64) -> Micros {
-        (ms.saturating_mul(1_000) + AT_START).saturating_sub(self.wall_at_start)
+        (ms.saturating_mul(1_000) + MICROS_AT_START).saturating_sub(self.wall_at_start)
     }
 }
 
--- a/core/src/command.rs
+++ b/core/src/command.rs
@@ -10,61 +10,61 @@
 use tokio::sync::{mpsc, oneshot};
 
 use crate::permit::SendPermit;
-use crate::release::Cleanup;
+use crate::release::ReleaseState;
 
 /// Tells calls apart, also where two name the same id: the second is turned down, and what it says must
 /// not touch the first.
-pub(crate) type Ticket = u64;
+pub(crate) type CallId = u64;
 
 /// A verdict as its request gets it.
 #[derive(Debug)]
-pub(crate) struct Order {
-    pub(crate) verdict: Decision,
+pub(crate) struct Instruction {
+    pub(crate) decision: Decision,
     /// Resolves once the release before it has ended.
-    pub(crate) after: Option<oneshot::Receiver<()>>,
+    pub(crate) previous_release: Option<oneshot::Receiver<()>>,
     /// Leave for the attempt, where it is one.
     pub(crate) permit: SendPermit,
     /// Whether the attempt, where it is one, may take effect: it is more than a prefill.
-    pub(crate) takes_effect: bool,
+    pub(crate) may_take_effect: bool,
 }
 
 /// A request that waits for its first decision.
 #[derive(Debug)]
 pub(crate) struct NewRequest {
     pub(crate) query: Query,
-    pub(crate) ticket: Ticket,
+    pub(crate) call_id: CallId,
     /// When it came.
-    pub(crate) arrived: Micros,
+    pub(crate) arrived_at: Micros,
     /// When its client stops waiting.
     pub(crate) deadline: Micros,
     /// Its orders go here; dropped where its id is taken.
-    pub(crate) orders: mpsc::UnboundedSender<Order>,
+    pub(crate) instructions: mpsc::UnboundedSender<Instruction>,
     /// Set once it has ended.
-    pub(crate) ended: Arc<AtomicBool>,
+    pub(crate) has_ended: Arc<AtomicBool>,
     /// What servers may hold for it.
-    pub(crate) cleanup: Arc<Mutex<Cleanup>>,
+    pub(crate) release_state: Arc<Mutex<ReleaseState>>,
 }
 
 /// What the dispatcher is told.
 #[derive(Debug)]
 pub(crate) enum Command {
     /// A request has come.
-    Open(Box<NewRequest>),
+    Submit(Box<NewRequest>),
     /// Something became of a request.
-    Report(Id, Ticket, Report),
+    Report(Id, CallId, Report),
     /// News of the list, as exclusions have it. What must not wait for the decisions follows it already.
-    Members(ListUpdateKind, Vec<ServerEntry>),
-    Probed(Id, Outcome, Option<LoadReport>),
+    UpdateServers(ListUpdateKind, Vec<ServerEntry>),
+    ProbeEnded(Id, Outcome, Option<LoadReport>),
     /// The conductor is about to stop.
     Close,
     /// This conductor's part of what all conductors share.
-    Share(f64),
-    Settings(Arc<Settings>),
-    Snapshot(oneshot::Sender<Snapshot>),
-    OpenWork(oneshot::Sender<OpenWork>),
-    ForeignWork(OpenWork),
+    SetQuotaShare(f64),
+    Reconfigure(Arc<Settings>),
+    ExportSnapshot(oneshot::Sender<Snapshot>),
+    ExportOpenWork(oneshot::Sender<OpenWork>),
+    SetForeignWork(OpenWork),
     /// An instance was taken out of use or put back.
     ExclusionChanged(Id),
     /// Dropped once all that was told before has been seen to.
-    Seen(oneshot::Sender<()>),
+    Barrier(oneshot::Sender<()>),
 }
--- a/core/src/command_queue.rs
+++ b/core/src/command_queue.rs
@@ -12,19 +12,19 @@
 use crate::command::Command;
 
 /// So many commands of open requests are taken in a row while new ones wait.
-const URGENT_IN_A_ROW: u32 = 64;
+const MAX_URGENT_IN_A_ROW: u32 = 64;
 /// Weight of the latest command in what one costs, as one part of so many.
-const COST_PARTS: u64 = 8;
+const COST_AVERAGE_DIVISOR: u64 = 8;
 
 /// What a command has taken counts for so many times the usual at most, and this many microseconds.
-const OUTLIER_TIMES: u64 = 4;
-const OUTLIER_LEAST: u64 = 1_000;
+const MAX_COST_MULTIPLE: u64 = 4;
+const COST_ALLOWANCE_US: u64 = 1_000;
 
 /// A command and when it was sent.
 #[derive(Debug)]
-struct Queued {
+struct QueuedCommand {
     command: Command,
-    at: Micros,
+    sent_at: Micros,
 }
 
 /// How far the dispatcher is behind.
@@ -32,43 +32,46 @@
 pub(crate) struct Backlog {
     waiting: AtomicUsize,
     /// Nothing that waits is older.
-    oldest: AtomicU64,
+    oldest_sent_at: AtomicU64,
     /// What a command has cost of late, in microseconds.
-    cost: AtomicU64,
+    average_cost_us: AtomicU64,
 }
 
 impl Backlog {
-    fn added(&self, now: Micros) {
+    fn record_sent(&self, now: Micros) {
         if self.waiting.fetch_add(1, Ordering::Relaxed) == 0 {
-            self.oldest.store(now, Ordering::Relaxed);
+            self.oldest_sent_at.store(now, Ordering::Relaxed);
         }
     }
 
     /// The command in work counts as waiting until it is done.
-    fn done(&self, sent_at: Micros, took: Duration) {
-        let cost = self.cost.load(Ordering::Relaxed);
+    fn record_done(&self, sent_at: Micros, took: Duration) {
+        let average_us = self.average_cost_us.load(Ordering::Relaxed);
         // One command beside which the process was held up says little of the next ones.
-        let took = (took.as_micros() as u64).min(OUTLIER_TIMES * cost + OUTLIER_LEAST);
-        self.cost.store((cost * (COST_PARTS - 1) + took) / COST_PARTS, Ordering::Relaxed);
-        self.oldest.fetch_max(sent_at, Ordering::Relaxed);
+        let cost_us = (took.as_micros() as u64).min(MAX_COST_MULTIPLE * average_us + COST_ALLOWANCE_US);
+        self.average_cost_us.store(
+            (average_us * (COST_AVERAGE_DIVISOR - 1) + cost_us) / COST_AVERAGE_DIVISOR,
+            Ordering::Relaxed,
+        );
+        self.oldest_sent_at.fetch_max(sent_at, Ordering::Relaxed);
         self.waiting.fetch_sub(1, Ordering::Relaxed);
     }
 
     /// How many commands wait.
-    pub(crate) fn waiting(&self) -> usize {
+    pub(crate) fn waiting_count(&self) -> usize {
         self.waiting.load(Ordering::Relaxed)
     }
 
     /// How long a command that is sent now is likely to wait.
     pub(crate) fn expected_wait(&self) -> Micros {
-        (self.waiting() as u64).saturating_mul(self.cost.load(Ordering::Relaxed))
+        (self.waiting_count() as u64).saturating_mul(self.average_cost_us.load(Ordering::Relaxed))
     }
 
     /// The age of the oldest command that waits, or of one that was taken just before it.
-    pub(crate) fn age(&self, now: Micros) -> Micros {
-        match self.waiting() {
+    pub(crate) fn oldest_age(&self, now: Micros) -> Micros {
+        match self.waiting_count() {
             0 => 0,
-            _ => now.saturating_sub(self.oldest.load(Ordering::Relaxed)),
+            _ => now.saturating_sub(self.oldest_sent_at.load(Ordering::Relaxed)),
         }
     }
 }
@@ -76,8 +79,8 @@
 /// Sends commands. The dispatcher runs for as long as there is a sender.
 #[derive(Clone, Debug)]
 pub(crate) struct CommandSender {
-    urgent: mpsc::UnboundedSender<Queued>,
-    new: mpsc::UnboundedSender<Queued>,
+    urgent: mpsc::UnboundedSender<QueuedCommand>,
+    new: mpsc::UnboundedSender<QueuedCommand>,
     backlog: Arc<Backlog>,
     clock: Clock,
 }
@@ -85,8 +88,8 @@
 /// Sends commands as long as the dispatcher runs for others.
 #[derive(Clone, Debug)]
 pub(crate) struct WeakCommandSender {
-    urgent: mpsc::WeakUnboundedSender<Queued>,
-    new: mpsc::WeakUnboundedSender<Queued>,
+    urgent: mpsc::WeakUnboundedSender<QueuedCommand>,
+    new: mpsc::WeakUnboundedSender<QueuedCommand>,
     backlog: Arc<Backlog>,
     clock: Clock,
 }
@@ -94,33 +97,33 @@
 /// The dispatcher's end.
 #[derive(Debug)]
 pub(crate) struct CommandReceiver {
-    urgent: mpsc::UnboundedReceiver<Queued>,
-    new: mpsc::UnboundedReceiver<Queued>,
+    urgent: mpsc::UnboundedReceiver<QueuedCommand>,
+    new: mpsc::UnboundedReceiver<QueuedCommand>,
     urgent_in_a_row: u32,
     backlog: Arc<Backlog>,
 }
 
 /// A command that is worked on; its end is noted as it is dropped.
 #[derive(Debug)]
-pub(crate) struct Taken {
+pub(crate) struct CommandInProgress {
     sent_at: Micros,
     backlog: Arc<Backlog>,
 }
 
-impl Taken {
+impl CommandInProgress {
     /// When it was sent.
     pub(crate) fn sent_at(&self) -> Micros {
         self.sent_at
     }
 
     /// It is done, and took so long.
-    pub(crate) fn done(self, took: Duration) {
-        self.backlog.done(self.sent_at, took);
+    pub(crate) fn finish(self, took: Duration) {
+        self.backlog.record_done(self.sent_at, took);
     }
 }
 
 /// A queue that is empty.
-pub(crate) fn commands(clock: Clock) -> (CommandSender, CommandReceiver) {
+pub(crate) fn command_queue(clock: Clock) -> (CommandSender, CommandReceiver) {
     let (urgent_sender, urgent) = mpsc::unbounded_channel();
     let (new_sender, new) = mpsc::unbounded_channel();
     let backlog = Arc::new(Backlog::default());
@@ -131,11 +134,11 @@
 impl CommandSender {
     /// Sends a command. One that comes after the dispatcher's end is dropped.
     pub(crate) fn send(&self, command: Command) {
-        let at = self.clock.now();
-        self.backlog.added(at);
-        let lane = if matches!(command, Command::Open(_)) { &self.new } else { &self.urgent };
+        let sent_at = self.clock.now();
+        self.backlog.record_sent(sent_at);
+        let queue = if matches!(command, Command::Submit(_)) { &self.new } else { &self.urgent };
         // The dispatcher runs for as long as there is a sender, and this is one.
-        let _ = lane.send(Queued { command, at });
+        let _ = queue.send(QueuedCommand { command, sent_at });
     }
 
     /// How far the dispatcher is behind.
@@ -165,11 +168,11 @@
 
     /// The next command; `None` once there is no sender. What has become of open requests, news and signals
     /// go ahead of new requests, but not for ever.
-    pub(crate) async fn recv(&mut self) -> Option<(Command, Taken)> {
-        if self.urgent_in_a_row >= URGENT_IN_A_ROW {
+    pub(crate) async fn recv(&mut self) -> Option<(Command, CommandInProgress)> {
+        if self.urgent_in_a_row >= MAX_URGENT_IN_A_ROW {
             self.urgent_in_a_row = 0;
             if let Ok(queued) = self.new.try_recv() {
-                return Some(self.taken(queued));
+                return Some(self.begin(queued));
             }
         }
         let queued = tokio::select! {
@@ -183,11 +186,11 @@
                 queued
             }
         };
-        Some(self.taken(queued))
+        Some(self.begin(queued))
     }
 
-    fn taken(&self, Queued { command, at }: Queued) -> (Command, Taken) {
-        (command, Taken { sent_at: at, backlog: self.backlog.clone() })
+    fn begin(&self, QueuedCommand { command, sent_at }: QueuedCommand) -> (Command, CommandInProgress) {
+        (command, CommandInProgress { sent_at, backlog: self.backlog.clone() })
     }
 }
 
--- a/core/src/conductor.rs
+++ b/core/src/conductor.rs
@@ -11,17 +11,17 @@
 use tokio::sync::{oneshot, watch};
 
 use crate::clock::Clock;
-use crate::command::{Command, Ticket};
+use crate::command::{CallId, Command};
 use crate::command_queue::CommandSender;
 use crate::entry::OpenIds;
 use crate::exclusion::{ExclusionError, Exclusions};
 use crate::metrics::Metrics;
-use crate::permit::Admissions;
-use crate::release::{lock, Releases};
+use crate::permit::AdmittingServers;
+use crate::release::{lock, UpstreamReleaser};
 use crate::traits::Upstream;
 
 /// Share of the settings' time for what is held that the request's next attempt waits for a release to end.
-const RELEASE_WAIT: u32 = 2;
+const RELEASE_WAIT_DIVISOR: u32 = 2;
 
 /// What a conductor has learned, for the process that takes its place.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -33,7 +33,7 @@
 }
 
 /// What a conductor is made of.
-pub struct ConductorParts<B, M> {
+pub struct ConductorParts<U, M> {
     /// The settings.
     pub settings: Settings,
     /// For random numbers, new with each start.
@@ -41,7 +41,7 @@
     /// The clock, also of whoever converts start times of members.
     pub clock: Clock,
     /// The way to the servers.
-    pub upstream: Arc<B>,
+    pub upstream: Arc<U>,
     /// The list of members.
     pub members: M,
     /// Instances that operators have taken out of use before.
@@ -55,57 +55,57 @@
 }
 
 /// A handle on a running conductor; clones are cheap and speak to the same one.
-pub struct Conductor<B> {
+pub struct Conductor<U> {
     pub(crate) commands: CommandSender,
-    pub(crate) upstream: Arc<B>,
+    pub(crate) upstream: Arc<U>,
     pub(crate) clock: Clock,
     /// The settings in force.
     pub(crate) settings: Arc<watch::Sender<Arc<Settings>>>,
-    pub(crate) tickets: Arc<AtomicU64>,
+    pub(crate) next_call_id: Arc<AtomicU64>,
     pub(crate) open_ids: OpenIds,
-    pub(crate) able: watch::Receiver<bool>,
-    pub(crate) releases: Arc<Releases<B>>,
+    pub(crate) has_members: watch::Receiver<bool>,
+    pub(crate) releaser: Arc<UpstreamReleaser<U>>,
     pub(crate) exclusions: Arc<Mutex<Exclusions>>,
-    pub(crate) admissions: Admissions,
+    pub(crate) admitting_servers: AdmittingServers,
     pub(crate) metrics: Metrics,
 }
 
-impl<B> Clone for Conductor<B> {
+impl<U> Clone for Conductor<U> {
     fn clone(&self) -> Self {
         Conductor {
             commands: self.commands.clone(),
             upstream: self.upstream.clone(),
             clock: self.clock,
             settings: self.settings.clone(),
-            tickets: self.tickets.clone(),
+            next_call_id: self.next_call_id.clone(),
             open_ids: self.open_ids.clone(),
-            able: self.able.clone(),
-            releases: self.releases.clone(),
+            has_members: self.has_members.clone(),
+            releaser: self.releaser.clone(),
             exclusions: self.exclusions.clone(),
-            admissions: self.admissions.clone(),
+            admitting_servers: self.admitting_servers.clone(),
             metrics: self.metrics.clone(),
         }
     }
 }
 
-impl<B: Upstream> Conductor<B> {
-    pub(crate) fn ticket(&self) -> Ticket {
-        self.tickets.fetch_add(1, Ordering::Relaxed)
+impl<U: Upstream> Conductor<U> {
+    pub(crate) fn allocate_call_id(&self) -> CallId {
+        self.next_call_id.fetch_add(1, Ordering::Relaxed)
     }
 
     /// How many requests have come since the start.
     pub fn call_count(&self) -> u64 {
-        self.tickets.load(Ordering::Relaxed)
+        self.next_call_id.load(Ordering::Relaxed)
     }
 
     /// A front has refused a request of this class by itself.
     pub fn count_refused(&self, class: &str) {
-        self.metrics.open(class).deferred();
+        self.metrics.open_request(class).mark_deferred();
     }
 
     /// Whether there is a member to send to.
     pub fn is_ready(&self) -> bool {
-        *self.able.borrow()
+        *self.has_members.borrow()
     }
 
     /// Answers every request that has not begun to stream: the conductor is about to stop.
@@ -115,8 +115,8 @@
 
     /// This conductor's part of what all that send to the same servers share: of 1. Until it is told, that is
     /// one of the number in the settings.
-    pub fn set_quota_share(&self, part: f64) {
-        self.commands.send(Command::Share(part));
+    pub fn set_quota_share(&self, share: f64) {
+        self.commands.send(Command::SetQuotaShare(share));
     }
 
     /// The settings in force, for requests that come now.
@@ -128,13 +128,13 @@
     pub fn reconfigure(&self, settings: Settings) {
         let settings = Arc::new(settings);
         // The decisions first: who reads the new settings may ask at once.
-        self.commands.send(Command::Settings(settings.clone()));
+        self.commands.send(Command::Reconfigure(settings.clone()));
         self.settings.send_replace(settings);
     }
 
     /// How long an attempt waits for the release before it.
     pub(crate) fn release_wait(&self) -> Duration {
-        Duration::from_micros(self.settings.borrow().cache_release_timeout) / RELEASE_WAIT
+        Duration::from_micros(self.settings.borrow().cache_release_timeout) / RELEASE_WAIT_DIVISOR
     }
 
     /// Fails for an id that no instance has, in the list or among those taken out.
@@ -146,7 +146,7 @@
     pub fn exclude(&self, instance: &Id) -> Result<(), ExclusionError> {
         lock(&self.exclusions).exclude(instance)?;
         // Holds from the answer on, also for attempts that have been decided and not begun.
-        self.admissions.close(instance);
+        self.admitting_servers.remove(instance);
         self.commands.send(Command::ExclusionChanged(instance.clone()));
         Ok(())
     }
@@ -160,28 +160,28 @@
 
     /// What it has learned up to now; `None` once it has ended.
     pub async fn export_state(&self) -> Option<InheritedState> {
-        let (to, snapshot) = oneshot::channel();
-        self.commands.send(Command::Snapshot(to));
+        let (reply, snapshot) = oneshot::channel();
+        self.commands.send(Command::ExportSnapshot(reply));
         let decisions = snapshot.await.ok()?;
-        let included = lock(&self.exclusions).included_before(self.clock.now());
+        let included = lock(&self.exclusions).inclusion_ages(self.clock.now());
         Some(InheritedState { decisions, included })
     }
 
     /// What is open at instances; `None` once it has ended.
     pub async fn open_work(&self) -> Option<OpenWork> {
-        let (to, work) = oneshot::channel();
-        self.commands.send(Command::OpenWork(to));
+        let (reply, work) = oneshot::channel();
+        self.commands.send(Command::ExportOpenWork(reply));
         work.await.ok()
     }
 
     /// What other processes of the same conductor have open at instances counts as its own.
     pub fn set_foreign_work(&self, work: OpenWork) {
-        self.commands.send(Command::ForeignWork(work));
+        self.commands.send(Command::SetForeignWork(work));
     }
 
     /// Makes these the excluded instances, as another process of the same conductor was told.
     pub fn replace_excluded(&self, excluded: BTreeSet<Id>) {
-        let changed = lock(&self.exclusions).replace(self.clock.now(), excluded);
+        let changed = lock(&self.exclusions).replace_excluded(self.clock.now(), excluded);
         for instance in changed {
             self.commands.send(Command::ExclusionChanged(instance));
         }
@@ -191,10 +191,10 @@
     /// ended before.
     pub async fn wait_for_releases(&self) {
         // What the last requests reported lies before this in the queue.
-        let (seen, all_seen) = oneshot::channel();
-        self.commands.send(Command::Seen(seen));
-        let _ = all_seen.await;
-        let tasks = self.releases.tasks();
+        let (barrier, reached) = oneshot::channel();
+        self.commands.send(Command::Barrier(barrier));
+        let _ = reached.await;
+        let tasks = self.releaser.tasks();
         tasks.close();
         tasks.wait().await;
         tasks.reopen();
--- a/core/src/dispatcher.rs
+++ b/core/src/dispatcher.rs
@@ -15,59 +15,50 @@
 use tokio::time::Instant;
 
 use crate::clock::Clock;
-use crate::command::{Command, NewRequest, Order, Ticket};
-use crate::command_queue::{commands, CommandReceiver, Taken, WeakCommandSender};
+use crate::command::{CallId, Command, Instruction, NewRequest};
+use crate::command_queue::{command_queue, CommandInProgress, CommandReceiver, WeakCommandSender};
 use crate::conductor::{Conductor, ConductorParts};
 use crate::exclusion::Exclusions;
 use crate::metrics::Metrics;
-use crate::permit::{Admissions, Conditions, SendPermit};
-use crate::release::{lock, Cleanup, Releaser, Releases};
+use crate::permit::{AdmittingServers, PermitConditions, SendPermit};
+use crate::release::{lock, ReleaseState, Releaser, UpstreamReleaser};
 use crate::traits::{MembershipSource, Upstream};
 
-/// What the process before has learned is of use for this long.
-const INHERIT_WITHIN: Micros = 10_000_000;
+/// What the process before has inherited is of use for this long.
+const INHERITED_STATE_TTL: Micros = 10_000_000;
 
 /// The figures of instances and of the queue are read this often.
-const READ_FIGURES_EVERY: Micros = 100_000;
+const METRICS_INTERVAL: Micros = 100_000;
 
 /// So much work on what lies in the queue is done at once: the same thread serves streams and clients' ends.
-const TURN: Duration = Duration::from_millis(2);
+const MAX_TURN: Duration = Duration::from_millis(2);
 
 /// A command that has waited for longer than this is told in the log, so often at most.
-const LAG_TOLD: Micros = 250_000;
-const LAG_TOLD_EVERY: Micros = 1_000_000;
+const LAG_LOG_THRESHOLD: Micros = 250_000;
+const LAG_LOG_INTERVAL: Micros = 1_000_000;
 
 /// What is still to be taken over from the process before, and when that was said.
 struct PendingSnapshot {
     snapshot: Snapshot,
-    at: Micros,
+    taken_at: Micros,
 }
 
 /// Starts a conductor on the current runtime. It runs until every handle has gone.
-pub fn start<B: Upstream, M: MembershipSource>(parts: ConductorParts<B, M>) -> Conductor<B> {
-    let ConductorParts {
-        settings,
-        seed,
-        clock,
-        upstream,
-        members,
-        excluded,
-        metrics,
-        inherited: learned,
-        log,
-    } = parts;
+pub fn start<U: Upstream, M: MembershipSource>(parts: ConductorParts<U, M>) -> Conductor<U> {
+    let ConductorParts { settings, seed, clock, upstream, members, excluded, metrics, inherited, log } =
+        parts;
     metrics.add_classes(&settings);
-    let (sender, receiver) = commands(clock);
-    let (able_tx, able) = watch::channel(false);
-    let admissions = Admissions::default();
-    let release = Duration::from_micros(settings.cache_release_timeout);
-    let releases = Arc::new(Releases::new(upstream.clone(), release, clock, log.clone()));
-    let in_force = Arc::new(watch::Sender::new(Arc::new(settings.clone())));
+    let (sender, receiver) = command_queue(clock);
+    let (has_members_sender, has_members) = watch::channel(false);
+    let admitting_servers = AdmittingServers::default();
+    let release_timeout = Duration::from_micros(settings.cache_release_timeout);
+    let releaser = Arc::new(UpstreamReleaser::new(upstream.clone(), release_timeout, clock, log.clone()));
+    let current_settings = Arc::new(watch::Sender::new(Arc::new(settings.clone())));
     let exclusions = Arc::new(Mutex::new(Exclusions::new(excluded, settings.slow_start_duration)));
-    let pending_snapshot = learned.map(|(learned, age)| {
-        let at = clock.now().saturating_sub(age.as_micros() as Micros);
-        lock(&exclusions).set_included_before(at, learned.included);
-        PendingSnapshot { snapshot: learned.decisions, at }
+    let pending_snapshot = inherited.map(|(inherited, age)| {
+        let taken_at = clock.now().saturating_sub(age.as_micros() as Micros);
+        lock(&exclusions).restore_inclusions(taken_at, inherited.included);
+        PendingSnapshot { snapshot: inherited.decisions, taken_at }
     });
     let dispatcher = Dispatcher {
         facade: Facade::new(settings, seed),
@@ -75,107 +66,108 @@
         upstream: upstream.clone(),
         commands: sender.downgrade(),
         open: HashMap::new(),
-        able: able_tx,
-        releases: releases.clone(),
+        has_members: has_members_sender,
+        releaser: releaser.clone(),
         exclusions: exclusions.clone(),
-        admissions: admissions.clone(),
+        admitting_servers: admitting_servers.clone(),
         metrics: metrics.clone(),
-        read_figures_at: 0,
-        tell_lag_at: 0,
+        next_metrics_at: 0,
+        next_lag_log_at: 0,
         pending_snapshot,
         log: log.clone(),
     };
     tokio::spawn(dispatcher.run(receiver));
-    let follower = ListFollower {
+    let membership_follower = MembershipFollower {
         clock,
-        releases: releases.clone(),
+        releaser: releaser.clone(),
         exclusions: exclusions.clone(),
-        admissions: admissions.clone(),
+        admitting_servers: admitting_servers.clone(),
         commands: sender.downgrade(),
         log,
     };
-    tokio::spawn(follower.run(members));
+    tokio::spawn(membership_follower.run(members));
     Conductor {
         commands: sender,
         upstream,
         clock,
-        settings: in_force,
-        tickets: Arc::default(),
+        settings: current_settings,
+        next_call_id: Arc::default(),
         open_ids: Arc::default(),
-        able,
-        releases,
+        has_members,
+        releaser,
         exclusions,
-        admissions,
+        admitting_servers,
         metrics,
     }
 }
 
 /// Follows the list of servers. What must not wait for the decisions, as a server that drains must get
 /// nothing new, follows it at once.
-struct ListFollower<B> {
+struct MembershipFollower<U> {
     clock: Clock,
-    releases: Arc<Releases<B>>,
+    releaser: Arc<UpstreamReleaser<U>>,
     exclusions: Arc<Mutex<Exclusions>>,
-    admissions: Admissions,
+    admitting_servers: AdmittingServers,
     commands: WeakCommandSender,
     log: Logger,
 }
 
-impl<B: Upstream> ListFollower<B> {
+impl<U: Upstream> MembershipFollower<U> {
     async fn run<M: MembershipSource>(self, mut members: M) {
         while let Some(news) = members.next().await {
             let Some(commands) = self.commands.upgrade() else { return };
-            let up = self.releases.members(news.kind, &news.entries);
+            let up = self.releaser.apply_update(news.kind, &news.entries);
             info!(self.log, "members"; "form" => ?news.kind, "entries" => news.entries.len(), "up" => up);
             let now = self.clock.now();
-            let entries = lock(&self.exclusions).news(now, news.kind, &news.entries);
-            self.admissions.follow(news.kind, &entries);
-            commands.send(Command::Members(news.kind, entries));
+            let entries = lock(&self.exclusions).apply_update(now, news.kind, &news.entries);
+            self.admitting_servers.apply_update(news.kind, &entries);
+            commands.send(Command::UpdateServers(news.kind, entries));
         }
     }
 }
 
 /// A request that is open.
 struct OpenRequest {
-    ticket: Ticket,
-    orders: mpsc::UnboundedSender<Order>,
-    cleanup: Arc<Mutex<Cleanup>>,
-    ended: Arc<AtomicBool>,
+    call_id: CallId,
+    instructions: mpsc::UnboundedSender<Instruction>,
+    release_state: Arc<Mutex<ReleaseState>>,
+    has_ended: Arc<AtomicBool>,
     deadline: Micros,
     /// How the last attempt ended.
-    last: Option<Outcome>,
+    last_outcome: Option<Outcome>,
 }
 
-struct Dispatcher<B> {
+struct Dispatcher<U> {
     facade: Facade,
     clock: Clock,
-    upstream: Arc<B>,
+    upstream: Arc<U>,
     commands: WeakCommandSender,
     open: HashMap<Id, OpenRequest>,
-    able: watch::Sender<bool>,
-    releases: Arc<Releases<B>>,
+    has_members: watch::Sender<bool>,
+    releaser: Arc<UpstreamReleaser<U>>,
     exclusions: Arc<Mutex<Exclusions>>,
-    admissions: Admissions,
+    admitting_servers: AdmittingServers,
     metrics: Metrics,
     /// When figures are read next.
-    read_figures_at: Micros,
+    next_metrics_at: Micros,
     /// When the log is told next that commands wait.
-    tell_lag_at: Micros,
+    next_lag_log_at: Micros,
     pending_snapshot: Option<PendingSnapshot>,
     log: Logger,
 }
 
-impl<B: Upstream> Dispatcher<B> {
+impl<U: Upstream> Dispatcher<U> {
     async fn run(mut self, mut commands: CommandReceiver) {
-        let mut worked = Duration::ZERO;
+        let mut turn_time = Duration::ZERO;
         // A sweep that takes long must leave as much time to commands.
         let mut sweep_not_before = Instant::now();
         loop {
-            if worked >= TURN {
+            if turn_time >= MAX_TURN {
                 yield_now().await;
-                worked = Duration::ZERO;
+                turn_time = Duration::ZERO;
             }
-            let wake_at = self.facade.next_timer_at().map(|at| self.clock.instant(at).max(sweep_not_before));
+            let wake_at =
+                self.facade.next_timer_at().map(|at| self.clock.to_instant(at).max(sweep_not_before));
             let sweep_due = async {
                 match wake_at {
                     Some(at) => tokio::time::sleep_until(at).await,
@@ -192,209 +184,215 @@
                     end - begin
                 }
                 command = commands.recv() => match command {
-                    Some((command, taken)) => {
+                    Some((command, in_progress)) => {
                         let begin = Instant::now();
-                        self.note_lag(&taken);
-                        self.take(command);
+                        self.report_lag(&in_progress);
+                        self.handle(command);
                         let took = begin.elapsed();
-                        self.metrics.decided(took);
-                        taken.done(took);
+                        self.metrics.observe_decision(took);
+                        in_progress.finish(took);
                         took
                     }
                     None => return,
                 },
             };
-            worked += took;
+            turn_time += took;
         }
     }
 
     fn sweep(&mut self, commands: &CommandReceiver) {
         let now = self.clock.now();
-        let verdicts = self.facade.fire_timers(now);
-        self.carry_out(verdicts);
-        if now < self.read_figures_at {
+        let decisions = self.facade.fire_timers(now);
+        self.carry_out(decisions);
+        if now < self.next_metrics_at {
             return;
         }
-        self.read_figures_at = now + READ_FIGURES_EVERY;
+        self.next_metrics_at = now + METRICS_INTERVAL;
         let backlog = commands.backlog();
-        self.metrics.set_backlog(backlog.waiting(), Duration::from_micros(backlog.age(now)));
-        self.read_figures();
+        self.metrics.set_backlog(backlog.waiting_count(), Duration::from_micros(backlog.oldest_age(now)));
+        self.update_cluster_metrics();
     }
 
     /// Says in the log that commands have waited for long.
-    fn note_lag(&mut self, taken: &Taken) {
+    fn report_lag(&mut self, in_progress: &CommandInProgress) {
         let now = self.clock.now();
-        let age = now.saturating_sub(taken.sent_at());
-        self.metrics.waited(Duration::from_micros(age));
-        if age > LAG_TOLD && now >= self.tell_lag_at {
-            self.tell_lag_at = now + LAG_TOLD_EVERY;
+        let age = now.saturating_sub(in_progress.sent_at());
+        self.metrics.observe_wait(Duration::from_micros(age));
+        if age > LAG_LOG_THRESHOLD && now >= self.next_lag_log_at {
+            self.next_lag_log_at = now + LAG_LOG_INTERVAL;
             let open = self.open.len();
             warn!(self.log, "decisions are behind"; "waited" => ?Duration::from_micros(age), "open" => open);
         }
     }
 
-    fn take(&mut self, command: Command) {
+    fn handle(&mut self, command: Command) {
         let now = self.clock.now();
-        let verdicts = match command {
-            Command::Open(new) => match self.open(now, *new) {
-                Some(verdicts) => verdicts,
+        let decisions = match command {
+            Command::Submit(new) => match self.submit(now, *new) {
+                Some(decisions) => decisions,
                 None => return,
             },
-            Command::Report(id, ticket, report) => return self.report(now, id, ticket, report),
-            Command::Probed(server, outcome, load) => self.facade.probe_ended(now, server, outcome, load),
-            Command::Members(form, entries) => self.members(now, form, entries),
+            Command::Report(id, call_id, report) => return self.report(now, id, call_id, report),
+            Command::ProbeEnded(server, outcome, load) => self.facade.probe_ended(now, server, outcome, load),
+            Command::UpdateServers(kind, entries) => self.update_servers(now, kind, entries),
             Command::Close => self.facade.close(now),
-            Command::Share(part) => self.facade.set_quota_share(now, part),
-            Command::OpenWork(to) => {
-                let _ = to.send(self.facade.open_work());
+            Command::SetQuotaShare(share) => self.facade.set_quota_share(now, share),
+            Command::ExportOpenWork(reply) => {
+                let _ = reply.send(self.facade.open_work());
                 return;
             }
-            Command::ForeignWork(work) => return self.facade.set_foreign_work(work),
-            Command::Snapshot(to) => {
-                let _ = to.send(self.facade.snapshot(now));
+            Command::SetForeignWork(work) => return self.facade.set_foreign_work(work),
+            Command::ExportSnapshot(reply) => {
+                let _ = reply.send(self.facade.snapshot(now));
                 return;
             }
-            Command::Settings(settings) => self.reconfigure(now, &settings),
+            Command::Reconfigure(settings) => self.reconfigure(now, &settings),
             Command::ExclusionChanged(instance) => {
-                let entry = lock(&self.exclusions).entry(&instance);
+                let entry = lock(&self.exclusions).effective_entry(&instance);
                 info!(self.log, "exclusion changed"; "instance" => %instance, "is" => ?entry);
                 let entries: Vec<_> = entry.into_iter().collect();
-                self.admissions.follow(ListUpdateKind::Changes, &entries);
+                self.admitting_servers.apply_update(ListUpdateKind::Changes, &entries);
                 self.facade.update_servers(now, ListUpdateKind::Changes, entries)
             }
-            Command::Seen(seen) => {
-                let _ = seen.send(());
+            Command::Barrier(barrier) => {
+                let _ = barrier.send(());
                 return;
             }
         };
-        self.carry_out(verdicts);
+        self.carry_out(decisions);
     }
 
     /// A request has come; nothing is decided for one that has ended meanwhile.
-    fn open(&mut self, now: Micros, new: NewRequest) -> Option<Decisions> {
-        let NewRequest { mut query, ticket, arrived, deadline, orders, ended, cleanup } = new;
-        if ended.load(Ordering::Relaxed) {
+    fn submit(&mut self, now: Micros, new: NewRequest) -> Option<Decisions> {
+        let NewRequest { mut query, call_id, arrived_at, deadline, instructions, has_ended, release_state } =
+            new;
+        if has_ended.load(Ordering::Relaxed) {
             return None;
         }
         // What it has waited here is its client's time.
-        query.budget = query.budget.saturating_sub(now.saturating_sub(arrived));
+        query.budget = query.budget.saturating_sub(now.saturating_sub(arrived_at));
         let id = query.id.clone();
         debug!(self.log, "request"; "id" => %id, "class" => %query.class.name,
             "budget" => query.budget, "tokens" => query.prompt_tokens, "again" => query.is_client_retry);
-        let verdicts = self.facade.submit(now, query)?;
-        self.open.insert(id, OpenRequest { ticket, orders, cleanup, ended, deadline, last: None });
-        Some(verdicts)
+        let decisions = self.facade.submit(now, query)?;
+        self.open.insert(
+            id,
+            OpenRequest { call_id, instructions, release_state, has_ended, deadline, last_outcome: None },
+        );
+        Some(decisions)
     }
 
-    fn report(&mut self, now: Micros, id: Id, ticket: Ticket, report: Report) {
-        let Some(open) = self.open.get_mut(&id).filter(|open| open.ticket == ticket) else { return };
-        open.last = Some(match &report {
+    fn report(&mut self, now: Micros, id: Id, call_id: CallId, report: Report) {
+        let Some(open) = self.open.get_mut(&id).filter(|open| open.call_id == call_id) else { return };
+        open.last_outcome = Some(match &report {
             Report::Started => Outcome::Served,
             Report::Ended { outcome, .. } => *outcome,
             Report::Closed => Outcome::Cancelled,
         });
         debug!(self.log, "report"; "id" => %id, "is" => ?report);
-        let left = report == Report::Closed;
-        let verdicts = self.facade.report(now, &id, report);
-        self.carry_out(verdicts);
-        if left {
-            // Its last verdicts, releases among them, have been carried out.
+        let is_closed = report == Report::Closed;
+        let decisions = self.facade.report(now, &id, report);
+        self.carry_out(decisions);
+        if is_closed {
+            // Its last decisions, releases among them, have been carried out.
             self.open.remove(&id);
         }
     }
 
     fn reconfigure(&mut self, now: Micros, settings: &Settings) -> Decisions {
-        self.releases.set_within(Duration::from_micros(settings.cache_release_timeout));
+        self.releaser.set_release_timeout(Duration::from_micros(settings.cache_release_timeout));
         self.metrics.add_classes(settings);
-        lock(&self.exclusions).set_warm_within(settings.slow_start_duration);
+        lock(&self.exclusions).set_slow_start_duration(settings.slow_start_duration);
         self.facade.reconfigure(now, settings.clone())
     }
 
-    /// Takes over what the process before has learned of servers that are listed by now.
+    /// Takes over what the process before has inherited of servers that are listed by now.
     fn inherit(&mut self, now: Micros) {
-        let Some(PendingSnapshot { mut snapshot, at }) = self.pending_snapshot.take() else { return };
-        let age = now.saturating_sub(at);
+        let Some(PendingSnapshot { mut snapshot, taken_at }) = self.pending_snapshot.take() else { return };
+        let age = now.saturating_sub(taken_at);
         self.facade.restore(now, age, &mut snapshot);
-        if !snapshot.is_empty() && age < INHERIT_WITHIN {
-            self.pending_snapshot = Some(PendingSnapshot { snapshot, at });
+        if !snapshot.is_empty() && age < INHERITED_STATE_TTL {
+            self.pending_snapshot = Some(PendingSnapshot { snapshot, taken_at });
         }
     }
 
     /// How many instances are listed and how many of them are avoided.
-    fn read_figures(&self) {
-        let listed = self.releases.count();
+    fn update_cluster_metrics(&self) {
+        let listed = self.releaser.listed_count();
         let avoided = listed.saturating_sub(self.facade.usable_servers());
         self.metrics.cluster_size.set(listed as i64);
         self.metrics.cluster_unhealthy.set(avoided as i64);
     }
 
-    fn members(&mut self, now: Micros, form: ListUpdateKind, entries: Vec<ServerEntry>) -> Decisions {
+    fn update_servers(&mut self, now: Micros, kind: ListUpdateKind, entries: Vec<ServerEntry>) -> Decisions {
         for entry in &entries {
             debug!(self.log, "member"; "is" => ?entry);
         }
-        let verdicts = self.facade.update_servers(now, form, entries);
+        let decisions = self.facade.update_servers(now, kind, entries);
         self.inherit(now);
-        self.able.send_replace(self.releases.count() > 0);
-        verdicts
+        self.has_members.send_replace(self.releaser.listed_count() > 0);
+        decisions
     }
 
-    fn carry_out(&mut self, verdicts: Decisions) {
-        for line in verdicts.log {
+    fn carry_out(&mut self, decisions: Decisions) {
+        for line in decisions.log {
             info!(self.log, "{}", line);
         }
-        for (id, violation) in verdicts.violations {
+        for (id, violation) in decisions.violations {
             warn!(self.log, "withheld, as it would break a rule"; "id" => %id, "rule" => %violation);
-            self.metrics.violated(violation);
+            self.metrics.count_violation(violation);
         }
-        for server in verdicts.probes {
+        for server in decisions.probes {
             self.probe(server);
         }
-        for (id, verdict) in verdicts.requests {
-            debug!(self.log, "verdict"; "id" => %id, "is" => ?verdict);
-            self.order(&id, verdict);
+        for (id, decision) in decisions.requests {
+            debug!(self.log, "verdict"; "id" => %id, "is" => ?decision);
+            self.deliver(&id, decision);
         }
     }
 
-    fn order(&mut self, id: &Id, verdict: Decision) {
+    fn deliver(&mut self, id: &Id, decision: Decision) {
         let Some(open) = self.open.get(id) else { return };
-        let (mut permit, mut after, mut takes_effect) = (SendPermit::unconditional(), None, false);
-        match &verdict {
-            Decision::Release => return self.releases.release(id, &open.cleanup),
+        let (mut permit, mut previous_release, mut may_take_effect) =
+            (SendPermit::unconditional(), None, false);
+        match &decision {
+            Decision::Release => return self.releaser.release(id, &open.release_state),
             Decision::Send { server, send_by, .. } => {
-                takes_effect = self.facade.takes_effect(server);
-                permit = self.permit(open, server, *send_by);
+                may_take_effect = self.facade.takes_effect(server);
+                permit = self.issue_permit(open, server, *send_by);
                 // A send that never arrives does not stop the clock of what is held, so the release goes
                 // on beside it until the attempt is known to have arrived. What is held must not wait.
-                let no_server_heard = matches!(open.last, Some(Outcome::NoConnection | Outcome::PrefillDone));
-                let mut cleanup = lock(&open.cleanup);
-                cleanup.sent(server);
-                after = no_server_heard.then(|| cleanup.end()).flatten();
-                if let Some(last) = open.last.filter(|last| *last != Outcome::PrefillDone) {
-                    self.metrics.retried(last);
+                let no_server_heard =
+                    matches!(open.last_outcome, Some(Outcome::NoConnection | Outcome::PrefillDone));
+                let mut release_state = lock(&open.release_state);
+                release_state.record_send(server);
+                previous_release = no_server_heard.then(|| release_state.take_release_end()).flatten();
+                if let Some(last_outcome) = open.last_outcome.filter(|last| *last != Outcome::PrefillDone) {
+                    self.metrics.count_retry(last_outcome);
                 }
             }
-            Decision::Refuse { .. } => self.metrics.refused(open.last),
+            Decision::Refuse { .. } => self.metrics.count_refusal(open.last_outcome),
             _ => {}
         }
         // A request that has just gone says so itself, in a command that lies in the queue.
-        let _ = open.orders.send(Order { verdict, after, permit, takes_effect });
+        let _ = open.instructions.send(Instruction { decision, previous_release, permit, may_take_effect });
     }
 
-    fn permit(&self, open: &OpenRequest, server: &Id, send_by: Option<Micros>) -> SendPermit {
-        let (server, started) = (server.clone(), self.facade.server_started(server));
-        let (deadline, ended) = (open.deadline, open.ended.clone());
-        let conditions = Conditions { server, started, send_by, deadline, ended };
-        self.admissions.permit(conditions, self.clock, self.metrics.clone())
+    fn issue_permit(&self, open: &OpenRequest, server: &Id, send_by: Option<Micros>) -> SendPermit {
+        let (server, server_started_at) = (server.clone(), self.facade.server_started(server));
+        let (deadline, has_ended) = (open.deadline, open.has_ended.clone());
+        let conditions = PermitConditions { server, server_started_at, send_by, deadline, has_ended };
+        self.admitting_servers.issue_permit(conditions, self.clock, self.metrics.clone())
     }
 
     fn probe(&self, server: Id) {
         let (upstream, commands, clock) = (self.upstream.clone(), self.commands.clone(), self.clock);
-        let releases = self.releases.clone();
+        let releaser = self.releaser.clone();
         tokio::spawn(async move {
             let (outcome, load) = upstream.probe(&server).await;
-            releases.told(&server, outcome, clock.now());
+            releaser.record_outcome(&server, outcome, clock.now());
             if let Some(commands) = commands.upgrade() {
-                commands.send(Command::Probed(server, outcome, load));
+                commands.send(Command::ProbeEnded(server, outcome, load));
             }
         });
     }
--- a/core/src/entry.rs
+++ b/core/src/entry.rs
@@ -11,10 +11,10 @@
 use tokio::time::sleep_until;
 
 use crate::cache_clock::CacheClock;
-use crate::command::{Command, Order, Ticket};
+use crate::command::{CallId, Command, Instruction};
 use crate::command_queue::CommandSender;
-use crate::metrics::Account;
-use crate::release::{lock, Cleanup, Releaser};
+use crate::metrics::RequestMetrics;
+use crate::release::{lock, ReleaseState, Releaser};
 
 /// The ids of open requests.
 pub(crate) type OpenIds = Arc<Mutex<HashSet<Id>>>;
@@ -28,7 +28,7 @@
 
 impl IdClaim {
     /// `None` where a request with this id is open.
-    pub(crate) fn new(ids: &OpenIds, id: &Id) -> Option<Self> {
+    pub(crate) fn acquire(ids: &OpenIds, id: &Id) -> Option<Self> {
         lock(ids).insert(id.clone()).then(|| IdClaim { ids: ids.clone(), id: id.clone() })
     }
 }
@@ -41,58 +41,61 @@
 
 /// A request's entry at the dispatcher. Whatever way the request ends, dropping it is the last word on it: an
 /// attempt that is still out is called off and what is held is let go.
-pub(crate) struct Entry {
+pub(crate) struct Registration {
     pub(crate) id: Id,
-    pub(crate) ticket: Ticket,
-    pub(crate) orders: mpsc::UnboundedReceiver<Order>,
+    pub(crate) call_id: CallId,
+    pub(crate) instructions: mpsc::UnboundedReceiver<Instruction>,
     pub(crate) commands: CommandSender,
-    pub(crate) account: Account,
+    pub(crate) metrics: RequestMetrics,
     /// Set with the end, for what has been decided meanwhile.
-    pub(crate) ended: Arc<AtomicBool>,
-    pub(crate) cleanup: Arc<Mutex<Cleanup>>,
+    pub(crate) has_ended: Arc<AtomicBool>,
+    pub(crate) release_state: Arc<Mutex<ReleaseState>>,
     pub(crate) releaser: Arc<dyn Releaser>,
-    pub(crate) cache: CacheClock,
-    pub(crate) attempt_is_out: bool,
+    pub(crate) cache_clock: CacheClock,
+    pub(crate) has_attempt_in_flight: bool,
     /// Its answer has begun: nothing is held any more.
-    pub(crate) streams: bool,
+    pub(crate) is_streaming: bool,
     pub(crate) _claim: IdClaim,
 }
 
-impl std::fmt::Debug for Entry {
+impl std::fmt::Debug for Registration {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Entry").field("id", &self.id).field("ticket", &self.ticket).finish_non_exhaustive()
+        f.debug_struct("Registration")
+            .field("id", &self.id)
+            .field("call_id", &self.call_id)
+            .finish_non_exhaustive()
     }
 }
 
-impl Entry {
+impl Registration {
     pub(crate) fn report(&self, report: Report) {
-        self.commands.send(Command::Report(self.id.clone(), self.ticket, report));
+        self.commands.send(Command::Report(self.id.clone(), self.call_id, report));
     }
 
-    pub(crate) fn ended(&self, outcome: Outcome, cached_tokens: u64, load: Option<LoadReport>) {
+    pub(crate) fn report_ended(&self, outcome: Outcome, cached_tokens: u64, load: Option<LoadReport>) {
         self.report(Report::Ended { outcome, cached_tokens, load });
     }
 
     /// The attempt that was out has been ended from here, and its end has arrived.
-    pub(crate) fn attempt_was_cut(&mut self) {
-        self.attempt_is_out = false;
-        lock(&self.cleanup).left_something();
+    pub(crate) fn record_cancelled_attempt(&mut self) {
+        self.has_attempt_in_flight = false;
+        lock(&self.release_state).mark_uncovered();
     }
 
     /// Lets go of what is held, where the decisions have not done so in time.
-    pub(crate) fn release(&mut self, beside: bool) {
-        let under_way = lock(&self.cleanup).is_under_way();
-        if !under_way {
-            self.releaser.release(&self.id, &self.cleanup);
+    pub(crate) fn release(&mut self, during_attempt: bool) {
+        let is_running = lock(&self.release_state).is_release_running();
+        if !is_running {
+            self.releaser.release(&self.id, &self.release_state);
         }
-        self.cache.released(beside);
+        self.cache_clock.record_release(during_attempt);
     }
 
     /// Resolves once what is held has to be let go.
-    pub(crate) fn release_due(&self, within: Duration) -> impl Future<Output = ()> + 'static {
-        let due = self.cache.due(within);
+    pub(crate) fn wait_until_release_due(&self, timeout: Duration) -> impl Future<Output = ()> + 'static {
+        let due_at = self.cache_clock.release_due_at(timeout);
         async move {
-            match due {
+            match due_at {
                 Some(at) => sleep_until(at).await,
                 None => std::future::pending().await,
             }
@@ -100,17 +103,17 @@
     }
 }
 
-impl Drop for Entry {
+impl Drop for Registration {
     fn drop(&mut self) {
-        self.ended.store(true, Ordering::Relaxed);
-        let mut cleanup = lock(&self.cleanup);
-        if self.attempt_is_out {
-            cleanup.left_something();
+        self.has_ended.store(true, Ordering::Relaxed);
+        let mut release_state = lock(&self.release_state);
+        if self.has_attempt_in_flight {
+            release_state.mark_uncovered();
         }
-        let was_sent = cleanup.was_sent();
-        drop(cleanup);
-        if was_sent && !self.streams {
-            self.releaser.release_at_end(&self.id, &self.cleanup, self.attempt_is_out);
+        let has_been_sent = release_state.has_been_sent();
+        drop(release_state);
+        if has_been_sent && !self.is_streaming {
+            self.releaser.release_at_end(&self.id, &self.release_state, self.has_attempt_in_flight);
         }
         self.report(Report::Closed);
     }
--- a/core/src/exclusion.rs
+++ b/core/src/exclusion.rs
@@ -9,7 +9,7 @@
 use frosttrail::{Health, Id, ListUpdateKind, Micros, ServerEntry};
 
 /// So many instances may be excluded at a time.
-const EXCLUDED_MAX: usize = 4_096;
+const MAX_EXCLUDED: usize = 4_096;
 
 /// Why an instance can't be taken out or put back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -18,7 +18,7 @@
     #[error("no such instance; take the id from discovery's list")]
     Unknown,
     /// The bound on excluded instances is reached.
-    #[error("{EXCLUDED_MAX} instances are excluded; include some that have gone")]
+    #[error("{MAX_EXCLUDED} instances are excluded; include some that have gone")]
     TooMany,
 }
 
@@ -28,36 +28,36 @@
     listed: BTreeMap<Id, ServerEntry>,
     excluded: BTreeSet<Id>,
     /// When an instance was put back, for as long as it counts as started then.
-    included: BTreeMap<Id, Micros>,
+    included_at: BTreeMap<Id, Micros>,
     /// How long an instance takes to warm up.
-    warm_within: Micros,
+    slow_start_duration: Micros,
 }
 
 impl Exclusions {
     /// Nothing is listed yet; these are excluded from before.
-    pub fn new(excluded: impl IntoIterator<Item = Id>, warm_within: Micros) -> Self {
-        let excluded = excluded.into_iter().take(EXCLUDED_MAX).collect();
-        Exclusions { excluded, warm_within, ..Exclusions::default() }
+    pub fn new(excluded: impl IntoIterator<Item = Id>, slow_start_duration: Micros) -> Self {
+        let excluded = excluded.into_iter().take(MAX_EXCLUDED).collect();
+        Exclusions { excluded, slow_start_duration, ..Exclusions::default() }
     }
 
     /// Instances that were put back a while ago and still count as started then, and how long ago that was.
-    pub fn included_before(&self, now: Micros) -> Vec<(Id, Micros)> {
-        self.included.iter().map(|(id, at)| (id.clone(), now.saturating_sub(*at))).collect()
+    pub fn inclusion_ages(&self, now: Micros) -> Vec<(Id, Micros)> {
+        self.included_at.iter().map(|(id, at)| (id.clone(), now.saturating_sub(*at))).collect()
     }
 
     /// The same as another process has it.
-    pub fn set_included_before(&mut self, now: Micros, included: Vec<(Id, Micros)>) {
-        let at = included.into_iter().map(|(id, before)| (id, now.saturating_sub(before)));
-        self.included.extend(at.take(EXCLUDED_MAX));
+    pub fn restore_inclusions(&mut self, now: Micros, included: Vec<(Id, Micros)>) {
+        let included_at = included.into_iter().map(|(id, age)| (id, now.saturating_sub(age)));
+        self.included_at.extend(included_at.take(MAX_EXCLUDED));
     }
 
     /// Makes the excluded instances these, and gives those that changed: whatever another process was told.
-    pub fn replace(&mut self, now: Micros, excluded: BTreeSet<Id>) -> Vec<Id> {
+    pub fn replace_excluded(&mut self, now: Micros, excluded: BTreeSet<Id>) -> Vec<Id> {
         let changed: Vec<Id> = self.excluded.symmetric_difference(&excluded).cloned().collect();
         for id in &changed {
             match excluded.contains(id) {
-                true => self.included.remove(id),
-                false => self.included.insert(id.clone(), now),
+                true => self.included_at.remove(id),
+                false => self.included_at.insert(id.clone(), now),
             };
         }
         self.excluded = excluded;
@@ -65,14 +65,19 @@
     }
 
     /// How long an instance takes to warm up, as new settings say.
-    pub fn set_warm_within(&mut self, warm_within: Micros) {
-        self.warm_within = warm_within;
+    pub fn set_slow_start_duration(&mut self, slow_start_duration: Micros) {
+        self.slow_start_duration = slow_start_duration;
     }
 
     /// News of the list; gives the entries as the decisions should have them.
-    pub fn news(&mut self, now: Micros, form: ListUpdateKind, entries: &[ServerEntry]) -> Vec<ServerEntry> {
-        self.included.retain(|_, at| now < *at + self.warm_within);
-        if matches!(form, ListUpdateKind::Full | ListUpdateKind::StaleCopy) {
+    pub fn apply_update(
+        &mut self,
+        now: Micros,
+        kind: ListUpdateKind,
+        entries: &[ServerEntry],
+    ) -> Vec<ServerEntry> {
+        self.included_at.retain(|_, at| now < *at + self.slow_start_duration);
+        if matches!(kind, ListUpdateKind::Full | ListUpdateKind::StaleCopy) {
             self.listed.clear();
         }
         for entry in entries {
@@ -81,17 +86,17 @@
                 Health::Up | Health::Draining => self.listed.insert(entry.server.clone(), entry.clone()),
             };
         }
-        entries.iter().map(|entry| self.effective(entry)).collect()
+        entries.iter().map(|entry| self.apply_overrides(entry)).collect()
     }
 
     /// Takes an instance out.
     pub fn exclude(&mut self, id: &Id) -> Result<(), ExclusionError> {
         self.check_known(id)?;
-        if !self.excluded.contains(id) && self.excluded.len() >= EXCLUDED_MAX {
+        if !self.excluded.contains(id) && self.excluded.len() >= MAX_EXCLUDED {
             return Err(ExclusionError::TooMany);
         }
         self.excluded.insert(id.clone());
-        self.included.remove(id);
+        self.included_at.remove(id);
         Ok(())
     }
 
@@ -99,14 +104,14 @@
     pub fn include(&mut self, now: Micros, id: &Id) -> Result<(), ExclusionError> {
         self.check_known(id)?;
         if self.excluded.remove(id) {
-            self.included.insert(id.clone(), now);
+            self.included_at.insert(id.clone(), now);
         }
         Ok(())
     }
 
     /// A listed instance as the decisions should have it.
-    pub fn entry(&self, id: &Id) -> Option<ServerEntry> {
-        self.listed.get(id).map(|entry| self.effective(entry))
+    pub fn effective_entry(&self, id: &Id) -> Option<ServerEntry> {
+        self.listed.get(id).map(|entry| self.apply_overrides(entry))
     }
 
     /// Whether an instance is excluded.
@@ -122,13 +127,13 @@
         }
     }
 
-    fn effective(&self, entry: &ServerEntry) -> ServerEntry {
+    fn apply_overrides(&self, entry: &ServerEntry) -> ServerEntry {
         let mut entry = entry.clone();
         if entry.health == Health::Up && self.excluded.contains(&entry.server) {
             entry.health = Health::Draining;
         }
-        if let Some(included) = self.included.get(&entry.server) {
-            entry.started = entry.started.max(*included);
+        if let Some(included_at) = self.included_at.get(&entry.server) {
+            entry.started = entry.started.max(*included_at);
         }
         entry
     }
--- a/core/src/metrics.rs
+++ b/core/src/metrics.rs
@@ -13,25 +13,25 @@
 /// Names begin with this.
 const NAMESPACE: &str = "svc";
 /// The label that holds a request's class.
-const CLASS: &str = "group";
+const CLASS_LABEL: &str = "group";
 /// The label that holds a rule.
-const RULE: &str = "rule";
+const RULE_LABEL: &str = "rule";
 /// A request that has had no attempt.
-const UNSENT: &str = "unsent";
+const NO_ATTEMPT: &str = "unsent";
 /// The label that holds why something was done, or was not.
-const REASON: &str = "reason";
+const REASON_LABEL: &str = "reason";
 
 /// Refused before any decision, as those were too slow.
-const AT_THE_DOOR: &str = "at_the_door";
+const EARLY_REFUSAL: &str = "at_the_door";
 /// Bounds of the histograms of decisions, in seconds.
-const DECISION_SECONDS: [f64; 8] = [0.0001, 0.0005, 0.002, 0.01, 0.05, 0.2, 1.0, 5.0];
+const DECISION_BUCKETS_SECONDS: [f64; 8] = [0.0001, 0.0005, 0.002, 0.01, 0.05, 0.2, 1.0, 5.0];
 
 /// Counters and gauges. Clones count together.
 #[derive(Clone)]
 pub struct Metrics {
     registry: Registry,
     /// Held while a request moves from the open ones to the ended ones, and while all figures are read.
-    moving: Arc<Mutex<()>>,
+    request_end_lock: Arc<Mutex<()>>,
     answered: IntCounterVec,
     deferred: IntCounterVec,
     errored: IntCounterVec,
@@ -49,7 +49,7 @@
     /// What one command has cost the decisions.
     decisions: Histogram,
     /// How long commands have waited for the decisions.
-    waits: Histogram,
+    decision_waits: Histogram,
     /// The age of the oldest command that waits, in seconds, and how many wait.
     lag: Gauge,
     backlog: IntGauge,
@@ -86,7 +86,7 @@
         };
         let seconds = |name: &str, help: &str| {
             let options = HistogramOpts::new(name, help).namespace(NAMESPACE);
-            let histogram = Histogram::with_opts(options.buckets(DECISION_SECONDS.to_vec()))?;
+            let histogram = Histogram::with_opts(options.buckets(DECISION_BUCKETS_SECONDS.to_vec()))?;
             registry.register(Box::new(histogram.clone()))?;
             prometheus::Result::Ok(histogram)
         };
@@ -95,25 +95,25 @@
         )?;
         registry.register(Box::new(lag.clone()))?;
         Ok(Metrics {
-            overdue: by_label("overdue", "Final answers without a decision in time.", REASON)?,
+            overdue: by_label("overdue", "Final answers without a decision in time.", REASON_LABEL)?,
             decisions: seconds("decision_seconds", "What a command costs the decisions.")?,
-            waits: seconds("decision_wait_seconds", "How long commands wait for the decisions.")?,
+            decision_waits: seconds("decision_wait_seconds", "How long commands wait for the decisions.")?,
             lag,
             backlog: gauge("decision_backlog", "Commands that wait for the decisions.")?,
-            answered: by_label("answered", "Requests served to their last chunk.", CLASS)?,
-            deferred: by_label("deferred", "Requests refused.", CLASS)?,
-            errored: by_label("errored", "Requests that failed, or whose client left.", CLASS)?,
-            withheld: by_label("sends_withheld", "Attempts decided and not begun.", REASON)?,
-            violations: by_label("violations", "Actions withheld as they would break a rule.", RULE)?,
-            retries: by_label("retries", "Further attempts, by the end of the one before.", REASON)?,
-            refusals: by_label("refusals", "Refusals, by the end of the last attempt.", REASON)?,
+            answered: by_label("answered", "Requests served to their last chunk.", CLASS_LABEL)?,
+            deferred: by_label("deferred", "Requests refused.", CLASS_LABEL)?,
+            errored: by_label("errored", "Requests that failed, or whose client left.", CLASS_LABEL)?,
+            withheld: by_label("sends_withheld", "Attempts decided and not begun.", REASON_LABEL)?,
+            violations: by_label("violations", "Actions withheld as they would break a rule.", RULE_LABEL)?,
+            retries: by_label("retries", "Further attempts, by the end of the one before.", REASON_LABEL)?,
+            refusals: by_label("refusals", "Refusals, by the end of the last attempt.", REASON_LABEL)?,
             current: gauge("current", "Requests taken and not ended.")?,
             sends: counter("sends", "Attempts written whole to instances.")?,
             cluster_size: gauge("cluster_size", "Instances in the list.")?,
             cluster_unhealthy: gauge("cluster_unhealthy", "Listed instances that are avoided now.")?,
             conf_loaded: counter("conf_loaded", "Configurations put in force at SIGHUP.")?,
             conf_invalid: counter("conf_invalid", "Configurations turned down at SIGHUP.")?,
-            moving: Arc::default(),
+            request_end_lock: Arc::default(),
             registry,
         })
     }
@@ -121,58 +121,58 @@
     /// All of them as text.
     pub fn encode_text(&self) -> prometheus::Result<String> {
         let mut text = Vec::new();
-        let figures = {
-            let _moving = lock(&self.moving);
+        let metric_families = {
+            let _guard = lock(&self.request_end_lock);
             self.registry.gather()
         };
-        TextEncoder::new().encode(&figures, &mut text)?;
+        TextEncoder::new().encode(&metric_families, &mut text)?;
         Ok(String::from_utf8_lossy(&text).into_owned())
     }
 
     /// An attempt was not begun.
-    pub(crate) fn withheld(&self, why: WithheldReason) {
-        self.withheld.with_label_values(&[why.label()]).inc();
+    pub(crate) fn count_withheld(&self, reason: WithheldReason) {
+        self.withheld.with_label_values(&[reason.label()]).inc();
     }
 
     /// An action would have broken a rule.
-    pub(crate) fn violated(&self, violation: Violation) {
+    pub(crate) fn count_violation(&self, violation: Violation) {
         self.violations.with_label_values(&[violation.label()]).inc();
     }
 
     /// A further attempt goes out after one that ended so.
-    pub(crate) fn retried(&self, last: Outcome) {
-        self.retries.with_label_values(&[label(last)]).inc();
+    pub(crate) fn count_retry(&self, last_outcome: Outcome) {
+        self.retries.with_label_values(&[outcome_label(last_outcome)]).inc();
     }
 
     /// A request is refused whose last attempt, if there was one, ended so.
-    pub(crate) fn refused(&self, last: Option<Outcome>) {
-        self.refusals.with_label_values(&[last.map_or(UNSENT, label)]).inc();
+    pub(crate) fn count_refusal(&self, last_outcome: Option<Outcome>) {
+        self.refusals.with_label_values(&[last_outcome.map_or(NO_ATTEMPT, outcome_label)]).inc();
     }
 
     /// A request is refused before any decision.
-    pub(crate) fn refused_at_the_door(&self) {
-        self.refusals.with_label_values(&[AT_THE_DOOR]).inc();
+    pub(crate) fn count_early_refusal(&self) {
+        self.refusals.with_label_values(&[EARLY_REFUSAL]).inc();
     }
 
     /// A request has answered itself, with a refusal or a failure.
-    pub(crate) fn overdue(&self, refused: bool) {
-        self.overdue.with_label_values(&[if refused { "refused" } else { "failed" }]).inc();
+    pub(crate) fn count_overdue(&self, is_refusal: bool) {
+        self.overdue.with_label_values(&[if is_refusal { "refused" } else { "failed" }]).inc();
     }
 
     /// A command has cost the decisions so much.
-    pub(crate) fn decided(&self, took: Duration) {
+    pub(crate) fn observe_decision(&self, took: Duration) {
         self.decisions.observe(took.as_secs_f64());
     }
 
     /// A command has waited for so long.
-    pub(crate) fn waited(&self, wait: Duration) {
-        self.waits.observe(wait.as_secs_f64());
+    pub(crate) fn observe_wait(&self, wait: Duration) {
+        self.decision_waits.observe(wait.as_secs_f64());
     }
 
     /// So many commands wait, the oldest for so long.
-    pub(crate) fn set_backlog(&self, waiting: usize, age: Duration) {
-        self.backlog.set(waiting as i64);
-        self.lag.set(age.as_secs_f64());
+    pub(crate) fn set_backlog(&self, waiting_count: usize, oldest_age: Duration) {
+        self.backlog.set(waiting_count as i64);
+        self.lag.set(oldest_age.as_secs_f64());
     }
 
     /// Each class has its figures before its first request.
@@ -185,21 +185,21 @@
     }
 
     /// A request of this class has been taken.
-    pub(crate) fn open(&self, class: &str) -> Account {
+    pub(crate) fn open_request(&self, class: &str) -> RequestMetrics {
         self.current.inc();
-        Account {
+        RequestMetrics {
             answered: self.answered.with_label_values(&[class]),
             deferred: self.deferred.with_label_values(&[class]),
             errored: self.errored.with_label_values(&[class]),
             current: self.current.clone(),
-            moving: self.moving.clone(),
-            end: End::Errored,
+            request_end_lock: self.request_end_lock.clone(),
+            counted_as: CountedAs::Errored,
         }
     }
 }
 
 /// An outcome as it stands in figures.
-fn label(outcome: Outcome) -> &'static str {
+fn outcome_label(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Served => "served",
         Outcome::PrefillDone => "read_done",
@@ -216,55 +216,55 @@
 }
 
 /// It guards no data, so that a panic elsewhere does no harm.
-fn lock(moving: &Mutex<()>) -> MutexGuard<'_, ()> {
-    moving.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock(request_end_lock: &Mutex<()>) -> MutexGuard<'_, ()> {
+    request_end_lock.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 #[derive(Clone, Copy, Debug)]
-enum End {
+enum CountedAs {
     Answered,
     Deferred,
     Errored,
-    NotTaken,
+    NotCounted,
 }
 
 /// One open request. It is counted when this is dropped: as failed, unless it was marked otherwise.
 #[derive(Debug)]
-pub(crate) struct Account {
+pub(crate) struct RequestMetrics {
     answered: IntCounter,
     deferred: IntCounter,
     errored: IntCounter,
     current: IntGauge,
-    moving: Arc<Mutex<()>>,
-    end: End,
+    request_end_lock: Arc<Mutex<()>>,
+    counted_as: CountedAs,
 }
 
-impl Account {
+impl RequestMetrics {
     /// The last chunk of its answer has come.
-    pub(crate) fn answered(&mut self) {
-        self.end = End::Answered;
+    pub(crate) fn mark_answered(&mut self) {
+        self.counted_as = CountedAs::Answered;
     }
 
     /// It is refused.
-    pub(crate) fn deferred(&mut self) {
-        self.end = End::Deferred;
+    pub(crate) fn mark_deferred(&mut self) {
+        self.counted_as = CountedAs::Deferred;
     }
 
     /// It was no request: its id is in use.
-    pub(crate) fn not_taken(&mut self) {
-        self.end = End::NotTaken;
+    pub(crate) fn mark_not_counted(&mut self) {
+        self.counted_as = CountedAs::NotCounted;
     }
 }
 
-impl Drop for Account {
+impl Drop for RequestMetrics {
     fn drop(&mut self) {
-        let _moving = lock(&self.moving);
+        let _guard = lock(&self.request_end_lock);
         self.current.dec();
-        match self.end {
-            End::Answered => self.answered.inc(),
-            End::Deferred => self.deferred.inc(),
-            End::Errored => self.errored.inc(),
-            End::NotTaken => {}
+        match self.counted_as {
+            CountedAs::Answered => self.answered.inc(),
+            CountedAs::Deferred => self.deferred.inc(),
+            CountedAs::Errored => self.errored.inc(),
+            CountedAs::NotCounted => {}
         }
     }
 }
--- a/core/src/permit.rs
+++ b/core/src/permit.rs
@@ -48,59 +48,69 @@
 
 /// Servers that may get something new, with their start times; clones share them.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Admissions(Arc<RwLock<HashMap<Id, Micros>>>);
+pub(crate) struct AdmittingServers(Arc<RwLock<HashMap<Id, Micros>>>);
 
-impl Admissions {
+impl AdmittingServers {
     /// Follows the list of servers, as the decisions have it.
-    pub(crate) fn follow(&self, form: ListUpdateKind, entries: &[ServerEntry]) {
-        let mut open = self.0.write().unwrap_or_else(PoisonError::into_inner);
-        if matches!(form, ListUpdateKind::Full | ListUpdateKind::StaleCopy) {
-            open.clear();
+    pub(crate) fn apply_update(&self, kind: ListUpdateKind, entries: &[ServerEntry]) {
+        let mut servers = self.0.write().unwrap_or_else(PoisonError::into_inner);
+        if matches!(kind, ListUpdateKind::Full | ListUpdateKind::StaleCopy) {
+            servers.clear();
         }
         for entry in entries {
             match entry.health {
-                Health::Up => open.insert(entry.server.clone(), entry.started),
-                Health::Draining | Health::Gone => open.remove(&entry.server),
+                Health::Up => servers.insert(entry.server.clone(), entry.started),
+                Health::Draining | Health::Gone => servers.remove(&entry.server),
             };
         }
     }
 
     /// A server takes nothing new from now on.
-    pub(crate) fn close(&self, server: &Id) {
+    pub(crate) fn remove(&self, server: &Id) {
         self.0.write().unwrap_or_else(PoisonError::into_inner).remove(server);
     }
 
-    fn started(&self, server: &Id) -> Option<Micros> {
+    fn started_at(&self, server: &Id) -> Option<Micros> {
         self.0.read().unwrap_or_else(PoisonError::into_inner).get(server).copied()
     }
 
     /// Leave for an attempt under these conditions.
-    pub(crate) fn permit(&self, conditions: Conditions, clock: Clock, metrics: Metrics) -> SendPermit {
-        SendPermit(Some(Arc::new(Permit { admissions: self.clone(), conditions, clock, metrics })))
+    pub(crate) fn issue_permit(
+        &self,
+        conditions: PermitConditions,
+        clock: Clock,
+        metrics: Metrics,
+    ) -> SendPermit {
+        SendPermit(Some(Arc::new(ConditionalPermit {
+            admitting_servers: self.clone(),
+            conditions,
+            clock,
+            metrics,
+        })))
     }
 }
 
 /// Under which an attempt was decided.
 #[derive(Debug)]
-pub(crate) struct Conditions {
+pub(crate) struct PermitConditions {
     pub(crate) server: Id,
     /// The start of the server as the decisions knew it; `None` where it took nothing new by then.
-    pub(crate) started: Option<Micros>,
+    pub(crate) server_started_at: Option<Micros>,
     /// Nothing is written from then on, as it would be a repeat outside of its window.
     pub(crate) send_by: Option<Micros>,
     /// When the request's client stops waiting.
     pub(crate) deadline: Micros,
     /// Set once the request has ended.
-    pub(crate) ended: Arc<AtomicBool>,
+    pub(crate) has_ended: Arc<AtomicBool>,
 }
 
 /// Leave to begin one attempt.
 #[derive(Clone)]
-pub struct SendPermit(Option<Arc<Permit>>);
+pub struct SendPermit(Option<Arc<ConditionalPermit>>);
 
-struct Permit {
-    admissions: Admissions,
-    conditions: Conditions,
+struct ConditionalPermit {
+    admitting_servers: AdmittingServers,
+    conditions: PermitConditions,
     clock: Clock,
     metrics: Metrics,
 }
@@ -124,29 +134,29 @@
     /// and its server is not to blame.
     pub fn check(&self) -> Result<(), WithheldReason> {
         let Some(permit) = &self.0 else { return Ok(()) };
-        permit.check().inspect_err(|withheld| permit.metrics.withheld(*withheld))
+        permit.check().inspect_err(|reason| permit.metrics.count_withheld(*reason))
     }
 }
 
-impl Permit {
+impl ConditionalPermit {
     fn check(&self) -> Result<(), WithheldReason> {
-        let Conditions { server, started, send_by, deadline, ended } = &self.conditions;
-        if ended.load(Ordering::Relaxed) {
+        let PermitConditions { server, server_started_at, send_by, deadline, has_ended } = &self.conditions;
+        if has_ended.load(Ordering::Relaxed) {
             return Err(WithheldReason::RequestEnded);
         }
         let now = self.clock.now();
         if now >= *deadline {
             return Err(WithheldReason::DeadlineOver);
         }
-        let listed = self.admissions.started(server);
-        if listed.is_none() {
+        let listed_start = self.admitting_servers.started_at(server);
+        if listed_start.is_none() {
             return Err(WithheldReason::ServerClosed);
         }
-        if listed != *started {
+        if listed_start != *server_started_at {
             return Err(WithheldReason::ServerRestarted);
         }
         match send_by {
-            Some(by) if now >= *by => Err(WithheldReason::WindowOver),
+            Some(send_by) if now >= *send_by => Err(WithheldReason::WindowOver),
             _ => Ok(()),
         }
     }
--- a/core/tests/unit/answer_stream.rs
+++ b/core/tests/unit/answer_stream.rs
@@ -1,4 +1,4 @@
-//! A stream and the orders that cross its events.
+//! A stream and the instructions that cross its events.
 
 use std::future::poll_fn;
 
@@ -10,75 +10,84 @@
 use crate::cache_clock::CacheClock;
 use crate::clock::Clock;
 use crate::command::Command;
-use crate::command_queue::{commands, CommandReceiver};
+use crate::command_queue::{command_queue, CommandReceiver};
 use crate::entry::IdClaim;
 use crate::permit::SendPermit;
-use crate::release::{Cleanup, Releaser};
+use crate::release::{ReleaseState, Releaser};
 
 /// A stream holds nothing.
 struct NoReleases;
 
 impl Releaser for NoReleases {
-    fn release(&self, _: &Id, _: &Mutex<Cleanup>) {
+    fn release(&self, _: &Id, _: &Mutex<ReleaseState>) {
         panic!("nothing is held");
     }
 
-    fn release_at_end(&self, _: &Id, _: &Mutex<Cleanup>, _: bool) {
+    fn release_at_end(&self, _: &Id, _: &Mutex<ReleaseState>, _: bool) {
         panic!("nothing is held");
     }
 
-    fn told(&self, _: &Id, _: Outcome, _: Micros) {}
+    fn record_outcome(&self, _: &Id, _: Outcome, _: Micros) {}
 }
 
 /// Events that lie ready, or come later.
-struct Told(mpsc::UnboundedReceiver<StreamStep>);
+struct ChannelEvents(mpsc::UnboundedReceiver<StreamStep>);
 
-impl EventStream for Told {
+impl EventStream for ChannelEvents {
     fn poll_step(&mut self, cx: &mut Context<'_>) -> Poll<StreamStep> {
         self.0.poll_recv(cx).map(|step| step.unwrap_or(StreamStep::End))
     }
 }
 
-struct Ends {
-    orders: mpsc::UnboundedSender<Order>,
+struct StreamHandles {
+    instructions: mpsc::UnboundedSender<Instruction>,
     events: mpsc::UnboundedSender<StreamStep>,
     reports: CommandReceiver,
 }
 
-fn stream() -> (AnswerStream<Told>, Ends) {
-    let (orders, verdicts) = mpsc::unbounded_channel();
-    let (events, told) = mpsc::unbounded_channel();
-    let (commands, reports) = commands(Clock::new());
-    let entry = Entry {
+fn stream() -> (AnswerStream<ChannelEvents>, StreamHandles) {
+    let (instructions, received_instructions) = mpsc::unbounded_channel();
+    let (events, received_events) = mpsc::unbounded_channel();
+    let (commands, reports) = command_queue(Clock::new());
+    let registration = Registration {
         id: "id".into(),
-        ticket: 0,
-        orders: verdicts,
+        call_id: 0,
+        instructions: received_instructions,
         commands,
-        account: crate::Metrics::new().unwrap().open("ask"),
-        ended: Arc::default(),
-        cleanup: Arc::default(),
+        metrics: crate::Metrics::new().unwrap().open_request("ask"),
+        has_ended: Arc::default(),
+        release_state: Arc::default(),
         releaser: Arc::new(NoReleases),
-        cache: CacheClock::default(),
-        attempt_is_out: false,
-        streams: true,
-        _claim: IdClaim::new(&Arc::default(), &"id".into()).unwrap(),
+        cache_clock: CacheClock::default(),
+        has_attempt_in_flight: false,
+        is_streaming: true,
+        _claim: IdClaim::acquire(&Arc::default(), &"id".into()).unwrap(),
     };
-    (AnswerStream::new(entry, Told(told)), Ends { orders, events, reports })
+    (
+        AnswerStream::new(registration, ChannelEvents(received_events)),
+        StreamHandles { instructions, events, reports },
+    )
 }
 
-fn order(verdict: Decision) -> Order {
-    Order { verdict, after: None, permit: SendPermit::unconditional(), takes_effect: true }
+fn instruction(decision: Decision) -> Instruction {
+    Instruction {
+        decision,
+        previous_release: None,
+        permit: SendPermit::unconditional(),
+        may_take_effect: true,
+    }
 }
 
 fn event() -> StreamStep {
     StreamStep::Event(Bytes::from_static(b"data: x\n\n"))
 }
 
-fn outcomes(ends: &mut Ends) -> Vec<Outcome> {
+fn outcomes(handles: &mut StreamHandles) -> Vec<Outcome> {
     let mut all = Vec::new();
     let mut cx = Context::from_waker(std::task::Waker::noop());
-    while let Poll::Ready(Some((command, taken))) = std::pin::pin!(ends.reports.recv()).poll(&mut cx) {
-        taken.done(Duration::ZERO);
+    while let Poll::Ready(Some((command, in_progress))) = std::pin::pin!(handles.reports.recv()).poll(&mut cx)
+    {
+        in_progress.finish(Duration::ZERO);
         if let Command::Report(_, _, Report::Ended { outcome, .. }) = command {
             all.push(outcome);
         }
@@ -90,17 +99,17 @@
 #[tokio::test(start_paused = true)]
 async fn a_stream_that_moves_ends_whatever_lies_ready() {
     for before in [0, 1, 3] {
-        let (mut stream, mut ends) = stream();
+        let (mut stream, mut handles) = stream();
         for _ in 0..before {
-            ends.events.send(event()).unwrap();
+            handles.events.send(event()).unwrap();
             assert!(matches!(poll_fn(|cx| stream.poll_next(cx)).await, Some(Ok(_))));
         }
-        ends.events.send(event()).unwrap();
-        ends.orders.send(order(Decision::Move)).unwrap();
-        ends.events.send(event()).unwrap();
+        handles.events.send(event()).unwrap();
+        handles.instructions.send(instruction(Decision::Move)).unwrap();
+        handles.events.send(event()).unwrap();
         assert_eq!(poll_fn(|cx| stream.poll_next(cx)).await, Some(Err(StreamBroken)), "{before} before");
         assert!(stream.is_finished() && poll_fn(|cx| stream.poll_next(cx)).await.is_none());
-        assert_eq!(outcomes(&mut ends), [Outcome::Cancelled], "told once");
+        assert_eq!(outcomes(&mut handles), [Outcome::Cancelled], "reported once");
     }
 }
 
@@ -108,16 +117,16 @@
 /// stream.
 #[tokio::test(start_paused = true)]
 async fn an_answer_that_came_too_late_hides_no_move() {
-    let (mut stream, ends) = stream();
+    let (mut stream, handles) = stream();
     for late in [Decision::Refuse { retry_after: 0 }, Decision::Fail, Decision::Cancel] {
-        ends.orders.send(order(late)).unwrap();
-        ends.events.send(event()).unwrap();
+        handles.instructions.send(instruction(late)).unwrap();
+        handles.events.send(event()).unwrap();
         assert!(matches!(poll_fn(|cx| stream.poll_next(cx)).await, Some(Ok(_))));
     }
-    ends.orders.send(order(Decision::Cancel)).unwrap();
+    handles.instructions.send(instruction(Decision::Cancel)).unwrap();
     let waits = tokio::spawn(async move { poll_fn(|cx| stream.poll_next(cx)).await });
     tokio::task::yield_now().await;
-    ends.orders.send(order(Decision::Move)).unwrap();
+    handles.instructions.send(instruction(Decision::Move)).unwrap();
     let begin = Instant::now();
     assert_eq!(waits.await.unwrap(), Some(Err(StreamBroken)));
     assert_eq!(begin.elapsed(), Duration::ZERO, "it was not woken");
@@ -127,31 +136,34 @@
 #[tokio::test(start_paused = true)]
 async fn a_client_that_took_nothing_for_a_while_finds_its_stream_alive() {
     for pause in [1, 4, 5, 60] {
-        let (mut stream, mut ends) = stream();
-        ends.events.send(event()).unwrap();
+        let (mut stream, mut handles) = stream();
+        handles.events.send(event()).unwrap();
         assert!(matches!(poll_fn(|cx| stream.poll_next(cx)).await, Some(Ok(_))));
         tokio::time::sleep(Duration::from_secs(pause)).await;
-        let events = ends.events.clone();
+        let events = handles.events.clone();
         tokio::spawn(async move {
             tokio::time::sleep(Duration::from_millis(100)).await;
             events.send(event()).unwrap();
         });
         assert!(matches!(poll_fn(|cx| stream.poll_next(cx)).await, Some(Ok(_))), "after {pause} s");
-        assert_eq!(outcomes(&mut ends), []);
+        assert_eq!(outcomes(&mut handles), []);
     }
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_server_that_says_nothing_is_given_up_within_the_time_of_a_waiting_client() {
     for pause in [0, 1_000, 4_400, 4_600] {
-        let (mut stream, mut ends) = stream();
-        ends.events.send(event()).unwrap();
+        let (mut stream, mut handles) = stream();
+        handles.events.send(event()).unwrap();
         assert!(matches!(poll_fn(|cx| stream.poll_next(cx)).await, Some(Ok(_))));
         let begin = Instant::now();
         tokio::time::sleep(Duration::from_millis(pause)).await;
         assert_eq!(poll_fn(|cx| stream.poll_next(cx)).await, Some(Err(StreamBroken)));
-        let all = begin.elapsed();
-        assert!(all >= SILENCE && all < Duration::from_secs(5), "{pause} ms, then {all:?}");
-        assert_eq!(outcomes(&mut ends), [Outcome::NoAnswer]);
+        let elapsed = begin.elapsed();
+        assert!(
+            elapsed >= SILENCE_TIMEOUT && elapsed < Duration::from_secs(5),
+            "{pause} ms, then {elapsed:?}"
+        );
+        assert_eq!(outcomes(&mut handles), [Outcome::NoAnswer]);
     }
 }
--- a/core/tests/unit/reachability.rs
+++ b/core/tests/unit/reachability.rs
@@ -15,13 +15,13 @@
         .into_iter()
         .chain(["b1", "b2"].map(|n| entry(n, 1)))
         .collect();
-    reachability.members(ListUpdateKind::Full, &entries);
+    reachability.apply_update(ListUpdateKind::Full, &entries);
     reachability
 }
 
 fn order(reachability: &Reachability, sent_to: &[&str]) -> Vec<String> {
     let sent_to: Vec<Id> = sent_to.iter().map(|s| Id::from(*s)).collect();
-    reachability.order(&sent_to).iter().map(Id::to_string).collect()
+    reachability.call_order(&sent_to).iter().map(Id::to_string).collect()
 }
 
 #[test]
@@ -34,7 +34,7 @@
         ("b1", Outcome::Served, 5),
         ("b2", Outcome::NoAnswer, 6),
     ] {
-        reachability.told(&id.into(), outcome, at);
+        reachability.record_outcome(&id.into(), outcome, at);
     }
     assert_eq!(order(&reachability, &["a2", "a1", "x"]), ["a1", "b1", "a3", "a2", "b2", "x"]);
 }
@@ -47,28 +47,29 @@
 #[test]
 fn a_list_keeps_what_was_heard_of_those_that_stay() {
     let mut reachability = fleet();
-    reachability.told(&"a3".into(), Outcome::PrefillDone, 10);
-    reachability.told(&"b2".into(), Outcome::NoConnection, 10);
-    reachability.members(ListUpdateKind::Full, &[entry("a1", 0), entry("a3", 0), entry("b2", 0)]);
+    reachability.record_outcome(&"a3".into(), Outcome::PrefillDone, 10);
+    reachability.record_outcome(&"b2".into(), Outcome::NoConnection, 10);
+    reachability.apply_update(ListUpdateKind::Full, &[entry("a1", 0), entry("a3", 0), entry("b2", 0)]);
     assert_eq!(order(&reachability, &[]), ["a3", "a1", "b2"]);
-    reachability.members(ListUpdateKind::Changes, &[ServerEntry { health: Health::Gone, ..entry("a3", 0) }]);
-    assert_eq!((order(&reachability, &[]), reachability.count()), (vec!["a1".into(), "b2".into()], 2));
+    reachability
+        .apply_update(ListUpdateKind::Changes, &[ServerEntry { health: Health::Gone, ..entry("a3", 0) }]);
+    assert_eq!((order(&reachability, &[]), reachability.listed_count()), (vec!["a1".into(), "b2".into()], 2));
 }
 
 /// Whatever was told: each server once, none that answered behind one that did not, and of the two first
 /// that answered one in each zone, where there are such.
 #[test]
 fn any_order_holds_every_box_once() {
-    fn holds(told: Vec<(u8, bool)>) -> bool {
+    fn holds(reports: Vec<(u8, bool)>) -> bool {
         let mut reachability = fleet();
         let names = ["a1", "a2", "a3", "b1", "b2"];
-        for (at, (which, heard)) in told.iter().enumerate() {
-            let outcome = if *heard { Outcome::Served } else { Outcome::NoConnection };
-            reachability.told(&names[usize::from(*which) % 5].into(), outcome, 1 + at as Micros);
+        for (at, (which, was_heard)) in reports.iter().enumerate() {
+            let outcome = if *was_heard { Outcome::Served } else { Outcome::NoConnection };
+            reachability.record_outcome(&names[usize::from(*which) % 5].into(), outcome, 1 + at as Micros);
         }
-        let order = reachability.order(&[]);
+        let order = reachability.call_order(&[]);
         let silent: Vec<bool> =
-            order.iter().map(|id| reachability.servers[id]).map(|k| k.silent > k.heard).collect();
+            order.iter().map(|id| reachability.servers[id]).map(|k| k.last_silent > k.last_heard).collect();
         let good = silent.iter().filter(|s| !**s).count();
         let zones = |n: usize| order[..n].iter().map(|id| reachability.servers[id].zone).collect::<Vec<_>>();
         let both = [0, 1].iter().all(|z| zones(good).contains(z));
@@ -87,13 +88,13 @@
 fn a_large_list_names_a_few_of_each_zone_and_those_it_went_to() {
     let mut reachability = Reachability::default();
     let entries: Vec<ServerEntry> = (0..3_000).map(|n| entry(&format!("s{n:04}"), n % 3)).collect();
-    reachability.members(ListUpdateKind::Full, &entries);
-    reachability.told(&"s2999".into(), Outcome::Served, 10);
-    reachability.told(&"s0001".into(), Outcome::NoAnswer, 20);
+    reachability.apply_update(ListUpdateKind::Full, &entries);
+    reachability.record_outcome(&"s2999".into(), Outcome::Served, 10);
+    reachability.record_outcome(&"s0001".into(), Outcome::NoAnswer, 20);
     let order = order(&reachability, &["s2000", "s0001"]);
     assert_eq!(order[0], "s2999");
     assert!(order.contains(&"s2000".to_string()) && order.last() == Some(&"s0001".to_string()));
     let zones: Vec<usize> = order.iter().map(|id| reachability.servers[&Id::from(&**id)].zone).collect();
     assert!([0, 1, 2].iter().all(|zone| zones[..3].contains(zone)), "zones take turns: {zones:?}");
-    assert!(order.len() <= 3 * NAMED_OF_ZONE + 3, "{}", order.len());
+    assert!(order.len() <= 3 * MAX_CANDIDATES_PER_ZONE + 3, "{}", order.len());
 }
--- a/core/tests/unit/release.rs
+++ b/core/tests/unit/release.rs
@@ -7,7 +7,7 @@
 use crate::traits::{AttemptReply, EventStream, StreamStep};
 
 /// How long the end of an attempt is on its way.
-const END_TAKES: Duration = Duration::from_millis(30);
+const CANCELLATION_DELAY: Duration = Duration::from_millis(30);
 
 /// Servers of which those named `a…` never answer.
 struct Servers;
@@ -29,7 +29,7 @@
     }
 
     fn cancellation_delay(&self, _: &Id) -> Duration {
-        END_TAKES
+        CANCELLATION_DELAY
     }
 
     async fn release(&self, server: &Id, _: &Id) -> bool {
@@ -44,23 +44,23 @@
     }
 }
 
-fn releases() -> Releases<Servers> {
+fn releaser() -> UpstreamReleaser<Servers> {
     let log = Logger::root(slog::Discard, slog::o!());
-    let releases = Releases::new(Arc::new(Servers), Duration::from_secs(1), Clock::new(), log);
+    let releaser = UpstreamReleaser::new(Arc::new(Servers), Duration::from_secs(1), Clock::new(), log);
     let names = (0..8).map(|n| format!("a{n}")).chain(["b0".into()]);
     let entry = |name: String| {
         let (server, health) = (name.as_str().into(), Health::Up);
         ServerEntry { server, rack: 0, kind: 0, zone: 0, started: 0, health }
     };
-    releases.members(ListUpdateKind::Full, &names.map(entry).collect::<Vec<_>>());
-    releases
+    releaser.apply_update(ListUpdateKind::Full, &names.map(entry).collect::<Vec<_>>());
+    releaser
 }
 
 /// How long a release takes until a server has taken it.
-async fn takes(releases: &Releases<Servers>, cleanup: &Mutex<Cleanup>) -> Duration {
+async fn time_release(releaser: &UpstreamReleaser<Servers>, release_state: &Mutex<ReleaseState>) -> Duration {
     let begin = Instant::now();
-    releases.release(&"q".into(), cleanup);
-    let end = lock(cleanup).end().expect("one is under way");
+    releaser.release(&"q".into(), release_state);
+    let end = lock(release_state).take_release_end().expect("one is under way");
     // It resolves as the task drops its end.
     let _ = end.await;
     begin.elapsed()
@@ -68,42 +68,42 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_server_that_did_not_take_a_release_is_not_the_first_to_be_asked_by_the_next() {
-    let releases = releases();
-    let first = takes(&releases, &Mutex::default()).await;
-    let second = takes(&releases, &Mutex::default()).await;
+    let releaser = releaser();
+    let first = time_release(&releaser, &Mutex::default()).await;
+    let second = time_release(&releaser, &Mutex::default()).await;
     assert!(first >= Duration::from_millis(400), "{first:?}");
     assert!(second < Duration::from_millis(50), "{second:?}");
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_release_at_the_end_of_a_request_goes_on_beside_the_one_before() {
-    let (releases, cleanup) = (releases(), Mutex::default());
-    releases.release(&"q".into(), &cleanup);
-    let before = lock(&cleanup).end().expect("one is under way");
-    lock(&cleanup).left_something();
-    releases.release_at_end(&"q".into(), &cleanup, false);
+    let (releaser, release_state) = (releaser(), Mutex::default());
+    releaser.release(&"q".into(), &release_state);
+    let before = lock(&release_state).take_release_end().expect("one is under way");
+    lock(&release_state).mark_uncovered();
+    releaser.release_at_end(&"q".into(), &release_state, false);
     let begin = Instant::now();
     let _ = before.await;
     assert!(begin.elapsed() >= Duration::from_millis(400), "it was ended before a server had taken it");
     // One that covers all is not begun again.
-    releases.release_at_end(&"q".into(), &cleanup, false);
-    assert_eq!(releases.tasks().len(), 0);
+    releaser.release_at_end(&"q".into(), &release_state, false);
+    assert_eq!(releaser.tasks().len(), 0);
 }
 
 /// The attempt of a client that leaves ends with its connection, and the release goes over another one: were
 /// it there first, a prefill that ends in between would leave what nobody lets go of any more.
 #[tokio::test(start_paused = true)]
 async fn a_release_does_not_overtake_the_end_of_the_attempt_that_was_cut() {
-    let releases = releases();
+    let releaser = releaser();
     // Which server answers is known by then.
-    takes(&releases, &Mutex::default()).await;
-    for cut in [true, false] {
-        let cleanup = Mutex::<Cleanup>::default();
-        lock(&cleanup).sent(&"b0".into());
+    time_release(&releaser, &Mutex::default()).await;
+    for was_cut in [true, false] {
+        let release_state = Mutex::<ReleaseState>::default();
+        lock(&release_state).record_send(&"b0".into());
         let begin = Instant::now();
-        releases.release_at_end(&"q".into(), &cleanup, cut);
-        let end = lock(&cleanup).end().expect("one is under way");
+        releaser.release_at_end(&"q".into(), &release_state, was_cut);
+        let end = lock(&release_state).take_release_end().expect("one is under way");
         let _ = end.await;
-        assert_eq!(begin.elapsed() >= END_TAKES, cut, "{:?}", begin.elapsed());
+        assert_eq!(begin.elapsed() >= CANCELLATION_DELAY, was_cut, "{:?}", begin.elapsed());
     }
 }
