--- a/core/src/answer_stream.rs
+++ b/core/src/answer_stream.rs
@@ -1,4 +1,4 @@
-//! An answer that has begun: its events as they come, and how it ends.
+//! The stream of an answer that has begun: passes its events on and reports how it ends.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -14,31 +14,32 @@
 use crate::entry::Registration;
 use crate::traits::{EventStream, StreamStep};
 
-/// A stream that says nothing for this long has lost its server: a machine that vanished ends no
-/// connection. Below the 5 s after which a waiting client counts as left waiting.
+/// A stream without an event for this long has lost its server, as a machine that disappears closes no
+/// connection. Less than the 5 s after which a waiting client counts as abandoned.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(4_500);
-/// What came while the client took nothing lies in the server's socket, and has this long to come through
-/// once the client takes events again. With the silence it stays below those 5 s.
+/// Events that came while the client did not read lie in the server's socket. They get this long to arrive
+/// once the client reads again. Together with the silence timeout this stays below those 5 s.
 const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// A stream ended before the whole of the answer had come.
+/// The stream ended before the answer was complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the answer broke off")]
+#[error("the stream ended before the answer was complete")]
 pub struct StreamBroken;
 
-/// The events of an answer that has begun, unchanged and as they come. It ends well only where the
-/// server's stream did; a break is an error, so that a front never completes it.
+/// The events of an answer that has begun, passed on unchanged as they arrive. It ends well only if the
+/// server's stream did; a break is an error, so that a front never completes such an answer.
 #[derive(Debug)]
 pub struct AnswerStream<E: EventStream> {
     registration: Option<Box<Registration>>,
     events: E,
     silence_timer: Pin<Box<tokio::time::Sleep>>,
-    /// The client waits for the next event; it took the last one a while ago, or just now.
+    /// The client waits for the next event. While false, the client may not have read for some time.
     is_awaited: bool,
 }
 
-/// Whether the stream has been given to another. A final answer that crossed the first event comes too late:
-/// that event is the final answer. All there is gets read, so that the next instruction wakes the stream.
+/// Whether the dispatcher has moved the request off this stream. A final answer that crossed the first
+/// event comes too late, as that event has made the stream the final answer. Reads every pending
+/// instruction, so that the next one wakes the stream.
 fn was_moved(instructions: &mut mpsc::UnboundedReceiver<Instruction>, cx: &mut Context<'_>) -> bool {
     while let Poll::Ready(instruction) = instructions.poll_recv(cx) {
         if instruction.is_none_or(|instruction| instruction.decision == Decision::Move) {
@@ -54,24 +55,25 @@
         AnswerStream { registration: Some(Box::new(registration)), events, silence_timer, is_awaited: false }
     }
 
-    /// The next events; `None` at the end.
+    /// The next event; `None` after the end.
     pub fn poll_next(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, StreamBroken>>> {
         let Some(registration) = &mut self.registration else { return Poll::Ready(None) };
         let is_moved = was_moved(&mut registration.instructions, cx);
         let step = match self.events.poll_step(cx) {
-            // Another goes on from here: nothing more may come of this one, whatever lies ready.
+            // The client resumes the answer elsewhere from here: no further event may pass, even one that
+            // is ready.
             _ if is_moved => StreamStep::Broken(Outcome::Cancelled),
             Poll::Ready(step) => step,
             Poll::Pending => {
                 if !std::mem::replace(&mut self.is_awaited, true) {
-                    // What was silent for a while may have been the client.
+                    // The silence so far may be that of a client that did not read.
                     let earliest = Instant::now() + CATCH_UP_TIMEOUT;
                     if self.silence_timer.deadline() < earliest {
                         self.silence_timer.as_mut().reset(earliest);
                     }
                 }
-                // One stream that stalls may be that answer's own fault; a server that has vanished shows in
-                // others.
+                // A single stalled stream may be a fault of this answer alone; a server that has
+                // disappeared shows in its other attempts as well.
                 ready!(self.silence_timer.as_mut().poll(cx));
                 StreamStep::Broken(Outcome::NoAnswer)
             }
@@ -96,7 +98,7 @@
         })
     }
 
-    /// True once the end, good or bad, has been given.
+    /// Whether the end of the stream, good or bad, has been returned.
     pub fn is_finished(&self) -> bool {
         self.registration.is_none()
     }
--- a/core/src/command.rs
+++ b/core/src/command.rs
@@ -1,4 +1,5 @@
-//! What the dispatcher is told, and what it tells requests.
+//! The messages from conductors' handles and requests to the dispatcher, and from the dispatcher to
+//! requests.
 
 use std::sync::atomic::AtomicBool;
 use std::sync::{Arc, Mutex};
@@ -12,19 +13,19 @@
 use crate::permit::SendPermit;
 use crate::release::ReleaseState;
 
-/// Tells calls apart, also where two name the same id: the second is turned down, and what it says must
-/// not touch the first.
+/// Distinguishes calls, even two with the same request id: the second is rejected, and its reports must not
+/// affect the first.
 pub(crate) type CallId = u64;
 
-/// A verdict as its request gets it.
+/// A decision as it is delivered to its request.
 #[derive(Debug)]
 pub(crate) struct Instruction {
     pub(crate) decision: Decision,
-    /// Resolves once the release before it has ended.
+    /// Resolves once the request's previous release has ended.
     pub(crate) previous_release: Option<oneshot::Receiver<()>>,
-    /// Leave for the attempt, where it is one.
+    /// The permit of the attempt, if the decision is to send one.
     pub(crate) permit: SendPermit,
-    /// Whether the attempt, where it is one, may take effect: it is more than a prefill.
+    /// Whether the attempt, if there is one, may take effect, which a prefill alone does not.
     pub(crate) may_take_effect: bool,
 }
 
@@ -33,38 +34,38 @@
 pub(crate) struct NewRequest {
     pub(crate) query: Query,
     pub(crate) call_id: CallId,
-    /// When it came.
     pub(crate) arrived_at: Micros,
-    /// When its client stops waiting.
+    /// When the client stops waiting.
     pub(crate) deadline: Micros,
-    /// Its orders go here; dropped where its id is taken.
+    /// Where the request's instructions go; dropped if its id is in use.
     pub(crate) instructions: mpsc::UnboundedSender<Instruction>,
-    /// Set once it has ended.
+    /// Set once the request has ended.
     pub(crate) has_ended: Arc<AtomicBool>,
-    /// What servers may hold for it.
+    /// The KV cache that servers may hold for it, and its release.
     pub(crate) release_state: Arc<Mutex<ReleaseState>>,
 }
 
-/// What the dispatcher is told.
+/// A message to the dispatcher.
 #[derive(Debug)]
 pub(crate) enum Command {
     /// A request has come.
     Submit(Box<NewRequest>),
-    /// Something became of a request.
+    /// The progress or end of a request's attempt, or the end of the request.
     Report(Id, CallId, Report),
-    /// News of the list, as exclusions have it. What must not wait for the decisions follows it already.
+    /// An update of the list of servers, with exclusions applied. The parts that must not wait for the
+    /// decisions have applied it already.
     UpdateServers(ListUpdateKind, Vec<ServerEntry>),
     ProbeEnded(Id, Outcome, Option<LoadReport>),
     /// The conductor is about to stop.
     Close,
-    /// This conductor's part of what all conductors share.
+    /// This conductor's share of the quota that all conductors have in common.
     SetQuotaShare(f64),
     Reconfigure(Arc<Settings>),
     ExportSnapshot(oneshot::Sender<Snapshot>),
     ExportOpenWork(oneshot::Sender<OpenWork>),
     SetForeignWork(OpenWork),
-    /// An instance was taken out of use or put back.
+    /// An instance was excluded or included.
     ExclusionChanged(Id),
-    /// Dropped once all that was told before has been seen to.
+    /// Answered once all earlier commands have been handled.
     Barrier(oneshot::Sender<()>),
 }
--- a/core/src/command_queue.rs
+++ b/core/src/command_queue.rs
@@ -1,5 +1,5 @@
-//! The way to the dispatcher: what has become of open requests goes ahead of new ones, and whoever sends can
-//! tell how long a new one would wait.
+//! The queue to the dispatcher. Commands of open requests go ahead of new requests, and senders can tell
+//! how long a new request would wait.
 
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::sync::Arc;
@@ -11,16 +11,15 @@
 use crate::clock::Clock;
 use crate::command::Command;
 
-/// So many commands of open requests are taken in a row while new ones wait.
+/// Commands other than new requests that are taken in a row while new requests wait.
 const MAX_URGENT_IN_A_ROW: u32 = 64;
-/// Weight of the latest command in what one costs, as one part of so many.
+/// The latest command counts as one part in this many in the moving average of what a command costs.
 const COST_AVERAGE_DIVISOR: u64 = 8;
 
-/// What a command has taken counts for so many times the usual at most, and this many microseconds.
+/// The measured cost of one command is capped at this multiple of the average, plus the allowance.
 const MAX_COST_MULTIPLE: u64 = 4;
 const COST_ALLOWANCE_US: u64 = 1_000;
 
-/// A command and when it was sent.
 #[derive(Debug)]
 struct QueuedCommand {
     command: Command,
@@ -31,9 +30,9 @@
 #[derive(Debug, Default)]
 pub(crate) struct Backlog {
     waiting: AtomicUsize,
-    /// Nothing that waits is older.
+    /// A lower bound for the send time of all waiting commands.
     oldest_sent_at: AtomicU64,
-    /// What a command has cost of late, in microseconds.
+    /// Moving average of the time that one command takes.
     average_cost_us: AtomicU64,
 }
 
@@ -44,10 +43,10 @@
         }
     }
 
-    /// The command in work counts as waiting until it is done.
+    /// Records that a command has been handled. Until then it counts as waiting.
     fn record_done(&self, sent_at: Micros, took: Duration) {
         let average_us = self.average_cost_us.load(Ordering::Relaxed);
-        // One command beside which the process was held up says little of the next ones.
+        // A single command during which the process was stalled says little about the next ones.
         let cost_us = (took.as_micros() as u64).min(MAX_COST_MULTIPLE * average_us + COST_ALLOWANCE_US);
         self.average_cost_us.store(
             (average_us * (COST_AVERAGE_DIVISOR - 1) + cost_us) / COST_AVERAGE_DIVISOR,
@@ -57,7 +56,7 @@
         self.waiting.fetch_sub(1, Ordering::Relaxed);
     }
 
-    /// How many commands wait.
+    /// How many commands wait, the one in progress included.
     pub(crate) fn waiting_count(&self) -> usize {
         self.waiting.load(Ordering::Relaxed)
     }
@@ -67,7 +66,7 @@
         (self.waiting_count() as u64).saturating_mul(self.average_cost_us.load(Ordering::Relaxed))
     }
 
-    /// The age of the oldest command that waits, or of one that was taken just before it.
+    /// The age of the oldest waiting command, or of one that was taken shortly before it.
     pub(crate) fn oldest_age(&self, now: Micros) -> Micros {
         match self.waiting_count() {
             0 => 0,
@@ -76,7 +75,7 @@
     }
 }
 
-/// Sends commands. The dispatcher runs for as long as there is a sender.
+/// Sends commands. The dispatcher runs for as long as a sender exists.
 #[derive(Clone, Debug)]
 pub(crate) struct CommandSender {
     urgent: mpsc::UnboundedSender<QueuedCommand>,
@@ -85,7 +84,7 @@
     clock: Clock,
 }
 
-/// Sends commands as long as the dispatcher runs for others.
+/// Sends commands without keeping the dispatcher running.
 #[derive(Clone, Debug)]
 pub(crate) struct WeakCommandSender {
     urgent: mpsc::WeakUnboundedSender<QueuedCommand>,
@@ -94,7 +93,7 @@
     clock: Clock,
 }
 
-/// The dispatcher's end.
+/// The dispatcher's end of the queue.
 #[derive(Debug)]
 pub(crate) struct CommandReceiver {
     urgent: mpsc::UnboundedReceiver<QueuedCommand>,
@@ -103,7 +102,7 @@
     backlog: Arc<Backlog>,
 }
 
-/// A command that is worked on; its end is noted as it is dropped.
+/// A command that is being handled. It counts as waiting until [`CommandInProgress::finish`].
 #[derive(Debug)]
 pub(crate) struct CommandInProgress {
     sent_at: Micros,
@@ -111,18 +110,18 @@
 }
 
 impl CommandInProgress {
-    /// When it was sent.
+    /// When the command was sent.
     pub(crate) fn sent_at(&self) -> Micros {
         self.sent_at
     }
 
-    /// It is done, and took so long.
+    /// Records that the command is done and how long it took.
     pub(crate) fn finish(self, took: Duration) {
         self.backlog.record_done(self.sent_at, took);
     }
 }
 
-/// A queue that is empty.
+/// Creates an empty queue.
 pub(crate) fn command_queue(clock: Clock) -> (CommandSender, CommandReceiver) {
     let (urgent_sender, urgent) = mpsc::unbounded_channel();
     let (new_sender, new) = mpsc::unbounded_channel();
@@ -132,12 +131,12 @@
 }
 
 impl CommandSender {
-    /// Sends a command. One that comes after the dispatcher's end is dropped.
+    /// Sends a command. It is dropped if the dispatcher has ended.
     pub(crate) fn send(&self, command: Command) {
         let sent_at = self.clock.now();
         self.backlog.record_sent(sent_at);
         let queue = if matches!(command, Command::Submit(_)) { &self.new } else { &self.urgent };
-        // The dispatcher runs for as long as there is a sender, and this is one.
+        // Can't fail: the dispatcher runs for as long as a sender exists, and this is one.
         let _ = queue.send(QueuedCommand { command, sent_at });
     }
 
@@ -153,7 +152,7 @@
 }
 
 impl WeakCommandSender {
-    /// `None` once the dispatcher has no other sender.
+    /// `None` once no other sender exists.
     pub(crate) fn upgrade(&self) -> Option<CommandSender> {
         let (backlog, clock) = (self.backlog.clone(), self.clock);
         Some(CommandSender { urgent: self.urgent.upgrade()?, new: self.new.upgrade()?, backlog, clock })
@@ -166,8 +165,8 @@
         self.backlog.clone()
     }
 
-    /// The next command; `None` once there is no sender. What has become of open requests, news and signals
-    /// go ahead of new requests, but not for ever.
+    /// The next command; `None` once no sender exists. Commands of open requests, list updates and control
+    /// commands go ahead of new requests, but only [`MAX_URGENT_IN_A_ROW`] at a time.
     pub(crate) async fn recv(&mut self) -> Option<(Command, CommandInProgress)> {
         if self.urgent_in_a_row >= MAX_URGENT_IN_A_ROW {
             self.urgent_in_a_row = 0;
--- a/core/src/conductor.rs
+++ b/core/src/conductor.rs
@@ -1,4 +1,4 @@
-//! The handle by which fronts and operators speak to a running conductor.
+//! The handle by which fronts and operators use a running conductor.
 
 use std::collections::BTreeSet;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -20,41 +20,41 @@
 use crate::release::{lock, UpstreamReleaser};
 use crate::traits::Upstream;
 
-/// Share of the settings' time for what is held that the request's next attempt waits for a release to end.
+/// An attempt waits for the request's previous release for this part of the KV cache release timeout.
 const RELEASE_WAIT_DIVISOR: u32 = 2;
 
-/// What a conductor has learned, for the process that takes its place.
+/// What a conductor has learned, for the process that replaces it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct InheritedState {
     /// The decisions' part.
     pub(crate) decisions: Snapshot,
-    /// Instances that were put back by hand, and how many microseconds before.
+    /// Instances that operators have included again, and how many microseconds before the export.
     pub(crate) included: Vec<(Id, Micros)>,
 }
 
-/// What a conductor is made of.
+/// What [`start`](crate::start) needs.
 pub struct ConductorParts<U, M> {
-    /// The settings.
+    /// The initial settings.
     pub settings: Settings,
-    /// For random numbers, new with each start.
+    /// The seed for random numbers, new with each start.
     pub seed: u64,
-    /// The clock, also of whoever converts start times of members.
+    /// The clock, which whoever converts the start times of members uses too.
     pub clock: Clock,
-    /// The way to the servers.
+    /// Reaches the servers.
     pub upstream: Arc<U>,
     /// The list of members.
     pub members: M,
-    /// Instances that operators have taken out of use before.
+    /// Instances that operators excluded before the start.
     pub excluded: Vec<Id>,
-    /// What is counted.
+    /// The conductor's metrics.
     pub metrics: Metrics,
-    /// What the process before has learned, and how long ago it said so.
+    /// What the previous process has learned, and how long ago it exported that.
     pub inherited: Option<(InheritedState, Duration)>,
-    /// The log.
+    /// The logger.
     pub log: Logger,
 }
 
-/// A handle on a running conductor; clones are cheap and speak to the same one.
+/// A handle to a running conductor; clones are cheap and refer to the same one.
 pub struct Conductor<U> {
     pub(crate) commands: CommandSender,
     pub(crate) upstream: Arc<U>,
@@ -93,72 +93,73 @@
         self.next_call_id.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// How many requests have come since the start.
+    /// How many requests have been registered since the start.
     pub fn call_count(&self) -> u64 {
         self.next_call_id.load(Ordering::Relaxed)
     }
 
-    /// A front has refused a request of this class by itself.
+    /// Counts a request of this class that a front has refused by itself.
     pub fn count_refused(&self, class: &str) {
         self.metrics.open_request(class).mark_deferred();
     }
 
-    /// Whether there is a member to send to.
+    /// Whether any member is listed.
     pub fn is_ready(&self) -> bool {
         *self.has_members.borrow()
     }
 
-    /// Answers every request that has not begun to stream: the conductor is about to stop.
+    /// Answers every request that has not begun to stream, as the conductor is about to stop.
     pub fn close(&self) {
         self.commands.send(Command::Close);
     }
 
-    /// This conductor's part of what all that send to the same servers share: of 1. Until it is told, that is
-    /// one of the number in the settings.
+    /// Sets this conductor's share, out of 1, of the quota of all conductors that send to the same servers.
+    /// Until it is set, the share is one part in the settings' number of conductors.
     pub fn set_quota_share(&self, share: f64) {
         self.commands.send(Command::SetQuotaShare(share));
     }
 
-    /// The settings in force, for requests that come now.
+    /// The settings in force, for new requests.
     pub fn settings(&self) -> Arc<Settings> {
         self.settings.borrow().clone()
     }
 
-    /// Puts new settings in force. Requests that are open keep the classes with which they came.
+    /// Puts new settings in force. Open requests keep the classes that they came with.
     pub fn reconfigure(&self, settings: Settings) {
         let settings = Arc::new(settings);
-        // The decisions first: who reads the new settings may ask at once.
+        // The decisions get them first: whoever reads the new settings may make a request at once.
         self.commands.send(Command::Reconfigure(settings.clone()));
         self.settings.send_replace(settings);
     }
 
-    /// How long an attempt waits for the release before it.
+    /// How long an attempt waits for the request's previous release.
     pub(crate) fn release_wait(&self) -> Duration {
         Duration::from_micros(self.settings.borrow().cache_release_timeout) / RELEASE_WAIT_DIVISOR
     }
 
-    /// Fails for an id that no instance has, in the list or among those taken out.
+    /// Returns an error for an id that is neither listed nor excluded.
     pub fn check_known(&self, instance: &Id) -> Result<(), ExclusionError> {
         lock(&self.exclusions).check_known(instance)
     }
 
-    /// Takes an instance out of use until [`Conductor::include`], whatever the list says of it meanwhile.
+    /// Excludes an instance until [`Conductor::include`], whatever the list says of it meanwhile.
     pub fn exclude(&self, instance: &Id) -> Result<(), ExclusionError> {
         lock(&self.exclusions).exclude(instance)?;
-        // Holds from the answer on, also for attempts that have been decided and not begun.
+        // In force before this returns, also for attempts that are decided but not yet sent.
         self.admitting_servers.remove(instance);
         self.commands.send(Command::ExclusionChanged(instance.clone()));
         Ok(())
     }
 
-    /// Puts an instance back into use. It counts as started now; one that was not out stays as it is.
+    /// Includes an excluded instance again. It counts as started now; one that is not excluded stays as it
+    /// is.
     pub fn include(&self, instance: &Id) -> Result<(), ExclusionError> {
         lock(&self.exclusions).include(self.clock.now(), instance)?;
         self.commands.send(Command::ExclusionChanged(instance.clone()));
         Ok(())
     }
 
-    /// What it has learned up to now; `None` once it has ended.
+    /// What the conductor has learned so far; `None` once it has ended.
     pub async fn export_state(&self) -> Option<InheritedState> {
         let (reply, snapshot) = oneshot::channel();
         self.commands.send(Command::ExportSnapshot(reply));
@@ -167,19 +168,19 @@
         Some(InheritedState { decisions, included })
     }
 
-    /// What is open at instances; `None` once it has ended.
+    /// The work that is open at instances; `None` once the conductor has ended.
     pub async fn open_work(&self) -> Option<OpenWork> {
         let (reply, work) = oneshot::channel();
         self.commands.send(Command::ExportOpenWork(reply));
         work.await.ok()
     }
 
-    /// What other processes of the same conductor have open at instances counts as its own.
+    /// Counts what other processes of the same conductor have open at instances as this one's own.
     pub fn set_foreign_work(&self, work: OpenWork) {
         self.commands.send(Command::SetForeignWork(work));
     }
 
-    /// Makes these the excluded instances, as another process of the same conductor was told.
+    /// Replaces the set of excluded instances by the one that another process of the same conductor has.
     pub fn replace_excluded(&self, excluded: BTreeSet<Id>) {
         let changed = lock(&self.exclusions).replace_excluded(self.clock.now(), excluded);
         for instance in changed {
@@ -187,10 +188,10 @@
         }
     }
 
-    /// Resolves once every release that was asked for has arrived or been given up. Requests must have
-    /// ended before.
+    /// Resolves once every requested release has been accepted or given up. All requests must have ended
+    /// before.
     pub async fn wait_for_releases(&self) {
-        // What the last requests reported lies before this in the queue.
+        // The last reports of requests are ahead of this in the queue.
         let (barrier, reached) = oneshot::channel();
         self.commands.send(Command::Barrier(barrier));
         let _ = reached.await;
--- a/core/src/dispatcher.rs
+++ b/core/src/dispatcher.rs
@@ -1,5 +1,5 @@
-//! The task that owns the decisions: it hears what becomes of requests, and hands out what is decided. What
-//! is promised to clients and servers does not hang on its speed.
+//! The task that owns the decisions: it handles reports of requests and delivers what is decided. What is
+//! promised to clients and servers does not depend on its speed.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -24,26 +24,26 @@
 use crate::release::{lock, ReleaseState, Releaser, UpstreamReleaser};
 use crate::traits::{MembershipSource, Upstream};
 
-/// What the process before has inherited is of use for this long.
+/// State inherited from the previous process is applied to newly listed servers up to this age.
 const INHERITED_STATE_TTL: Micros = 10_000_000;
 
-/// The figures of instances and of the queue are read this often.
+/// How often the metrics of instances and of the command queue are updated.
 const METRICS_INTERVAL: Micros = 100_000;
 
-/// So much work on what lies in the queue is done at once: the same thread serves streams and clients' ends.
+/// Longest run of work before the task yields, as the same thread serves streams and clients that leave.
 const MAX_TURN: Duration = Duration::from_millis(2);
 
-/// A command that has waited for longer than this is told in the log, so often at most.
+/// A command that has waited for longer than this is logged, at most once per interval.
 const LAG_LOG_THRESHOLD: Micros = 250_000;
 const LAG_LOG_INTERVAL: Micros = 1_000_000;
 
-/// What is still to be taken over from the process before, and when that was said.
+/// Inherited state for servers that are not listed yet, and when the previous process exported it.
 struct PendingSnapshot {
     snapshot: Snapshot,
     taken_at: Micros,
 }
 
-/// Starts a conductor on the current runtime. It runs until every handle has gone.
+/// Starts a conductor on the current runtime. It runs until every handle has been dropped.
 pub fn start<U: Upstream, M: MembershipSource>(parts: ConductorParts<U, M>) -> Conductor<U> {
     let ConductorParts { settings, seed, clock, upstream, members, excluded, metrics, inherited, log } =
         parts;
@@ -101,8 +101,8 @@
     }
 }
 
-/// Follows the list of servers. What must not wait for the decisions, as a server that drains must get
-/// nothing new, follows it at once.
+/// Follows the list of servers. What must not wait for the decisions is updated at once: a draining server,
+/// for one, must get no new attempt.
 struct MembershipFollower<U> {
     clock: Clock,
     releaser: Arc<UpstreamReleaser<U>>,
@@ -117,7 +117,8 @@
         while let Some(news) = members.next().await {
             let Some(commands) = self.commands.upgrade() else { return };
             let up = self.releaser.apply_update(news.kind, &news.entries);
-            info!(self.log, "members"; "form" => ?news.kind, "entries" => news.entries.len(), "up" => up);
+            info!(self.log, "membership update";
+                "form" => ?news.kind, "entries" => news.entries.len(), "up" => up);
             let now = self.clock.now();
             let entries = lock(&self.exclusions).apply_update(now, news.kind, &news.entries);
             self.admitting_servers.apply_update(news.kind, &entries);
@@ -126,7 +127,7 @@
     }
 }
 
-/// A request that is open.
+/// A request that has not ended.
 struct OpenRequest {
     call_id: CallId,
     instructions: mpsc::UnboundedSender<Instruction>,
@@ -148,9 +149,9 @@
     exclusions: Arc<Mutex<Exclusions>>,
     admitting_servers: AdmittingServers,
     metrics: Metrics,
-    /// When figures are read next.
+    /// When the metrics are updated next.
     next_metrics_at: Micros,
-    /// When the log is told next that commands wait.
+    /// When a waiting command may be logged next.
     next_lag_log_at: Micros,
     pending_snapshot: Option<PendingSnapshot>,
     log: Logger,
@@ -159,7 +160,7 @@
 impl<U: Upstream> Dispatcher<U> {
     async fn run(mut self, mut commands: CommandReceiver) {
         let mut turn_time = Duration::ZERO;
-        // A sweep that takes long must leave as much time to commands.
+        // After a long sweep, commands get at least as much time.
         let mut sweep_not_before = Instant::now();
         loop {
             if turn_time >= MAX_TURN {
@@ -213,7 +214,7 @@
         self.update_cluster_metrics();
     }
 
-    /// Says in the log that commands have waited for long.
+    /// Logs that a command has waited for long.
     fn report_lag(&mut self, in_progress: &CommandInProgress) {
         let now = self.clock.now();
         let age = now.saturating_sub(in_progress.sent_at());
@@ -221,7 +222,7 @@
         if age > LAG_LOG_THRESHOLD && now >= self.next_lag_log_at {
             self.next_lag_log_at = now + LAG_LOG_INTERVAL;
             let open = self.open.len();
-            warn!(self.log, "decisions are behind"; "waited" => ?Duration::from_micros(age), "open" => open);
+            warn!(self.log, "decisions lag behind"; "waited" => ?Duration::from_micros(age), "open" => open);
         }
     }
 
@@ -262,14 +263,14 @@
         self.carry_out(decisions);
     }
 
-    /// A request has come; nothing is decided for one that has ended meanwhile.
+    /// Passes a new request to the decisions; one that has ended in the meantime is dropped.
     fn submit(&mut self, now: Micros, new: NewRequest) -> Option<Decisions> {
         let NewRequest { mut query, call_id, arrived_at, deadline, instructions, has_ended, release_state } =
             new;
         if has_ended.load(Ordering::Relaxed) {
             return None;
         }
-        // What it has waited here is its client's time.
+        // The wait in the queue comes out of the client's budget.
         query.budget = query.budget.saturating_sub(now.saturating_sub(arrived_at));
         let id = query.id.clone();
         debug!(self.log, "request"; "id" => %id, "class" => %query.class.name,
@@ -294,7 +295,7 @@
         let decisions = self.facade.report(now, &id, report);
         self.carry_out(decisions);
         if is_closed {
-            // Its last decisions, releases among them, have been carried out.
+            // The last decisions for it, releases among them, have been carried out.
             self.open.remove(&id);
         }
     }
@@ -306,7 +307,7 @@
         self.facade.reconfigure(now, settings.clone())
     }
 
-    /// Takes over what the process before has inherited of servers that are listed by now.
+    /// Applies the state of the previous process to the servers that are listed by now.
     fn inherit(&mut self, now: Micros) {
         let Some(PendingSnapshot { mut snapshot, taken_at }) = self.pending_snapshot.take() else { return };
         let age = now.saturating_sub(taken_at);
@@ -316,7 +317,7 @@
         }
     }
 
-    /// How many instances are listed and how many of them are avoided.
+    /// Updates how many instances are listed and how many of them are avoided.
     fn update_cluster_metrics(&self) {
         let listed = self.releaser.listed_count();
         let avoided = listed.saturating_sub(self.facade.usable_servers());
@@ -326,7 +327,7 @@
 
     fn update_servers(&mut self, now: Micros, kind: ListUpdateKind, entries: Vec<ServerEntry>) -> Decisions {
         for entry in &entries {
-            debug!(self.log, "member"; "is" => ?entry);
+            debug!(self.log, "server entry"; "is" => ?entry);
         }
         let decisions = self.facade.update_servers(now, kind, entries);
         self.inherit(now);
@@ -339,14 +340,14 @@
             info!(self.log, "{}", line);
         }
         for (id, violation) in decisions.violations {
-            warn!(self.log, "withheld, as it would break a rule"; "id" => %id, "rule" => %violation);
+            warn!(self.log, "action withheld: it would break a rule"; "id" => %id, "rule" => %violation);
             self.metrics.count_violation(violation);
         }
         for server in decisions.probes {
             self.probe(server);
         }
         for (id, decision) in decisions.requests {
-            debug!(self.log, "verdict"; "id" => %id, "is" => ?decision);
+            debug!(self.log, "decision"; "id" => %id, "is" => ?decision);
             self.deliver(&id, decision);
         }
     }
@@ -360,8 +361,8 @@
             Decision::Send { server, send_by, .. } => {
                 may_take_effect = self.facade.takes_effect(server);
                 permit = self.issue_permit(open, server, *send_by);
-                // A send that never arrives does not stop the clock of what is held, so the release goes
-                // on beside it until the attempt is known to have arrived. What is held must not wait.
+                // A send that never arrives does not end the wait of the KV cache, which must not be held for
+                // long. The release therefore goes on beside the attempt until that is known to have arrived.
                 let no_server_heard =
                     matches!(open.last_outcome, Some(Outcome::NoConnection | Outcome::PrefillDone));
                 let mut release_state = lock(&open.release_state);
@@ -374,7 +375,7 @@
             Decision::Refuse { .. } => self.metrics.count_refusal(open.last_outcome),
             _ => {}
         }
-        // A request that has just gone says so itself, in a command that lies in the queue.
+        // A request that has just ended reports that itself; its command is in the queue.
         let _ = open.instructions.send(Instruction { decision, previous_release, permit, may_take_effect });
     }
 
--- a/core/src/entry.rs
+++ b/core/src/entry.rs
@@ -1,4 +1,4 @@
-//! A request's entry at the dispatcher, and what is done for it however it ends.
+//! A request's registration with the dispatcher, and the cleanup when the request ends in any way.
 
 use std::collections::HashSet;
 use std::future::Future;
@@ -19,7 +19,7 @@
 /// The ids of open requests.
 pub(crate) type OpenIds = Arc<Mutex<HashSet<Id>>>;
 
-/// The only use of an id, for as long as its request is open.
+/// Reserves a request id for as long as its request is open.
 #[derive(Debug)]
 pub(crate) struct IdClaim {
     ids: OpenIds,
@@ -27,7 +27,7 @@
 }
 
 impl IdClaim {
-    /// `None` where a request with this id is open.
+    /// Reserves the id; `None` if a request with this id is open.
     pub(crate) fn acquire(ids: &OpenIds, id: &Id) -> Option<Self> {
         lock(ids).insert(id.clone()).then(|| IdClaim { ids: ids.clone(), id: id.clone() })
     }
@@ -39,21 +39,21 @@
     }
 }
 
-/// A request's entry at the dispatcher. Whatever way the request ends, dropping it is the last word on it: an
-/// attempt that is still out is called off and what is held is let go.
+/// A request's registration with the dispatcher. However the request ends, dropping this reports it closed,
+/// which cancels an attempt in flight, and releases its KV cache.
 pub(crate) struct Registration {
     pub(crate) id: Id,
     pub(crate) call_id: CallId,
     pub(crate) instructions: mpsc::UnboundedReceiver<Instruction>,
     pub(crate) commands: CommandSender,
     pub(crate) metrics: RequestMetrics,
-    /// Set with the end, for what has been decided meanwhile.
+    /// Set when the request ends, for decisions that were made meanwhile.
     pub(crate) has_ended: Arc<AtomicBool>,
     pub(crate) release_state: Arc<Mutex<ReleaseState>>,
     pub(crate) releaser: Arc<dyn Releaser>,
     pub(crate) cache_clock: CacheClock,
     pub(crate) has_attempt_in_flight: bool,
-    /// Its answer has begun: nothing is held any more.
+    /// Its answer has begun, so that no KV cache is held any more.
     pub(crate) is_streaming: bool,
     pub(crate) _claim: IdClaim,
 }
@@ -76,13 +76,13 @@
         self.report(Report::Ended { outcome, cached_tokens, load });
     }
 
-    /// The attempt that was out has been ended from here, and its end has arrived.
+    /// The attempt in flight was ended by this side, and its end has reached the server.
     pub(crate) fn record_cancelled_attempt(&mut self) {
         self.has_attempt_in_flight = false;
         lock(&self.release_state).mark_uncovered();
     }
 
-    /// Lets go of what is held, where the decisions have not done so in time.
+    /// Releases the request's KV cache, unless a release is running already.
     pub(crate) fn release(&mut self, during_attempt: bool) {
         let is_running = lock(&self.release_state).is_release_running();
         if !is_running {
@@ -91,7 +91,7 @@
         self.cache_clock.record_release(during_attempt);
     }
 
-    /// Resolves once what is held has to be let go.
+    /// Resolves once the KV cache has to be released.
     pub(crate) fn wait_until_release_due(&self, timeout: Duration) -> impl Future<Output = ()> + 'static {
         let due_at = self.cache_clock.release_due_at(timeout);
         async move {
--- a/core/src/exclusion.rs
+++ b/core/src/exclusion.rs
@@ -1,23 +1,23 @@
-//! Instances that operators have taken out of use: a state beside what discovery says, kept without I/O.
+//! Instances that operators have excluded: a state of its own beside what discovery reports, kept without
+//! I/O.
 //!
-//! The decisions are told of an excluded instance as one that drains, whatever the list says of it. One that
-//! is put back counts as started at that moment unless the list names a later start: operators restart an
-//! instance while it is out, and discovery may tell of the start seconds after.
+//! The decisions see an excluded instance as a draining one, whatever the list says of it. An instance that
+//! is included again counts as started at that moment, unless the list names a later start: operators
+//! restart an instance while it is excluded, and discovery may report the restart seconds later.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use frosttrail::{Health, Id, ListUpdateKind, Micros, ServerEntry};
 
-/// So many instances may be excluded at a time.
 const MAX_EXCLUDED: usize = 4_096;
 
-/// Why an instance can't be taken out or put back.
+/// Why an instance can't be excluded or included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ExclusionError {
-    /// No instance of that id is listed or excluded.
+    /// No instance with this id is listed or excluded.
     #[error("no such instance; take the id from discovery's list")]
     Unknown,
-    /// The bound on excluded instances is reached.
+    /// The limit on excluded instances is reached.
     #[error("{MAX_EXCLUDED} instances are excluded; include some that have gone")]
     TooMany,
 }
@@ -27,31 +27,31 @@
 pub struct Exclusions {
     listed: BTreeMap<Id, ServerEntry>,
     excluded: BTreeSet<Id>,
-    /// When an instance was put back, for as long as it counts as started then.
+    /// When an instance was included again, for as long as that counts as its start.
     included_at: BTreeMap<Id, Micros>,
-    /// How long an instance takes to warm up.
+    /// How long an instance is in slow start.
     slow_start_duration: Micros,
 }
 
 impl Exclusions {
-    /// Nothing is listed yet; these are excluded from before.
+    /// Starts with an empty list and the instances that were excluded before.
     pub fn new(excluded: impl IntoIterator<Item = Id>, slow_start_duration: Micros) -> Self {
         let excluded = excluded.into_iter().take(MAX_EXCLUDED).collect();
         Exclusions { excluded, slow_start_duration, ..Exclusions::default() }
     }
 
-    /// Instances that were put back a while ago and still count as started then, and how long ago that was.
+    /// Instances whose inclusion still counts as their start, and how long ago each was included.
     pub fn inclusion_ages(&self, now: Micros) -> Vec<(Id, Micros)> {
         self.included_at.iter().map(|(id, at)| (id.clone(), now.saturating_sub(*at))).collect()
     }
 
-    /// The same as another process has it.
+    /// Takes over the inclusions of another process, with their ages as of `now`.
     pub fn restore_inclusions(&mut self, now: Micros, included: Vec<(Id, Micros)>) {
         let included_at = included.into_iter().map(|(id, age)| (id, now.saturating_sub(age)));
         self.included_at.extend(included_at.take(MAX_EXCLUDED));
     }
 
-    /// Makes the excluded instances these, and gives those that changed: whatever another process was told.
+    /// Replaces the excluded instances by those of another process, and returns the ones that changed.
     pub fn replace_excluded(&mut self, now: Micros, excluded: BTreeSet<Id>) -> Vec<Id> {
         let changed: Vec<Id> = self.excluded.symmetric_difference(&excluded).cloned().collect();
         for id in &changed {
@@ -64,12 +64,12 @@
         changed
     }
 
-    /// How long an instance takes to warm up, as new settings say.
+    /// Sets how long an instance is in slow start, from new settings.
     pub fn set_slow_start_duration(&mut self, slow_start_duration: Micros) {
         self.slow_start_duration = slow_start_duration;
     }
 
-    /// News of the list; gives the entries as the decisions should have them.
+    /// Applies an update of the list, and returns its entries as the decisions should see them.
     pub fn apply_update(
         &mut self,
         now: Micros,
@@ -89,7 +89,7 @@
         entries.iter().map(|entry| self.apply_overrides(entry)).collect()
     }
 
-    /// Takes an instance out.
+    /// Excludes an instance.
     pub fn exclude(&mut self, id: &Id) -> Result<(), ExclusionError> {
         self.check_known(id)?;
         if !self.excluded.contains(id) && self.excluded.len() >= MAX_EXCLUDED {
@@ -100,7 +100,7 @@
         Ok(())
     }
 
-    /// Puts an instance back; one that is not out stays as it is.
+    /// Includes an instance again; one that is not excluded stays as it is.
     pub fn include(&mut self, now: Micros, id: &Id) -> Result<(), ExclusionError> {
         self.check_known(id)?;
         if self.excluded.remove(id) {
@@ -109,17 +109,17 @@
         Ok(())
     }
 
-    /// A listed instance as the decisions should have it.
+    /// A listed instance as the decisions should see it.
     pub fn effective_entry(&self, id: &Id) -> Option<ServerEntry> {
         self.listed.get(id).map(|entry| self.apply_overrides(entry))
     }
 
-    /// Whether an instance is excluded.
+    /// Whether operators have excluded an instance.
     pub fn is_excluded(&self, id: &Id) -> bool {
         self.excluded.contains(id)
     }
 
-    /// Fails for an id that is neither listed nor excluded.
+    /// Returns an error for an id that is neither listed nor excluded.
     pub fn check_known(&self, id: &Id) -> Result<(), ExclusionError> {
         match self.listed.contains_key(id) || self.excluded.contains(id) {
             true => Ok(()),
--- a/core/src/lib.rs
+++ b/core/src/lib.rs
@@ -1,12 +1,13 @@
-//! Requests, attempts and outcomes: what a conductor does with the decisions, whatever the wire.
+//! Runs client requests by the decisions of [`frosttrail`], independent of any wire protocol: requests,
+//! their attempts and the outcomes.
 //!
-//! [`start`] takes the settings, something that reaches servers ([`Upstream`]) and a list of members
-//! ([`MembershipSource`]), and gives a [`Conductor`]: a cheap handle that any front can call, and a
-//! [`tower_service::Service`] for use as a client-side plug-in within an RPC library.
+//! [`start`] takes the settings, an [`Upstream`] that reaches the servers and a [`MembershipSource`] that
+//! lists them. It returns a [`Conductor`]: a handle that is cheap to clone and that any front can call. It
+//! is also a [`tower_service::Service`], for use as a client-side plug-in of an RPC library.
 //!
-//! Who owns what: one task owns the decisions ([`frosttrail::Facade`]); each request is one future
-//! that owns its single final answer, its attempt and its entry at the owner. Dropping that future, as
-//! a front does when its client has gone, drops the attempt, and the owner is told.
+//! Ownership: one task, the dispatcher, owns the decisions ([`frosttrail::Facade`]). Each request is one
+//! future that owns its single final answer, its attempt and its registration with the dispatcher. A front
+//! drops that future when its client has gone; this cancels the attempt and notifies the dispatcher.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/core/src/metrics.rs
+++ b/core/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What a conductor counts of itself, in the text form that Prometheus reads.
+//! A conductor's metrics, in the text format of Prometheus.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -10,63 +10,63 @@
     TextEncoder,
 };
 
-/// Names begin with this.
+/// The prefix of all metric names.
 const NAMESPACE: &str = "svc";
-/// The label that holds a request's class.
+/// The label for a request's class.
 const CLASS_LABEL: &str = "group";
-/// The label that holds a rule.
+/// The label for a rule.
 const RULE_LABEL: &str = "rule";
-/// A request that has had no attempt.
+/// The label value for a request that has had no attempt.
 const NO_ATTEMPT: &str = "unsent";
-/// The label that holds why something was done, or was not.
+/// The label for the reason why something was done or not done.
 const REASON_LABEL: &str = "reason";
 
-/// Refused before any decision, as those were too slow.
+/// The label value for a refusal before any decision, as the decisions were too slow.
 const EARLY_REFUSAL: &str = "at_the_door";
-/// Bounds of the histograms of decisions, in seconds.
+/// Bucket bounds of the histograms of decisions.
 const DECISION_BUCKETS_SECONDS: [f64; 8] = [0.0001, 0.0005, 0.002, 0.01, 0.05, 0.2, 1.0, 5.0];
 
-/// Counters and gauges. Clones count together.
+/// The conductor's counters, gauges and histograms. Clones share them.
 #[derive(Clone)]
 pub struct Metrics {
     registry: Registry,
-    /// Held while a request moves from the open ones to the ended ones, and while all figures are read.
+    /// Held while a request moves from the open to the ended ones, and while all metrics are gathered.
     request_end_lock: Arc<Mutex<()>>,
     answered: IntCounterVec,
     deferred: IntCounterVec,
     errored: IntCounterVec,
     current: IntGauge,
-    /// Attempts that were decided and not begun, by reason.
+    /// Attempts that were decided and not sent, by reason.
     withheld: IntCounterVec,
-    /// Actions that would have broken a rule and were not carried out, by rule.
+    /// Actions that would have broken a rule and were withheld, by rule.
     violations: IntCounterVec,
-    /// Further attempts, by how the one before had ended.
+    /// Attempts after the first, by how the previous one ended.
     retries: IntCounterVec,
-    /// Refusals, by how the last attempt had ended.
+    /// Refusals, by how the last attempt ended.
     refusals: IntCounterVec,
-    /// Final answers that requests gave themselves, as no decision came in their time, by kind.
+    /// Final answers that requests gave themselves because no decision came in time, by kind.
     overdue: IntCounterVec,
-    /// What one command has cost the decisions.
+    /// How long the decisions took for one command.
     decisions: Histogram,
-    /// How long commands have waited for the decisions.
+    /// How long commands waited for the decisions.
     decision_waits: Histogram,
-    /// The age of the oldest command that waits, in seconds, and how many wait.
+    /// The age of the oldest waiting command, in seconds, and the number of waiting commands.
     lag: Gauge,
     backlog: IntGauge,
-    /// Attempts written whole to instances.
+    /// Attempts that were written completely to instances.
     pub sends: IntCounter,
     /// Instances in the list.
     pub cluster_size: IntGauge,
-    /// Listed instances that are avoided, by hand or by choice.
+    /// Listed instances that are avoided, excluded ones among them.
     pub cluster_unhealthy: IntGauge,
-    /// Files that were put in force at SIGHUP.
+    /// Configurations that were put in force at SIGHUP.
     pub conf_loaded: IntCounter,
-    /// Files that were turned down at SIGHUP.
+    /// Configurations that were rejected at SIGHUP.
     pub conf_invalid: IntCounter,
 }
 
 impl Metrics {
-    /// All at zero. Fails only where a name stands twice.
+    /// Creates all metrics at zero. Fails only if a name occurs twice.
     pub fn new() -> prometheus::Result<Self> {
         let registry = Registry::new();
         let by_label = |name: &str, help: &str, label: &str| {
@@ -118,7 +118,7 @@
         })
     }
 
-    /// All of them as text.
+    /// Encodes all metrics as text.
     pub fn encode_text(&self) -> prometheus::Result<String> {
         let mut text = Vec::new();
         let metric_families = {
@@ -129,53 +129,53 @@
         Ok(String::from_utf8_lossy(&text).into_owned())
     }
 
-    /// An attempt was not begun.
+    /// Counts an attempt that was not sent.
     pub(crate) fn count_withheld(&self, reason: WithheldReason) {
         self.withheld.with_label_values(&[reason.label()]).inc();
     }
 
-    /// An action would have broken a rule.
+    /// Counts an action that would have broken a rule.
     pub(crate) fn count_violation(&self, violation: Violation) {
         self.violations.with_label_values(&[violation.label()]).inc();
     }
 
-    /// A further attempt goes out after one that ended so.
+    /// Counts a further attempt after one that ended with `last_outcome`.
     pub(crate) fn count_retry(&self, last_outcome: Outcome) {
         self.retries.with_label_values(&[outcome_label(last_outcome)]).inc();
     }
 
-    /// A request is refused whose last attempt, if there was one, ended so.
+    /// Counts a refused request, by the outcome of its last attempt if it had one.
     pub(crate) fn count_refusal(&self, last_outcome: Option<Outcome>) {
         self.refusals.with_label_values(&[last_outcome.map_or(NO_ATTEMPT, outcome_label)]).inc();
     }
 
-    /// A request is refused before any decision.
+    /// Counts a request that is refused before any decision.
     pub(crate) fn count_early_refusal(&self) {
         self.refusals.with_label_values(&[EARLY_REFUSAL]).inc();
     }
 
-    /// A request has answered itself, with a refusal or a failure.
+    /// Counts a request that gave its own final answer, a refusal or a failure.
     pub(crate) fn count_overdue(&self, is_refusal: bool) {
         self.overdue.with_label_values(&[if is_refusal { "refused" } else { "failed" }]).inc();
     }
 
-    /// A command has cost the decisions so much.
+    /// Records how long the decisions took for a command.
     pub(crate) fn observe_decision(&self, took: Duration) {
         self.decisions.observe(took.as_secs_f64());
     }
 
-    /// A command has waited for so long.
+    /// Records how long a command waited.
     pub(crate) fn observe_wait(&self, wait: Duration) {
         self.decision_waits.observe(wait.as_secs_f64());
     }
 
-    /// So many commands wait, the oldest for so long.
+    /// Sets the number of waiting commands and the age of the oldest.
     pub(crate) fn set_backlog(&self, waiting_count: usize, oldest_age: Duration) {
         self.backlog.set(waiting_count as i64);
         self.lag.set(oldest_age.as_secs_f64());
     }
 
-    /// Each class has its figures before its first request.
+    /// Creates the counters of each class, so that they are exported before its first request.
     pub(crate) fn add_classes(&self, settings: &Settings) {
         for class in &settings.classes {
             for counters in [&self.answered, &self.deferred, &self.errored] {
@@ -184,7 +184,7 @@
         }
     }
 
-    /// A request of this class has been taken.
+    /// Counts a request of this class as open until the result is dropped.
     pub(crate) fn open_request(&self, class: &str) -> RequestMetrics {
         self.current.inc();
         RequestMetrics {
@@ -198,7 +198,7 @@
     }
 }
 
-/// An outcome as it stands in figures.
+/// The label value for an outcome.
 fn outcome_label(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Served => "served",
@@ -215,7 +215,7 @@
     }
 }
 
-/// It guards no data, so that a panic elsewhere does no harm.
+/// Ignores poisoning: the mutex guards no data.
 fn lock(request_end_lock: &Mutex<()>) -> MutexGuard<'_, ()> {
     request_end_lock.lock().unwrap_or_else(PoisonError::into_inner)
 }
@@ -228,7 +228,7 @@
     NotCounted,
 }
 
-/// One open request. It is counted when this is dropped: as failed, unless it was marked otherwise.
+/// The metrics of one open request. When dropped, it counts the request as failed unless marked otherwise.
 #[derive(Debug)]
 pub(crate) struct RequestMetrics {
     answered: IntCounter,
@@ -240,17 +240,17 @@
 }
 
 impl RequestMetrics {
-    /// The last chunk of its answer has come.
+    /// The whole answer has been received.
     pub(crate) fn mark_answered(&mut self) {
         self.counted_as = CountedAs::Answered;
     }
 
-    /// It is refused.
+    /// The request is refused.
     pub(crate) fn mark_deferred(&mut self) {
         self.counted_as = CountedAs::Deferred;
     }
 
-    /// It was no request: its id is in use.
+    /// The request is not counted, as its id is in use.
     pub(crate) fn mark_not_counted(&mut self) {
         self.counted_as = CountedAs::NotCounted;
     }
--- a/core/src/permit.rs
+++ b/core/src/permit.rs
@@ -1,8 +1,8 @@
-//! Leave to begin an attempt, looked at once more in the last moment before its bytes are written.
+//! The permit to send an attempt, checked once more right before its bytes are written.
 //!
-//! Between a decision and its write lie the release that the attempt waits for, a connection that comes up
-//! slowly, and whatever holds the process up. A server may begin to drain or restart meanwhile, or the window
-//! in which a request may be repeated may end.
+//! Between a decision and the write, an attempt may wait for a release, for a slow connection or for a
+//! stalled process. Meanwhile its server may begin to drain or restart, or the window in which the request
+//! may be repeated may end.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -13,20 +13,20 @@
 use crate::clock::Clock;
 use crate::metrics::Metrics;
 
-/// Why an attempt that had been decided was not begun.
+/// Why an attempt that had been decided was not sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum WithheldReason {
-    /// Its server drains, has gone or was taken out of use meanwhile.
-    #[error("its server takes nothing new any more")]
+    /// Its server began to drain, was removed or was excluded in the meantime.
+    #[error("the server accepts no new attempts")]
     ServerClosed,
-    /// Its server has started anew: its slow start has a budget of its own.
-    #[error("its server has started anew")]
+    /// Its server has restarted, and its slow start has a budget of its own.
+    #[error("the server has restarted since the decision")]
     ServerRestarted,
-    /// The window in which the request may be repeated is over.
-    #[error("the window for a repeat is over")]
+    /// The window in which the request may be repeated has ended.
+    #[error("the window for repeating the request is over")]
     WindowOver,
-    /// Its client stops waiting by now.
-    #[error("the request's time is over")]
+    /// Its client does not wait any longer.
+    #[error("the request's deadline has passed")]
     DeadlineOver,
     /// The request has its final answer, or its client has gone.
     #[error("the request has ended")]
@@ -34,7 +34,7 @@
 }
 
 impl WithheldReason {
-    /// The reason as it stands in figures.
+    /// The label value in the metrics.
     pub fn label(self) -> &'static str {
         match self {
             WithheldReason::ServerClosed => "server_closed",
@@ -46,12 +46,12 @@
     }
 }
 
-/// Servers that may get something new, with their start times; clones share them.
+/// The servers that may get new attempts, with their start times. Clones share them.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct AdmittingServers(Arc<RwLock<HashMap<Id, Micros>>>);
 
 impl AdmittingServers {
-    /// Follows the list of servers, as the decisions have it.
+    /// Applies an update of the list of servers, as the decisions see it.
     pub(crate) fn apply_update(&self, kind: ListUpdateKind, entries: &[ServerEntry]) {
         let mut servers = self.0.write().unwrap_or_else(PoisonError::into_inner);
         if matches!(kind, ListUpdateKind::Full | ListUpdateKind::StaleCopy) {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// A server takes nothing new from now on.
+    /// Stops new attempts to a server from now on.
     pub(crate) fn remove(&self, server: &Id) {
         self.0.write().unwrap_or_else(PoisonError::into_inner).remove(server);
     }
@@ -74,7 +74,7 @@
         self.0.read().unwrap_or_else(PoisonError::into_inner).get(server).copied()
     }
 
-    /// Leave for an attempt under these conditions.
+    /// Issues a permit for an attempt that was decided under these conditions.
     pub(crate) fn issue_permit(
         &self,
         conditions: PermitConditions,
@@ -90,21 +90,21 @@
     }
 }
 
-/// Under which an attempt was decided.
+/// The conditions under which an attempt was decided.
 #[derive(Debug)]
 pub(crate) struct PermitConditions {
     pub(crate) server: Id,
-    /// The start of the server as the decisions knew it; `None` where it took nothing new by then.
+    /// The server's start time as the decisions knew it; `None` if it took no new attempts at that time.
     pub(crate) server_started_at: Option<Micros>,
-    /// Nothing is written from then on, as it would be a repeat outside of its window.
+    /// Nothing may be written from this time on, as it would be a repeat outside of its window.
     pub(crate) send_by: Option<Micros>,
-    /// When the request's client stops waiting.
+    /// When the client stops waiting.
     pub(crate) deadline: Micros,
     /// Set once the request has ended.
     pub(crate) has_ended: Arc<AtomicBool>,
 }
 
-/// Leave to begin one attempt.
+/// The permit to send one attempt.
 #[derive(Clone)]
 pub struct SendPermit(Option<Arc<ConditionalPermit>>);
 
@@ -125,12 +125,12 @@
 }
 
 impl SendPermit {
-    /// For callers that have no list of servers: nothing withholds the attempt.
+    /// A permit that always allows the attempt, for callers that have no list of servers.
     pub fn unconditional() -> Self {
         SendPermit(None)
     }
 
-    /// To be asked directly before the first byte is written. An attempt that is withheld has not been sent,
+    /// To be called right before the first byte is written. An attempt that is withheld has not been sent,
     /// and its server is not to blame.
     pub fn check(&self) -> Result<(), WithheldReason> {
         let Some(permit) = &self.0 else { return Ok(()) };
--- a/core/src/reachability.rs
+++ b/core/src/reachability.rs
@@ -1,29 +1,29 @@
-//! Which servers are likely to take a small call now: what has been heard of each, and where it stands.
-//! Decides without I/O in what order a release asks them.
+//! Which servers are likely to accept a small call now, from their recent replies and their zones. Decides
+//! the order in which a release calls them, without I/O.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
 use frosttrail::{Health, Id, ListUpdateKind, Micros, Outcome, ServerEntry};
 
-/// Candidates for a call in each zone, of the servers that answered last and of those that did not, each.
+/// Candidates for a call from each zone, counted apart for servers that answered last and for silent ones.
 const MAX_CANDIDATES_PER_ZONE: usize = 16;
 
-/// Servers by when they were heard.
+/// Servers ordered by when they last answered, latest first.
 type ServersByLastHeard = BTreeSet<(Reverse<Micros>, Id)>;
 
-/// The listed servers.
+/// The listed servers and when each of them last answered.
 #[derive(Debug, Default)]
 pub(crate) struct Reachability {
     servers: BTreeMap<Id, Contact>,
-    /// The same, by zone and whether they were silent last, those heard last first.
+    /// The same servers by whether they are silent and by zone, those that answered last first.
     by_zone: BTreeMap<(bool, usize), ServersByLastHeard>,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Contact {
     zone: usize,
-    /// When it last said something, and when it last did not; 0 for never.
+    /// When it last answered, and when it last failed to; 0 for never.
     last_heard: Micros,
     last_silent: Micros,
 }
@@ -35,7 +35,7 @@
 }
 
 impl Reachability {
-    /// News of the list. What was heard of a server that stays listed is kept.
+    /// Applies an update of the list. Servers that stay listed keep their times.
     pub(crate) fn apply_update(&mut self, kind: ListUpdateKind, entries: &[ServerEntry]) {
         let previous = match kind {
             ListUpdateKind::Full | ListUpdateKind::StaleCopy => std::mem::take(self).servers,
@@ -67,10 +67,10 @@
         self.servers.len()
     }
 
-    /// What an attempt or a call told of its server.
+    /// Records what an attempt or a call showed about its server.
     pub(crate) fn record_outcome(&mut self, server: &Id, outcome: Outcome, now: Micros) {
         if matches!(outcome, Outcome::Cancelled | Outcome::NotSent | Outcome::StaleConnection) {
-            // Ended by this side.
+            // Ended by this side, so it shows nothing about the server.
             return;
         }
         let Some(mut contact) = self.remove(server) else { return };
@@ -81,10 +81,10 @@
         self.insert(server, contact);
     }
 
-    /// Some servers in the order in which a call that any of them can take should be tried: those last heard
-    /// before those last found silent, latest first, `sent_to` first among equals, and the zones in turn, as
-    /// a zone is lost whole. How many there are does not grow with the list. Servers in `sent_to` that are
-    /// listed no more come last.
+    /// Some servers in the order in which to try a call that any server can handle. Servers that answered
+    /// last come before silent ones, and the latest first; among equals, those in `sent_to` come first.
+    /// Zones take turns, as a zone may be lost as a whole. The number of servers does not grow with the
+    /// list. Servers in `sent_to` that are no longer listed come last.
     pub(crate) fn call_order(&self, sent_to: &[Id]) -> Vec<Id> {
         let listed =
             self.by_zone.values().flat_map(|zone_servers| zone_servers.iter().take(MAX_CANDIDATES_PER_ZONE));
@@ -93,7 +93,7 @@
             candidates.into_iter().filter_map(|id| Some((id, self.servers.get(id)?))).collect();
         let sent_to_rank = |id: &Id| sent_to.iter().position(|s| s == id).unwrap_or(usize::MAX);
         all.sort_by_cached_key(|(id, k)| (k.is_silent(), Reverse(k.last_heard), sent_to_rank(id)));
-        // Each server's rank among those of its zone, the zones in the order of their best.
+        // Each server's rank within its zone; the zones are in the order of their best server.
         let mut ranks: BTreeMap<(bool, usize), usize> = BTreeMap::new();
         let rank = |k: Contact| {
             let silent = k.is_silent();
--- a/core/src/release.rs
+++ b/core/src/release.rs
@@ -1,5 +1,5 @@
-//! Letting go of what servers hold for a request. Begun by the decisions, or by the request itself where they
-//! are late: both share one account of it, so that one release is out for a request at a time.
+//! Releases the KV cache that servers hold for a request. The decisions start a release, or the request
+//! itself if they are late; both share one [`ReleaseState`], so that a request has one release at a time.
 
 use std::future::Future;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -17,42 +17,42 @@
 use crate::reachability::Reachability;
 use crate::traits::Upstream;
 
-/// One server has this long to take the call.
+/// How long one server has to accept the call.
 const CALL_TIMEOUT: Duration = Duration::from_millis(200);
-/// So many servers are asked at once at most.
 const MAX_PARALLEL_CALLS: usize = 4;
-/// After one that said no.
+/// Delay before the next call after one was rejected.
 const RETRY_PAUSE: Duration = Duration::from_millis(5);
-/// How long a release is tried beyond the settings' time: a server that was cut off still holds the state.
+/// A release is tried for this long beyond the KV cache release timeout, as a server that was cut off still
+/// holds the cache.
 const EXTRA_RELEASE_TIME: Duration = Duration::from_secs(4);
-/// Share of the settings' time after which the next server is asked beside one that has not answered.
+/// If a server has not answered within the release timeout divided by this, the next one is called as well.
 const NEXT_SERVER_DELAY_DIVISOR: u32 = 10;
 
-/// What servers may hold for one request, and what is done about it.
+/// The KV cache that servers may hold for one request, and its release.
 #[derive(Debug, Default)]
 pub(crate) struct ReleaseState {
-    /// Servers to which it went, latest first.
+    /// Servers that the request was sent to, latest first.
     sent_to: Vec<Id>,
-    /// A release has been begun that lets go of all that its attempts have left.
+    /// A release has been started that covers all that its attempts have left.
     is_covered: bool,
-    /// The release that is under way, if one is, and what waits for its end.
+    /// The release that is running, if there is one, and what resolves at its end.
     running_release: Option<(AbortHandle, Option<oneshot::Receiver<()>>)>,
 }
 
 impl ReleaseState {
-    /// An attempt is about to go out.
+    /// Records that an attempt is about to be sent.
     pub(crate) fn record_send(&mut self, server: &Id) {
         self.sent_to.insert(0, server.clone());
         self.is_covered = false;
     }
 
-    /// An attempt has ended, and may have left something: a release beside it does not cover that.
+    /// An attempt has ended and may have left KV cache, which a release sent beside it does not cover.
     pub(crate) fn mark_uncovered(&mut self) {
         self.is_covered = false;
     }
 
-    /// A release that is late would take the KV cache of the attempt that has just ended well. What it was
-    /// for goes with the first event, or with the release that follows.
+    /// Aborts the running release: if it came late, it would free the KV cache of the attempt that has just
+    /// succeeded. What it was to free goes with the first event, or with the next release.
     pub(crate) fn abort_release(&mut self) {
         self.is_covered = false;
         if let Some((release, _)) = self.running_release.take() {
@@ -60,47 +60,49 @@
         }
     }
 
-    /// Resolves once the release that is under way has ended. One waiter can have it.
+    /// Resolves once the running release has ended. Only the first caller gets it.
     pub(crate) fn take_release_end(&mut self) -> Option<oneshot::Receiver<()>> {
         self.running_release.as_mut().and_then(|release| release.1.take())
     }
 
-    /// Whether a release is being tried: it lets go of all that is held when a server takes it.
+    /// Whether a release is being tried. It frees all that is held once a server accepts it.
     pub(crate) fn is_release_running(&self) -> bool {
         self.running_release.as_ref().is_some_and(|(task, _)| !task.is_finished())
     }
 
-    /// Whether it has had an attempt.
+    /// Whether the request has had an attempt.
     pub(crate) fn has_been_sent(&self) -> bool {
         !self.sent_to.is_empty()
     }
 }
 
-/// Whole between any two statements, so that a panic elsewhere does no harm to it.
+/// Ignores poisoning: the data is consistent between any two statements, so that a panic elsewhere does no
+/// harm.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Begins releases.
+/// Starts releases.
 pub(crate) trait Releaser: Send + Sync {
-    /// Lets go of whatever servers hold for a request, unless that has begun already.
+    /// Releases all KV cache that servers hold for a request, unless that has been started already.
     fn release(&self, request: &Id, release_state: &Mutex<ReleaseState>);
 
-    /// The same for a request that has ended: what is under way goes on beside it, as no attempt follows from
-    /// which it could take anything. Where its last attempt was cut while it was out, the call waits for that
-    /// attempt's end to arrive: what a prefill leaves a moment later would be held for ever.
+    /// The same for a request that has ended. A release that is running goes on beside it, as no later
+    /// attempt follows from which it could take anything. If the last attempt was cut while in flight, the
+    /// call waits until that end has reached the server: KV cache that a prefill leaves a moment later
+    /// would be held for ever.
     fn release_at_end(&self, request: &Id, release_state: &Mutex<ReleaseState>, was_cut: bool);
 
-    /// What an attempt told of its server.
+    /// Records what an attempt showed about its server.
     fn record_outcome(&self, server: &Id, outcome: Outcome, now: Micros);
 }
 
-/// Begins releases over a way to the servers.
+/// Starts releases and sends them through an [`Upstream`].
 pub(crate) struct UpstreamReleaser<U> {
     upstream: Arc<U>,
     reachability: Arc<Mutex<Reachability>>,
     clock: Clock,
-    /// The settings' time for what is held.
+    /// The KV cache release timeout from the settings.
     release_timeout: Mutex<Duration>,
     tasks: TaskTracker,
     /// A request may be dropped outside of the runtime.
@@ -109,7 +111,7 @@
 }
 
 impl<U: Upstream> UpstreamReleaser<U> {
-    /// For the current runtime.
+    /// Uses the current runtime.
     pub(crate) fn new(upstream: Arc<U>, release_timeout: Duration, clock: Clock, log: Logger) -> Self {
         let (reachability, release_timeout, tasks) =
             (Arc::default(), Mutex::new(release_timeout), TaskTracker::new());
@@ -124,31 +126,30 @@
         }
     }
 
-    /// What has been told of releases: all of them have ended once it is closed and waited for.
+    /// The running releases: all have ended once the tracker has been closed and waited for.
     pub(crate) fn tasks(&self) -> &TaskTracker {
         &self.tasks
     }
 
-    /// New settings.
+    /// Sets the KV cache release timeout, from new settings.
     pub(crate) fn set_release_timeout(&self, release_timeout: Duration) {
         *lock(&self.release_timeout) = release_timeout;
     }
 
-    /// News of the list of servers; gives how many are listed.
+    /// Applies an update of the list of servers, and returns how many are listed.
     pub(crate) fn apply_update(&self, kind: ListUpdateKind, entries: &[ServerEntry]) -> usize {
         let mut reachability = lock(&self.reachability);
         reachability.apply_update(kind, entries);
         reachability.listed_count()
     }
 
-    /// How many servers are listed.
     pub(crate) fn listed_count(&self) -> usize {
         lock(&self.reachability).listed_count()
     }
 }
 
 impl<U: Upstream> UpstreamReleaser<U> {
-    /// Begins one, unless one has been that covers all that is held.
+    /// Starts a release, unless an earlier one covers all that is held.
     fn start_release(&self, request: &Id, release_state: &mut ReleaseState, delay: Duration) {
         if release_state.is_covered {
             return;
@@ -175,8 +176,10 @@
             )
             .await
             {
-                Some(by) => debug!(log, "released"; "id" => %id, "by" => %by, "after" => ?begin.elapsed()),
-                None => info!(log, "a release reached no server"; "id" => %id),
+                Some(by) => {
+                    debug!(log, "KV cache released"; "id" => %id, "by" => %by, "after" => ?begin.elapsed())
+                }
+                None => info!(log, "no server accepted the release"; "id" => %id),
             }
         };
         let task = self.tasks.spawn_on(task, &self.runtime);
@@ -205,7 +208,7 @@
         lock(&self.reachability).record_outcome(server, outcome, now);
     }
 }
-/// The calls of a release. What they tell of a server is of use to the next ones.
+/// The calls of a release. Their results are recorded for later releases.
 struct ReleaseCalls<U> {
     upstream: Arc<U>,
     reachability: Arc<Mutex<Reachability>>,
@@ -213,7 +216,7 @@
 }
 
 impl<U: Upstream> ReleaseCalls<U> {
-    /// One call; true once the server has taken it.
+    /// Calls one server; true once it has accepted the release.
     fn call(&self, server: &Id, request: &Id) -> impl Future<Output = bool> + Send + 'static {
         let (upstream, reachability, clock) = (self.upstream.clone(), self.reachability.clone(), self.clock);
         let (server, request) = (server.clone(), request.clone());
@@ -230,9 +233,10 @@
     }
 }
 
-/// Calls servers until one has taken the release, or `within` has passed; gives that one. Any server can
-/// let go of all that is held for a request, wherever it is. One that has not answered within `pace` keeps
-/// its time, and the next is asked beside it: a zone that is silent must not use up the time of the rule.
+/// Calls servers until one has accepted the release or `time_limit` has passed, and returns that server.
+/// Any server can free all that is held for a request, wherever it is. A server that has not answered
+/// within `next_server_delay` keeps its time, and the next one is called beside it: a silent zone must not
+/// use up the time in which KV cache has to be released.
 async fn release_at_any_server<U: Upstream>(
     release_calls: ReleaseCalls<U>,
     id: Id,
--- a/core/src/request.rs
+++ b/core/src/request.rs
@@ -1,4 +1,4 @@
-//! One request: a future that owns its single final answer, and gives it in time whatever others do.
+//! One request: a future that owns its single final answer and gives it in time, whatever other tasks do.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -25,9 +25,9 @@
 /// A client's request as a front hands it over.
 #[derive(Debug)]
 pub struct Request<C> {
-    /// What the decisions know of it.
+    /// What the decisions need to know about it.
     pub query: Query,
-    /// What goes to the servers.
+    /// What is sent to the servers.
     pub call: C,
 }
 
@@ -36,61 +36,61 @@
 pub enum Answer<E: EventStream> {
     /// Served: the events of one server's stream.
     Served(AnswerStream<E>),
-    /// Refused: trying again is harmless.
+    /// Refused: a retry is harmless.
     Refused {
-        /// How long the client should stay away; zero for no advice.
+        /// How long the client should wait before a retry; zero for no advice.
         retry_after: Duration,
-        /// How the last attempt had ended, if there was one.
+        /// The outcome of the last attempt, if there was one.
         last_outcome: Option<Outcome>,
     },
-    /// Failed: it may have run.
+    /// Failed: the request may have run.
     Failed {
-        /// The last outcome, if there was one.
+        /// The outcome of the last attempt, if there was one.
         last_outcome: Option<Outcome>,
     },
 }
 
-/// Why a request was not taken at all.
+/// Why a request was not accepted at all.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
-    /// Its id is that of a request that has not ended.
+    /// A request with the same id is open.
     #[error("a request with this id has not ended yet")]
     IdInUse,
 }
 
-/// A request on the way to its final answer.
+/// A request without its final answer.
 struct OpenCall {
     registration: Registration,
-    /// When it answers itself, unless a decision has come.
+    /// When the request answers itself, unless a decision has come.
     answer_by: Instant,
-    /// What is held is let go after this time.
+    /// KV cache is released after this time.
     release_timeout: Duration,
     execution: ExecutionRecord,
     last_outcome: Option<Outcome>,
 }
 
-/// An attempt as it has been decided.
+/// An attempt that has been decided.
 struct PreparedAttempt {
     server: Id,
-    /// Resolves once the release before it has ended.
+    /// Resolves once the request's previous release has ended.
     previous_release: Option<oneshot::Receiver<()>>,
     permit: SendPermit,
     stop_at: Micros,
     may_take_effect: bool,
 }
 
-/// What an attempt leaves to be done.
+/// What follows an attempt.
 enum NextStep<E> {
     Stream(E),
-    /// The outcome has been reported; more orders follow.
+    /// The outcome has been reported, and the dispatcher sends further instructions.
     AwaitInstruction,
-    /// The decisions have ended it while it was out.
+    /// An instruction ended the attempt while it was in flight.
     Instruction(Instruction),
-    /// Its time is over.
+    /// The request's time is over.
     Overdue,
 }
 
-/// How the wait for an attempt ended.
+/// How the wait for an attempt's reply ended.
 enum WaitResult<E> {
     Instruction(Option<Instruction>),
     Reply(AttemptReply<E>),
@@ -98,7 +98,7 @@
 }
 
 impl OpenCall {
-    /// The next order; `None` where the dispatcher has none, `Err` once the request's time is over.
+    /// The next instruction; `None` if the dispatcher has none, `Err` once the request's time is over.
     async fn next_instruction(&mut self) -> Result<Option<Instruction>, Overdue> {
         loop {
             let release_due = self.registration.wait_until_release_due(self.release_timeout);
@@ -111,25 +111,25 @@
         }
     }
 
-    /// Waits for an attempt's reply, an order or the end of the request's time.
+    /// Waits for an attempt's reply, an instruction or the end of the request's time.
     async fn wait_for_reply<E>(&mut self, attempt: impl Future<Output = AttemptReply<E>>) -> WaitResult<E> {
         tokio::pin!(attempt);
         loop {
             let release_due = self.registration.wait_until_release_due(self.release_timeout);
-            // What has been decided stands, also where a reply lies ready beside it: the decisions have let
-            // go of the request, and what would begin to stream now might be cut by the conductor's end.
+            // A decision stands even if a reply is ready as well: the decisions have dropped the request,
+            // and a stream that began now might be cut when the conductor ends.
             tokio::select! {
                 biased;
                 received = self.registration.instructions.recv() => return WaitResult::Instruction(received),
                 reply = &mut attempt => return WaitResult::Reply(reply),
-                // Where the attempt has arrived, this takes nothing.
+                // Frees nothing if the attempt has arrived.
                 () = release_due => self.registration.release(true),
                 () = sleep_until(self.answer_by) => return WaitResult::Overdue,
             }
         }
     }
 
-    /// The final answer without a decision, and without a look at where others stand.
+    /// The final answer without a decision, from what the request itself knows.
     fn answer_overdue<E: EventStream>(&mut self, metrics: &Metrics) -> Answer<E> {
         let is_refusal = self.execution.may_be_refused();
         metrics.count_overdue(is_refusal);
@@ -141,14 +141,14 @@
     }
 }
 
-/// A request's time is over, and no decision has come.
+/// The request's time is over, and no decision has come.
 struct Overdue;
 
 impl<U: Upstream> Conductor<U> {
-    /// Takes a request to its final answer. Dropping the future gives the request up.
+    /// Runs a request to its final answer. Dropping the future cancels the request.
     pub async fn call(&self, request: Request<U::Call>) -> Result<Answer<U::Events>, CallError> {
         let Request { query, call } = request;
-        // Before all else: a refusal of one that is open would promise that nothing of it has run.
+        // Checked first: a refusal of a request that is open would promise that nothing of it has run.
         let Some(claim) = IdClaim::acquire(&self.open_ids, &query.id) else { return Err(CallError::IdInUse) };
         if !admission::admits(self.commands.backlog().expected_wait(), query.budget) {
             return Ok(self.refuse_early(&query));
@@ -185,7 +185,7 @@
                     return Ok(Answer::Refused { retry_after, last_outcome: open_call.last_outcome });
                 }
                 Decision::Fail => return Ok(Answer::Failed { last_outcome: open_call.last_outcome }),
-                // Nothing is out, nothing runs; the dispatcher sees to releases itself.
+                // No attempt is in flight and no stream runs; the dispatcher starts releases itself.
                 Decision::Cancel | Decision::Move | Decision::Release => open_call.next_instruction().await,
             };
         }
@@ -198,7 +198,7 @@
         Answer::Refused { retry_after: Duration::from_micros(retry_after), last_outcome: None }
     }
 
-    /// Tells the dispatcher of a request.
+    /// Registers a request with the dispatcher.
     fn register(&self, query: Query, claim: IdClaim) -> OpenCall {
         let (instruction_sender, instructions) = mpsc::unbounded_channel();
         let (has_ended, release_state) = (Arc::new(AtomicBool::default()), Arc::new(Mutex::default()));
@@ -240,8 +240,8 @@
         open_call
     }
 
-    /// One attempt, until it ends, by its time at the latest, or the decisions end it. What was held for the
-    /// request before is let go first: a late release would take what this attempt leaves.
+    /// Runs one attempt until it ends, at its stop time at the latest, or until the decisions end it. The
+    /// request's previous release ends first: a late one would take the KV cache that this attempt leaves.
     async fn attempt(
         &self,
         open_call: &mut OpenCall,
@@ -255,7 +255,7 @@
         let result = {
             let attempt = async {
                 if let Some(released) = previous_release {
-                    // An error is an end too: the task that has it has gone.
+                    // An error is an end too: the release's task is gone.
                     let _ = timeout(self.release_wait(), released).await;
                 }
                 if permit.check().is_err() {
@@ -274,7 +274,7 @@
             WaitResult::Instruction(_) | WaitResult::Overdue => true,
         };
         if was_ended_here {
-            // Neither another attempt nor an answer may overtake its end.
+            // Neither another attempt nor an answer may overtake the end of this one.
             let delay = self.upstream.cancellation_delay(&server);
             if !delay.is_zero() {
                 sleep(delay).await;
@@ -292,7 +292,7 @@
         self.handle_reply(open_call, &server, may_take_effect, reply)
     }
 
-    /// Notes what came of an attempt, and reports it.
+    /// Records the result of an attempt and reports it.
     fn handle_reply(
         &self,
         open_call: &mut OpenCall,
@@ -340,7 +340,7 @@
     type Error = CallError;
     type Future = Pin<Box<dyn Future<Output = Result<Self::Response, CallError>> + Send>>;
 
-    /// Always ready: what to hold and for how long is the decisions' part.
+    /// Always ready: the decisions choose what waits and for how long.
     fn poll_ready(&mut self, _: &mut Context<'_>) -> Poll<Result<(), CallError>> {
         Poll::Ready(Ok(()))
     }
--- a/core/src/traits.rs
+++ b/core/src/traits.rs
@@ -1,4 +1,4 @@
-//! What the core asks of the wires at either end.
+//! The interfaces through which the core reaches servers and learns of members.
 
 use std::future::Future;
 use std::task::{Context, Poll};
@@ -9,52 +9,52 @@
 
 use crate::permit::SendPermit;
 
-/// What came of an attempt, up to the first event of a stream.
+/// The result of an attempt, up to the first event of a stream.
 #[derive(Debug)]
 pub enum AttemptReply<E> {
-    /// The prompt is read; so many of its tokens were found kept.
+    /// The prompt has been prefilled.
     PrefillDone {
-        /// Prompt tokens that the reader still had.
+        /// Prompt tokens that were in the server's cache.
         cached_tokens: u64,
-        /// Its load report, if one came along.
+        /// The server's load report, if it sent one.
         load: Option<LoadReport>,
     },
-    /// The answer has begun: its first event is there.
+    /// The answer has begun, and its first event is ready.
     Stream(E),
-    /// It ended without either.
+    /// The attempt ended with this outcome and without either of the above.
     Ended(Outcome, Option<LoadReport>),
 }
 
-/// What comes next in an answer that has begun.
+/// The next step of an answer that has begun.
 #[derive(Debug, PartialEq)]
 pub enum StreamStep {
-    /// One event as it came, whole.
+    /// One whole event, unchanged.
     Event(Bytes),
-    /// The whole of the answer has come.
+    /// The answer is complete.
     End,
-    /// It broke off, and this is how.
+    /// The stream broke off with this outcome.
     Broken(Outcome),
 }
 
 /// An answer that has begun. Dropping it ends the attempt.
 pub trait EventStream: Send + Unpin + 'static {
-    /// The next step; not called again after [`StreamStep::End`] or [`StreamStep::Broken`].
+    /// The next step. Not called again after [`StreamStep::End`] or [`StreamStep::Broken`].
     fn poll_step(&mut self, cx: &mut Context<'_>) -> Poll<StreamStep>;
 }
 
-/// The way to the servers. Dropping a future that it returned ends what that future did: the attempt's
-/// connection is closed.
+/// The connection to the servers. Dropping a returned future cancels its call: the attempt's connection is
+/// closed.
 pub trait Upstream: Send + Sync + 'static {
-    /// What travels to a server: the request as the front's wire has it.
+    /// What is sent to a server: the request in the form of the front's protocol.
     type Call: Send + Sync + 'static;
-    /// Answers.
+    /// The stream of an answer.
     type Events: EventStream;
 
-    /// One attempt, never repeated: it resolves with the read's end, the first event or the outcome, and
-    /// after `wait` at the latest. Only the way to a server knows whether a request that was given up by then
-    /// had been written, and so whether it may run, so this clock is kept there.
+    /// Runs one attempt and never repeats it. Resolves with the end of the prefill, the first event or the
+    /// outcome, after `wait` at the latest. That limit is enforced here because only the connection knows
+    /// whether a request that is given up had been written by then, and so whether it may run.
     ///
-    /// `permit` is to be asked directly before the first byte is written, after all waits; an attempt that it
+    /// `permit` must be checked right before the first byte is written, after all waits. An attempt that it
     /// withholds ends with [`Outcome::NotSent`].
     fn attempt(
         &self,
@@ -65,30 +65,30 @@
         permit: &SendPermit,
     ) -> impl Future<Output = AttemptReply<Self::Events>> + Send;
 
-    /// How long the end of an attempt may be on its way to a server. Until it has arrived, the server
-    /// counts the attempt as out. As far as is known: zero where the way says nothing.
+    /// How long the end of an attempt may take to reach a server, as far as is known. Until it has arrived,
+    /// the server counts the attempt as in flight. Zero if the connection gives no information.
     fn cancellation_delay(&self, _server: &Id) -> Duration {
         Duration::ZERO
     }
 
-    /// Asks one server to let go of all that is held for the request; true once it has said so.
+    /// Asks one server to free all that is held for the request; true once it has confirmed that.
     fn release(&self, server: &Id, request: &Id) -> impl Future<Output = bool> + Send;
 
     /// Probes one server.
     fn probe(&self, server: &Id) -> impl Future<Output = (Outcome, Option<LoadReport>)> + Send;
 }
 
-/// News of the list of members.
+/// An update of the list of members.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MembershipUpdate {
-    /// What kind of news.
+    /// What kind of update it is.
     pub kind: ListUpdateKind,
-    /// The lines.
+    /// The entries of the list.
     pub entries: Vec<ServerEntry>,
 }
 
-/// Where the list of members comes from.
+/// The source of the list of members.
 pub trait MembershipSource: Send + 'static {
-    /// The next news; pends for as long as there are none. `None`: the source has closed.
+    /// Waits for the next update; `None` once the source has closed.
     fn next(&mut self) -> impl Future<Output = Option<MembershipUpdate>> + Send;
 }
