--- a/core/src/answer_stream.rs
+++ b/core/src/answer_stream.rs
@@ -72,8 +72,8 @@
                         self.silence_timer.as_mut().reset(earliest);
                     }
                 }
-                // A single stalled stream may be a fault of this answer alone; a server that has
-                // disappeared shows in its other attempts as well.
+                // Reported for this attempt alone: a single stalled stream may be the fault of its answer,
+                // and a server that has disappeared shows in its other attempts as well.
                 ready!(self.silence_timer.as_mut().poll(cx));
                 StreamStep::Broken(Outcome::NoAnswer)
             }
--- a/core/src/cache_clock.rs
+++ b/core/src/cache_clock.rs
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The KV cache has been released, during an attempt or with none in flight.
+    /// A release of the KV cache has been started, during an attempt or with none in flight.
     pub(crate) fn record_release(&mut self, during_attempt: bool) {
         *self = CacheClock { waiting_since: None, released_during_attempt: during_attempt };
     }
--- a/core/src/command.rs
+++ b/core/src/command.rs
@@ -1,5 +1,4 @@
-//! The messages from conductors' handles and requests to the dispatcher, and from the dispatcher to
-//! requests.
+//! The messages that handles and requests send to the dispatcher, and that the dispatcher sends to requests.
 
 use std::sync::atomic::AtomicBool;
 use std::sync::{Arc, Mutex};
--- a/core/src/conductor.rs
+++ b/core/src/conductor.rs
@@ -20,7 +20,7 @@
 use crate::release::{lock, UpstreamReleaser};
 use crate::traits::Upstream;
 
-/// An attempt waits for the request's previous release for this part of the KV cache release timeout.
+/// An attempt waits for the request's previous release for the KV cache release timeout divided by this.
 const RELEASE_WAIT_DIVISOR: u32 = 2;
 
 /// What a conductor has learned, for the process that replaces it.
@@ -114,7 +114,7 @@
     }
 
     /// Sets this conductor's share, out of 1, of the quota of all conductors that send to the same servers.
-    /// Until it is set, the share is one part in the settings' number of conductors.
+    /// Until it is set, the share is one divided by the number of conductors in the settings.
     pub fn set_quota_share(&self, share: f64) {
         self.commands.send(Command::SetQuotaShare(share));
     }
--- a/core/src/dispatcher.rs
+++ b/core/src/dispatcher.rs
@@ -65,7 +65,7 @@
         clock,
         upstream: upstream.clone(),
         commands: sender.downgrade(),
-        open: HashMap::new(),
+        open_requests: HashMap::new(),
         has_members: has_members_sender,
         releaser: releaser.clone(),
         exclusions: exclusions.clone(),
@@ -114,15 +114,15 @@
 
 impl<U: Upstream> MembershipFollower<U> {
     async fn run<M: MembershipSource>(self, mut members: M) {
-        while let Some(news) = members.next().await {
+        while let Some(update) = members.next().await {
             let Some(commands) = self.commands.upgrade() else { return };
-            let up = self.releaser.apply_update(news.kind, &news.entries);
+            let up = self.releaser.apply_update(update.kind, &update.entries);
             info!(self.log, "membership update";
-                "form" => ?news.kind, "entries" => news.entries.len(), "up" => up);
+                "form" => ?update.kind, "entries" => update.entries.len(), "up" => up);
             let now = self.clock.now();
-            let entries = lock(&self.exclusions).apply_update(now, news.kind, &news.entries);
-            self.admitting_servers.apply_update(news.kind, &entries);
-            commands.send(Command::UpdateServers(news.kind, entries));
+            let entries = lock(&self.exclusions).apply_update(now, update.kind, &update.entries);
+            self.admitting_servers.apply_update(update.kind, &entries);
+            commands.send(Command::UpdateServers(update.kind, entries));
         }
     }
 }
@@ -143,7 +143,7 @@
     clock: Clock,
     upstream: Arc<U>,
     commands: WeakCommandSender,
-    open: HashMap<Id, OpenRequest>,
+    open_requests: HashMap<Id, OpenRequest>,
     has_members: watch::Sender<bool>,
     releaser: Arc<UpstreamReleaser<U>>,
     exclusions: Arc<Mutex<Exclusions>>,
@@ -221,7 +221,7 @@
         self.metrics.observe_wait(Duration::from_micros(age));
         if age > LAG_LOG_THRESHOLD && now >= self.next_lag_log_at {
             self.next_lag_log_at = now + LAG_LOG_INTERVAL;
-            let open = self.open.len();
+            let open = self.open_requests.len();
             warn!(self.log, "decisions lag behind"; "waited" => ?Duration::from_micros(age), "open" => open);
         }
     }
@@ -276,7 +276,7 @@
         debug!(self.log, "request"; "id" => %id, "class" => %query.class.name,
             "budget" => query.budget, "tokens" => query.prompt_tokens, "again" => query.is_client_retry);
         let decisions = self.facade.submit(now, query)?;
-        self.open.insert(
+        self.open_requests.insert(
             id,
             OpenRequest { call_id, instructions, release_state, has_ended, deadline, last_outcome: None },
         );
@@ -284,7 +284,9 @@
     }
 
     fn report(&mut self, now: Micros, id: Id, call_id: CallId, report: Report) {
-        let Some(open) = self.open.get_mut(&id).filter(|open| open.call_id == call_id) else { return };
+        let Some(open) = self.open_requests.get_mut(&id).filter(|open| open.call_id == call_id) else {
+            return;
+        };
         open.last_outcome = Some(match &report {
             Report::Started => Outcome::Served,
             Report::Ended { outcome, .. } => *outcome,
@@ -296,7 +298,7 @@
         self.carry_out(decisions);
         if is_closed {
             // The last decisions for it, releases among them, have been carried out.
-            self.open.remove(&id);
+            self.open_requests.remove(&id);
         }
     }
 
@@ -353,7 +355,7 @@
     }
 
     fn deliver(&mut self, id: &Id, decision: Decision) {
-        let Some(open) = self.open.get(id) else { return };
+        let Some(open) = self.open_requests.get(id) else { return };
         let (mut permit, mut previous_release, mut may_take_effect) =
             (SendPermit::unconditional(), None, false);
         match &decision {
@@ -362,7 +364,7 @@
                 may_take_effect = self.facade.takes_effect(server);
                 permit = self.issue_permit(open, server, *send_by);
                 // A send that never arrives does not end the wait of the KV cache, which must not be held for
-                // long. The release therefore goes on beside the attempt until that is known to have arrived.
+                // long. The release therefore continues until the attempt is known to have arrived.
                 let no_server_heard =
                     matches!(open.last_outcome, Some(Outcome::NoConnection | Outcome::PrefillDone));
                 let mut release_state = lock(&open.release_state);
--- a/core/src/entry.rs
+++ b/core/src/entry.rs
@@ -82,7 +82,8 @@
         lock(&self.release_state).mark_uncovered();
     }
 
-    /// Releases the request's KV cache, unless a release is running already.
+    /// Releases the request's KV cache, where the decisions have not done so in time. Starts no release if
+    /// one is running.
     pub(crate) fn release(&mut self, during_attempt: bool) {
         let is_running = lock(&self.release_state).is_release_running();
         if !is_running {
--- a/core/src/exclusion.rs
+++ b/core/src/exclusion.rs
@@ -1,5 +1,4 @@
-//! Instances that operators have excluded: a state of its own beside what discovery reports, kept without
-//! I/O.
+//! Instances that operators have excluded, kept apart from what discovery reports and without I/O.
 //!
 //! The decisions see an excluded instance as a draining one, whatever the list says of it. An instance that
 //! is included again counts as started at that moment, unless the list names a later start: operators
--- a/core/src/metrics.rs
+++ b/core/src/metrics.rs
@@ -57,7 +57,7 @@
     pub sends: IntCounter,
     /// Instances in the list.
     pub cluster_size: IntGauge,
-    /// Listed instances that are avoided, excluded ones among them.
+    /// Listed instances that are avoided, by exclusion or by the decisions.
     pub cluster_unhealthy: IntGauge,
     /// Configurations that were put in force at SIGHUP.
     pub conf_loaded: IntCounter,
--- a/core/src/reachability.rs
+++ b/core/src/reachability.rs
@@ -20,6 +20,7 @@
     by_zone: BTreeMap<(bool, usize), ServersByLastHeard>,
 }
 
+/// A listed server's zone and its latest contacts.
 #[derive(Clone, Copy, Debug, Default)]
 struct Contact {
     zone: usize,
@@ -96,10 +97,10 @@
         // Each server's rank within its zone; the zones are in the order of their best server.
         let mut ranks: BTreeMap<(bool, usize), usize> = BTreeMap::new();
         let rank = |k: Contact| {
-            let silent = k.is_silent();
-            let rank = ranks.entry((silent, k.zone)).or_default();
+            let is_silent = k.is_silent();
+            let rank = ranks.entry((is_silent, k.zone)).or_default();
             *rank += 1;
-            (silent, *rank)
+            (is_silent, *rank)
         };
         let ranks: Vec<(bool, usize)> = all.iter().map(|(_, k)| **k).map(rank).collect();
         let mut order: Vec<usize> = (0..all.len()).collect();
--- a/core/src/release.rs
+++ b/core/src/release.rs
@@ -46,7 +46,7 @@
         self.is_covered = false;
     }
 
-    /// An attempt has ended and may have left KV cache, which a release sent beside it does not cover.
+    /// An attempt has ended and may have left KV cache, which a release sent during it does not cover.
     pub(crate) fn mark_uncovered(&mut self) {
         self.is_covered = false;
     }
@@ -87,11 +87,11 @@
     /// Releases all KV cache that servers hold for a request, unless that has been started already.
     fn release(&self, request: &Id, release_state: &Mutex<ReleaseState>);
 
-    /// The same for a request that has ended. A release that is running goes on beside it, as no later
-    /// attempt follows from which it could take anything. If the last attempt was cut while in flight, the
+    /// The same for a request that has ended. A release that is already running continues, as no later
+    /// attempt follows whose KV cache it could free. If the last attempt was cancelled while in flight, the
     /// call waits until that end has reached the server: KV cache that a prefill leaves a moment later
     /// would be held for ever.
-    fn release_at_end(&self, request: &Id, release_state: &Mutex<ReleaseState>, was_cut: bool);
+    fn release_at_end(&self, request: &Id, release_state: &Mutex<ReleaseState>, was_cancelled: bool);
 
     /// Records what an attempt showed about its server.
     fn record_outcome(&self, server: &Id, outcome: Outcome, now: Micros);
@@ -197,9 +197,9 @@
         self.start_release(request, &mut release_state, Duration::ZERO);
     }
 
-    fn release_at_end(&self, request: &Id, release_state: &Mutex<ReleaseState>, was_cut: bool) {
+    fn release_at_end(&self, request: &Id, release_state: &Mutex<ReleaseState>, was_cancelled: bool) {
         let mut release_state = lock(release_state);
-        let last_server = release_state.sent_to.first().filter(|_| was_cut);
+        let last_server = release_state.sent_to.first().filter(|_| was_cancelled);
         let delay = last_server.map_or(Duration::ZERO, |server| self.upstream.cancellation_delay(server));
         self.start_release(request, &mut release_state, delay);
     }
@@ -208,6 +208,7 @@
         lock(&self.reachability).record_outcome(server, outcome, now);
     }
 }
+
 /// The calls of a release. Their results are recorded for later releases.
 struct ReleaseCalls<U> {
     upstream: Arc<U>,
@@ -235,8 +236,8 @@
 
 /// Calls servers until one has accepted the release or `time_limit` has passed, and returns that server.
 /// Any server can free all that is held for a request, wherever it is. A server that has not answered
-/// within `next_server_delay` keeps its time, and the next one is called beside it: a silent zone must not
-/// use up the time in which KV cache has to be released.
+/// within `next_server_delay` keeps its time, and the next one is called in parallel: a silent zone must
+/// not use up the time in which KV cache has to be released.
 async fn release_at_any_server<U: Upstream>(
     release_calls: ReleaseCalls<U>,
     id: Id,
--- a/core/src/request.rs
+++ b/core/src/request.rs
@@ -261,8 +261,8 @@
                 if permit.check().is_err() {
                     return AttemptReply::Ended(Outcome::NotSent, None);
                 }
-                let wait = Duration::from_micros(stop_at.saturating_sub(self.clock.now()));
-                self.upstream.attempt(&server, &id, call, wait, &permit).await
+                let attempt_timeout = Duration::from_micros(stop_at.saturating_sub(self.clock.now()));
+                self.upstream.attempt(&server, &id, call, attempt_timeout, &permit).await
             };
             open_call.wait_for_reply(attempt).await
         };
--- a/core/src/traits.rs
+++ b/core/src/traits.rs
@@ -51,7 +51,7 @@
     type Events: EventStream;
 
     /// Runs one attempt and never repeats it. Resolves with the end of the prefill, the first event or the
-    /// outcome, after `wait` at the latest. That limit is enforced here because only the connection knows
+    /// outcome, after `timeout` at the latest. That limit is enforced here because only the connection knows
     /// whether a request that is given up had been written by then, and so whether it may run.
     ///
     /// `permit` must be checked right before the first byte is written, after all waits. An attempt that it
@@ -61,7 +61,7 @@
         server: &Id,
         request: &Id,
         call: &Self::Call,
-        wait: Duration,
+        timeout: Duration,
         permit: &SendPermit,
     ) -> impl Future<Output = AttemptReply<Self::Events>> + Send;
 
--- a/core/tests/unit/release.rs
+++ b/core/tests/unit/release.rs
@@ -97,13 +97,13 @@
     let releaser = releaser();
     // Which server answers is known by then.
     time_release(&releaser, &Mutex::default()).await;
-    for was_cut in [true, false] {
+    for was_cancelled in [true, false] {
         let release_state = Mutex::<ReleaseState>::default();
         lock(&release_state).record_send(&"b0".into());
         let begin = Instant::now();
-        releaser.release_at_end(&"q".into(), &release_state, was_cut);
+        releaser.release_at_end(&"q".into(), &release_state, was_cancelled);
         let end = lock(&release_state).take_release_end().expect("one is under way");
         let _ = end.await;
-        assert_eq!(begin.elapsed() >= CANCELLATION_DELAY, was_cut, "{:?}", begin.elapsed());
+        assert_eq!(begin.elapsed() >= CANCELLATION_DELAY, was_cancelled, "{:?}", begin.elapsed());
     }
 }
