--- a/core/tests/exclusion.rs
+++ b/core/tests/exclusion.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn holds_through_lists_absence_return_and_restart() {
+fn an_exclusion_survives_lists_absence_return_and_restart() {
     let (mut exclusions, a) = (two_listed_instances(), Id::from("a"));
     exclusions.exclude(&a).unwrap();
     let first_health = |entries: Vec<ServerEntry>| entries[0].health;
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn two_calls_out_need_one_call_back_and_a_call_back_alone_changes_nothing() {
+fn one_inclusion_undoes_two_exclusions_and_alone_changes_nothing() {
     let (mut exclusions, a) = (two_listed_instances(), Id::from("a"));
     exclusions.include(5, &a).unwrap();
     assert_eq!(exclusions.effective_entry(&a).unwrap().started, 0);
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn an_id_that_nobody_has_is_turned_down() {
+fn an_unknown_id_is_rejected() {
     let (mut exclusions, c) = (two_listed_instances(), Id::from("c"));
     assert_eq!(exclusions.exclude(&c), Err(ExclusionError::Unknown));
     assert_eq!(exclusions.include(1, &c), Err(ExclusionError::Unknown));
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn an_instance_that_is_put_back_counts_as_started_then() {
+fn an_included_instance_counts_as_started_then() {
     let (mut exclusions, a) = (two_listed_instances(), Id::from("a"));
     exclusions.exclude(&a).unwrap();
     exclusions.include(100, &a).unwrap();
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn exclusions_from_before_hold_from_the_first_list_on() {
+fn earlier_exclusions_hold_from_the_first_list_on() {
     let mut exclusions = Exclusions::new(["a".into()], SLOW_START_US);
     let first = exclusions.apply_update(1, ListUpdateKind::StaleCopy, &[entry("a", Health::Up, 0)]);
     assert_eq!(first[0].health, Health::Draining);
--- a/core/tests/held.rs
+++ b/core/tests/held.rs
@@ -16,91 +16,99 @@
     SendPermit, StreamStep, Upstream,
 };
 use quickcheck::{Arbitrary, Gen, QuickCheck};
-use support::{paused, query, Fixed};
+use support::{query, run_paused, SingleUpdate};
 use tokio::time::{sleep, timeout, Instant};
 
 /// What sockets add to the settings' time, and a little for the calls themselves.
-const ADDED: Duration = Duration::from_millis(300);
-const CONNECT: Duration = Duration::from_millis(250);
+const ALLOWANCE: Duration = Duration::from_millis(300);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// A connection that fell silent breaks after this time, where it does.
-const SILENT_FOR: Duration = Duration::from_millis(300);
-const NAMES: [&str; 8] = ["r1", "r2", "r3", "r4", "w1", "w2", "w3", "w4"];
+const RESET_DELAY: Duration = Duration::from_millis(300);
+const SERVER_NAMES: [&str; 8] = ["r1", "r2", "r3", "r4", "w1", "w2", "w3", "w4"];
 
 /// How a server is.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Is {
-    Well,
+enum ServerState {
+    Healthy,
     /// Takes a state, then turns the request away.
-    Full,
+    RejectsAfterFetch,
     /// New connections never come up.
-    Gone,
+    Unreachable,
     /// New connections are refused.
-    Down,
+    RefusesConnections,
     /// Takes requests and answers none.
-    Mute,
+    NeverAnswers,
     /// Its open connections fell silent: what is written to one never arrives, and no error tells so.
     Silent,
     /// The same, and the connection breaks after a while.
     SilentThenReset,
     /// Reads the prompt; its connection breaks before the answer.
-    Cut,
+    BreaksAfterPrefill,
 }
 
-impl Arbitrary for Is {
+impl Arbitrary for ServerState {
     fn arbitrary(g: &mut Gen) -> Self {
-        let silent = [Is::Silent, Is::SilentThenReset, Is::Cut];
-        let all = [Is::Well, Is::Full, Is::Gone, Is::Gone, Is::Gone, Is::Down, Is::Mute];
+        let silent = [ServerState::Silent, ServerState::SilentThenReset, ServerState::BreaksAfterPrefill];
+        let all = [
+            ServerState::Healthy,
+            ServerState::RejectsAfterFetch,
+            ServerState::Unreachable,
+            ServerState::Unreachable,
+            ServerState::Unreachable,
+            ServerState::RefusesConnections,
+            ServerState::NeverAnswers,
+        ];
         *g.choose(&[&all[..], &silent].concat()).unwrap()
     }
 }
 
 #[derive(Default)]
-struct World {
-    are: HashMap<Id, Is>,
+struct Cluster {
+    states: HashMap<Id, ServerState>,
     /// Since when a state waits that no attempt has.
-    held: Option<Instant>,
-    worst: Duration,
-    reads: u32,
+    waiting_since: Option<Instant>,
+    longest_wait: Duration,
+    prefills: u32,
 }
 
-impl World {
+impl Cluster {
     /// A prompt has been read; what was held before has waited until now.
-    fn read(&mut self) {
-        self.taken();
-        (self.held, self.reads) = (Some(Instant::now()), self.reads + 1);
+    fn record_prefill(&mut self) {
+        self.record_fetch();
+        (self.waiting_since, self.prefills) = (Some(Instant::now()), self.prefills + 1);
     }
 
-    fn taken(&mut self) -> bool {
-        let since = self.held.take();
-        self.worst = self.worst.max(since.map_or(Duration::ZERO, |at| at.elapsed()));
+    fn record_fetch(&mut self) -> bool {
+        let since = self.waiting_since.take();
+        self.longest_wait = self.longest_wait.max(since.map_or(Duration::ZERO, |at| at.elapsed()));
         since.is_some()
     }
 }
 
 #[derive(Clone, Default)]
-struct Table(Arc<Mutex<World>>);
+struct FakeServers(Arc<Mutex<Cluster>>);
 
-impl Table {
-    fn with<T>(&self, f: impl FnOnce(&mut World) -> T) -> T {
+impl FakeServers {
+    fn with<T>(&self, f: impl FnOnce(&mut Cluster) -> T) -> T {
         f(&mut self.0.lock().unwrap())
     }
 
-    fn is(&self, server: &Id) -> Is {
-        self.with(|w| w.are[server])
+    fn state(&self, server: &Id) -> ServerState {
+        self.with(|cluster| cluster.states[server])
     }
 }
 
-struct Over;
+struct EmptyStream;
 
-impl EventStream for Over {
+impl EventStream for EmptyStream {
     fn poll_step(&mut self, _: &mut Context<'_>) -> Poll<StreamStep> {
         Poll::Ready(StreamStep::End)
     }
 }
 
-impl Upstream for Table {
+impl Upstream for FakeServers {
     type Call = ();
-    type Events = Over;
+    type Events = EmptyStream;
 
     async fn attempt(
         &self,
@@ -109,62 +117,65 @@
         _: &(),
         wait: Duration,
         _: &SendPermit,
-    ) -> AttemptReply<Over> {
-        let (is, reads) = (self.is(server), server.starts_with('r'));
+    ) -> AttemptReply<EmptyStream> {
+        let (state, is_prefill) = (self.state(server), server.starts_with('r'));
         let ended = |outcome| AttemptReply::Ended(outcome, None);
-        match is {
-            Is::Gone => {
-                sleep(CONNECT.min(wait)).await;
+        match state {
+            ServerState::Unreachable => {
+                sleep(CONNECT_TIMEOUT.min(wait)).await;
                 return ended(Outcome::NoConnection);
             }
-            Is::Down => return ended(Outcome::NoConnection),
-            Is::Mute => {
-                self.with(World::taken);
+            ServerState::RefusesConnections => return ended(Outcome::NoConnection),
+            ServerState::NeverAnswers => {
+                self.with(Cluster::record_fetch);
                 sleep(wait).await;
                 // A writer that never began still leaves the state where it was.
-                self.with(|w| w.held = w.reads.gt(&0).then(Instant::now));
+                self.with(|cluster| cluster.waiting_since = cluster.prefills.gt(&0).then(Instant::now));
                 return ended(Outcome::NoAnswer);
             }
-            Is::Silent => {
+            ServerState::Silent => {
                 sleep(wait).await;
                 return ended(Outcome::NoAnswer);
             }
-            Is::SilentThenReset => {
-                sleep(SILENT_FOR.min(wait)).await;
+            ServerState::SilentThenReset => {
+                sleep(RESET_DELAY.min(wait)).await;
                 return ended(Outcome::ConnectionLost);
             }
-            Is::Cut if reads => {
+            ServerState::BreaksAfterPrefill if is_prefill => {
                 sleep(Duration::from_millis(30)).await;
-                self.with(World::read);
+                self.with(Cluster::record_prefill);
                 return ended(Outcome::ConnectionLost);
             }
-            Is::Well | Is::Full | Is::Cut => {}
+            ServerState::Healthy | ServerState::RejectsAfterFetch | ServerState::BreaksAfterPrefill => {}
         }
-        if reads {
+        if is_prefill {
             sleep(Duration::from_millis(30)).await;
-            self.with(World::read);
+            self.with(Cluster::record_prefill);
             return AttemptReply::PrefillDone { cached_tokens: 0, load: None };
         }
-        if !self.with(World::taken) {
+        if !self.with(Cluster::record_fetch) {
             return ended(Outcome::CacheMissing);
         }
         sleep(Duration::from_millis(5)).await;
-        if is == Is::Full {
-            self.with(|w| w.held = Some(Instant::now()));
+        if state == ServerState::RejectsAfterFetch {
+            self.with(|cluster| cluster.waiting_since = Some(Instant::now()));
             return ended(Outcome::Rejected);
         }
-        AttemptReply::Stream(Over)
+        AttemptReply::Stream(EmptyStream)
     }
 
     async fn release(&self, server: &Id, _: &Id) -> bool {
-        match self.is(server) {
-            Is::Well | Is::Full | Is::Cut => {
+        match self.state(server) {
+            ServerState::Healthy | ServerState::RejectsAfterFetch | ServerState::BreaksAfterPrefill => {
                 sleep(Duration::from_millis(1)).await;
-                self.with(World::taken);
+                self.with(Cluster::record_fetch);
                 true
             }
-            Is::Down => false,
-            Is::Gone | Is::Mute | Is::Silent | Is::SilentThenReset => pending().await,
+            ServerState::RefusesConnections => false,
+            ServerState::Unreachable
+            | ServerState::NeverAnswers
+            | ServerState::Silent
+            | ServerState::SilentThenReset => pending().await,
         }
     }
 
@@ -174,13 +185,13 @@
 }
 
 /// One request through a fleet of which each server is as it is; how long its state waited at worst.
-async fn longest(are: [Is; 8], release: Duration) -> Duration {
-    let table = Table::default();
-    table.with(|w| w.are = NAMES.iter().map(|n| Id::from(*n)).zip(are).collect());
+async fn longest_wait(states: [ServerState; 8], release_timeout: Duration) -> Duration {
+    let servers = FakeServers::default();
+    servers.with(|cluster| cluster.states = SERVER_NAMES.iter().map(|n| Id::from(*n)).zip(states).collect());
     let settings = Settings {
         roles: vec![Role::Prefill, Role::Decode],
         memory_tokens: vec![200_000; 2],
-        cache_release_timeout: release.as_micros() as u64,
+        cache_release_timeout: release_timeout.as_micros() as u64,
         ..Settings::example()
     };
     let entry = |(n, name): (usize, &&str)| ServerEntry {
@@ -191,7 +202,7 @@
         started: 0,
         health: Health::Up,
     };
-    let entries = NAMES.iter().enumerate().map(entry).collect();
+    let entries = SERVER_NAMES.iter().enumerate().map(entry).collect();
     let conductor = start(ConductorParts {
         excluded: Vec::new(),
         inherited: None,
@@ -199,8 +210,8 @@
         settings,
         seed: 7,
         clock: Clock::new(),
-        upstream: Arc::new(table.clone()),
-        members: Fixed(Some(MembershipUpdate { kind: ListUpdateKind::Full, entries })),
+        upstream: Arc::new(servers.clone()),
+        members: SingleUpdate(Some(MembershipUpdate { kind: ListUpdateKind::Full, entries })),
         log: slog::Logger::root(slog::Discard, slog::o!()),
     });
     sleep(Duration::from_millis(15)).await;
@@ -210,62 +221,83 @@
         while poll_fn(|cx| events.poll_next(cx)).await.is_some() {}
     }
     sleep(Duration::from_secs(2)).await;
-    table.with(|w| {
-        w.taken();
-        w.worst
+    servers.with(|cluster| {
+        cluster.record_fetch();
+        cluster.longest_wait
     })
 }
 
-fn in_time(are: [Is; 8], release_ms: u64) {
+fn assert_released_in_time(states: [ServerState; 8], release_ms: u64) {
     // Where nothing runs, nothing can take the call.
-    if !are.iter().any(|is| matches!(is, Is::Well | Is::Full | Is::Cut)) {
+    if !states.iter().any(|state| {
+        matches!(
+            state,
+            ServerState::Healthy | ServerState::RejectsAfterFetch | ServerState::BreaksAfterPrefill
+        )
+    }) {
         return;
     }
-    let release = Duration::from_millis(release_ms);
-    let worst = paused(longest(are, release));
-    assert!(worst <= release + ADDED, "held for {worst:?} of {release:?}: {are:?}");
+    let release_timeout = Duration::from_millis(release_ms);
+    let longest_wait = run_paused(longest_wait(states, release_timeout));
+    assert!(
+        longest_wait <= release_timeout + ALLOWANCE,
+        "held for {longest_wait:?} of {release_timeout:?}: {states:?}"
+    );
 }
 
 #[test]
-fn a_state_is_taken_or_released_in_time_whatever_is_silent() {
-    fn holds(first: (Is, Is, Is, Is), then: (Is, Is, Is, Is), short: bool) -> bool {
-        let are = [first.0, first.1, first.2, first.3, then.0, then.1, then.2, then.3];
-        in_time(are, if short { 300 } else { 1_000 });
+fn a_cache_is_fetched_or_released_in_time_whichever_servers_are_silent() {
+    fn holds(
+        first: (ServerState, ServerState, ServerState, ServerState),
+        then: (ServerState, ServerState, ServerState, ServerState),
+        short: bool,
+    ) -> bool {
+        let states = [first.0, first.1, first.2, first.3, then.0, then.1, then.2, then.3];
+        assert_released_in_time(states, if short { 300 } else { 1_000 });
         true
     }
-    type Four = (Is, Is, Is, Is);
+    type Four = (ServerState, ServerState, ServerState, ServerState);
     let gen = Gen::from_size_and_seed(24, 0x4e1d);
     QuickCheck::new().rng(gen).tests(1_500).quickcheck(holds as fn(Four, Four, bool) -> bool);
 }
 
 #[test]
-fn a_lost_zone_does_not_use_up_the_time() {
-    use Is::{Gone, Well};
+fn a_lost_zone_does_not_use_up_the_release_timeout() {
+    use ServerState::{Healthy, Unreachable};
     // Both writers of one zone, then all of it but the reader that holds the state, then all that write.
-    for are in [
-        [Well, Well, Well, Well, Gone, Well, Gone, Well],
-        [Well, Gone, Well, Gone, Gone, Gone, Gone, Gone],
-        [Well, Well, Well, Well, Gone, Gone, Gone, Gone],
+    for states in [
+        [Healthy, Healthy, Healthy, Healthy, Unreachable, Healthy, Unreachable, Healthy],
+        [Healthy, Unreachable, Healthy, Unreachable, Unreachable, Unreachable, Unreachable, Unreachable],
+        [Healthy, Healthy, Healthy, Healthy, Unreachable, Unreachable, Unreachable, Unreachable],
     ] {
-        for release in [300, 1_000] {
-            in_time(are, release);
+        for release_ms in [300, 1_000] {
+            assert_released_in_time(states, release_ms);
         }
     }
 }
 
 /// A send that has not arrived is not out: it does not stop the clock of what is held.
 #[test]
-fn a_send_that_never_arrives_does_not_stop_the_clock() {
-    use Is::{Cut, Silent, SilentThenReset, Well};
-    for are in [
-        [Well, Well, Well, Well, Silent, Silent, Silent, Silent],
-        [Well, Well, Well, Well, SilentThenReset, SilentThenReset, SilentThenReset, SilentThenReset],
-        [Well, Well, Well, Well, SilentThenReset, Silent, Silent, SilentThenReset],
-        [Cut, Silent, Silent, Silent, Well, Well, Well, Well],
-        [Cut, SilentThenReset, Cut, Silent, Silent, Well, Silent, Well],
+fn a_send_that_never_arrives_does_not_stop_the_release_timer() {
+    use ServerState::{BreaksAfterPrefill, Healthy, Silent, SilentThenReset};
+    for states in [
+        [Healthy, Healthy, Healthy, Healthy, Silent, Silent, Silent, Silent],
+        [
+            Healthy,
+            Healthy,
+            Healthy,
+            Healthy,
+            SilentThenReset,
+            SilentThenReset,
+            SilentThenReset,
+            SilentThenReset,
+        ],
+        [Healthy, Healthy, Healthy, Healthy, SilentThenReset, Silent, Silent, SilentThenReset],
+        [BreaksAfterPrefill, Silent, Silent, Silent, Healthy, Healthy, Healthy, Healthy],
+        [BreaksAfterPrefill, SilentThenReset, BreaksAfterPrefill, Silent, Silent, Healthy, Silent, Healthy],
     ] {
-        for release in [300, 1_000] {
-            in_time(are, release);
+        for release_ms in [300, 1_000] {
+            assert_released_in_time(states, release_ms);
         }
     }
 }
--- a/core/tests/model.rs
+++ b/core/tests/model.rs
@@ -18,98 +18,98 @@
 };
 use frosttrail_core::{CallError, Request, SendPermit, StreamStep};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
-use support::{classes, paused, query, Fixed};
+use support::{classes, query, run_paused, SingleUpdate};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{sleep, timeout};
 
-type Answered = Result<Answer<Stream>, CallError>;
+type CallResult = Result<Answer<FakeStream>, CallError>;
 
 /// An attempt as its server sees it.
 struct Attempt {
     server: Id,
-    reply: oneshot::Sender<AttemptReply<Stream>>,
+    reply: oneshot::Sender<AttemptReply<FakeStream>>,
 }
 
 #[derive(Default)]
-struct World {
-    /// Attempts out, by request: only the table's own count, not the conductor's.
-    out: HashMap<Id, u32>,
-    most_out: u32,
+struct Cluster {
+    /// Attempts out, by request: only the servers' own count, not the conductor's.
+    in_flight: HashMap<Id, u32>,
+    max_in_flight: u32,
     attempts: Vec<Attempt>,
     sends: Vec<Id>,
     releases: u32,
     /// How long a server takes to let go,
-    release_takes: Duration,
+    release_delay: Duration,
     /// and how long the end of an attempt is on its way to one.
-    end_takes: Duration,
+    cancellation_delay: Duration,
     streams_dropped: u32,
 }
 
 #[derive(Clone, Default)]
-struct Table(Arc<Mutex<World>>);
+struct FakeServers(Arc<Mutex<Cluster>>);
 
-impl Table {
-    fn with<T>(&self, f: impl FnOnce(&mut World) -> T) -> T {
+impl FakeServers {
+    fn with<T>(&self, f: impl FnOnce(&mut Cluster) -> T) -> T {
         f(&mut self.0.lock().unwrap())
     }
 }
 
 /// Counts an attempt as out until its server has ended it, or has heard that its future, or the stream it
 /// became, was dropped.
-struct Out {
-    table: Table,
+struct InFlight {
+    servers: FakeServers,
     id: Id,
-    by_its_box: bool,
+    ended_by_server: bool,
 }
 
-impl Out {
-    fn new(table: &Table, id: &Id) -> Self {
-        table.with(|w| {
-            let out = w.out.entry(id.clone()).or_default();
-            *out += 1;
-            w.most_out = w.most_out.max(*out);
+impl InFlight {
+    fn new(servers: &FakeServers, id: &Id) -> Self {
+        servers.with(|cluster| {
+            let count = cluster.in_flight.entry(id.clone()).or_default();
+            *count += 1;
+            cluster.max_in_flight = cluster.max_in_flight.max(*count);
         });
-        Out { table: table.clone(), id: id.clone(), by_its_box: false }
+        InFlight { servers: servers.clone(), id: id.clone(), ended_by_server: false }
     }
 }
 
-impl Drop for Out {
+impl Drop for InFlight {
     fn drop(&mut self) {
-        let (table, id) = (self.table.clone(), self.id.clone());
-        let takes = table.with(|w| w.end_takes);
-        let over = move || table.with(|w| *w.out.get_mut(&id).unwrap() -= 1);
+        let (servers, id) = (self.servers.clone(), self.id.clone());
+        let delay = servers.with(|cluster| cluster.cancellation_delay);
+        let finish = move || servers.with(|cluster| *cluster.in_flight.get_mut(&id).unwrap() -= 1);
         match tokio::runtime::Handle::try_current() {
-            Ok(runtime) if !self.by_its_box && !takes.is_zero() => drop(runtime.spawn(async move {
+            Ok(runtime) if !self.ended_by_server && !delay.is_zero() => drop(runtime.spawn(async move {
                 // Within that time, that is.
-                sleep(takes * 3 / 4).await;
-                over();
+                sleep(delay * 3 / 4).await;
+                finish();
             })),
-            _ => over(),
+            _ => finish(),
         }
     }
 }
 
-struct Stream {
+struct FakeStream {
     steps: mpsc::UnboundedReceiver<StreamStep>,
-    table: Table,
-    _out: Option<Out>,
+    servers: FakeServers,
+    _in_flight: Option<InFlight>,
 }
 
-impl Drop for Stream {
+impl Drop for FakeStream {
     fn drop(&mut self) {
-        self.table.with(|w| w.streams_dropped += 1);
+        self.servers.with(|cluster| cluster.streams_dropped += 1);
     }
 }
 
-impl EventStream for Stream {
+impl EventStream for FakeStream {
     fn poll_step(&mut self, cx: &mut Context<'_>) -> Poll<StreamStep> {
         self.steps.poll_recv(cx).map(|step| step.unwrap_or(StreamStep::Broken(Outcome::ConnectionLost)))
     }
 }
 
-impl Upstream for Table {
+impl Upstream for FakeServers {
     type Call = ();
-    type Events = Stream;
+    type Events = FakeStream;
 
     async fn attempt(
         &self,
@@ -118,20 +118,20 @@
         _: &(),
         wait: Duration,
         _: &SendPermit,
-    ) -> AttemptReply<Stream> {
-        let mut out = Out::new(self, id);
+    ) -> AttemptReply<FakeStream> {
+        let mut in_flight = InFlight::new(self, id);
         let (reply, replied) = oneshot::channel();
-        self.with(|w| {
-            w.sends.push(server.clone());
-            w.attempts.push(Attempt { server: server.clone(), reply });
+        self.with(|cluster| {
+            cluster.sends.push(server.clone());
+            cluster.attempts.push(Attempt { server: server.clone(), reply });
         });
         let Ok(replied) = timeout(wait, replied).await else {
             return AttemptReply::Ended(Outcome::NoAnswer, None);
         };
-        out.by_its_box = true;
+        in_flight.ended_by_server = true;
         match replied {
             Ok(AttemptReply::Stream(mut stream)) => {
-                stream._out = Some(out);
+                stream._in_flight = Some(in_flight);
                 AttemptReply::Stream(stream)
             }
             Ok(reply) => reply,
@@ -140,15 +140,15 @@
     }
 
     fn cancellation_delay(&self, _: &Id) -> Duration {
-        self.with(|w| w.end_takes)
+        self.with(|cluster| cluster.cancellation_delay)
     }
 
     async fn release(&self, _: &Id, _: &Id) -> bool {
-        let takes = self.with(|w| w.release_takes);
-        if !takes.is_zero() {
-            sleep(takes).await;
+        let delay = self.with(|cluster| cluster.release_delay);
+        if !delay.is_zero() {
+            sleep(delay).await;
         }
-        self.with(|w| w.releases += 1);
+        self.with(|cluster| cluster.releases += 1);
         true
     }
 
@@ -159,38 +159,38 @@
 
 /// What happens next, to whatever is there for it to happen to.
 #[derive(Clone, Copy, Debug)]
-enum Happens {
-    ReadDone,
-    TurnedAway,
-    StateLost,
+enum Step {
+    PrefillDone,
+    Rejected,
+    CacheMissing,
     NoConnection,
-    Broke,
-    Error,
-    First,
-    More,
-    End,
+    ConnectionBroke,
+    ServerError,
+    FirstEvent,
+    NextEvent,
+    StreamEnd,
     Wait(u8),
     ClientLeaves,
 }
 
-impl Arbitrary for Happens {
+impl Arbitrary for Step {
     fn arbitrary(g: &mut Gen) -> Self {
-        use Happens::*;
+        use Step::*;
         // Reads and first events are likelier, so that walks get somewhere.
         let wait = Wait(u8::arbitrary(g));
         let all = [
-            ReadDone,
-            ReadDone,
-            ReadDone,
-            First,
-            First,
-            More,
-            End,
-            TurnedAway,
-            StateLost,
+            PrefillDone,
+            PrefillDone,
+            PrefillDone,
+            FirstEvent,
+            FirstEvent,
+            NextEvent,
+            StreamEnd,
+            Rejected,
+            CacheMissing,
             NoConnection,
-            Broke,
-            Error,
+            ConnectionBroke,
+            ServerError,
             wait,
             ClientLeaves,
         ];
@@ -208,7 +208,7 @@
     }
 }
 
-fn conductor(table: &Table) -> Conductor<Table> {
+fn conductor(servers: &FakeServers) -> Conductor<FakeServers> {
     let entry = |name: &str, kind| ServerEntry {
         server: name.into(),
         rack: 0,
@@ -225,8 +225,8 @@
         settings: settings(),
         seed: 7,
         clock: Clock::new(),
-        upstream: Arc::new(table.clone()),
-        members: Fixed(Some(MembershipUpdate { kind: ListUpdateKind::Full, entries })),
+        upstream: Arc::new(servers.clone()),
+        members: SingleUpdate(Some(MembershipUpdate { kind: ListUpdateKind::Full, entries })),
         log: slog::Logger::root(slog::Discard, slog::o!()),
     })
 }
@@ -234,96 +234,100 @@
 /// Where the request's connection stands.
 #[derive(Default)]
 struct Model {
-    book: bool,
+    is_unsafe: bool,
     /// A writer may have run it.
-    ran: bool,
+    may_have_run: bool,
     /// A reader may hold state for it.
-    held: bool,
+    may_hold_cache: bool,
     /// Releases when that state came about.
-    released_before: u32,
+    releases_before_hold: u32,
     stream: Option<mpsc::UnboundedSender<StreamStep>>,
     answers: u32,
 }
 
 impl Model {
     /// Carries out a step if there is something to carry it out on.
-    fn step(&mut self, table: &Table, what: Happens) {
+    fn step(&mut self, servers: &FakeServers, step: Step) {
         if let Some(stream) = &self.stream {
-            let step = match what {
-                Happens::More => StreamStep::Event(Bytes::from_static(b"data: x\n\n")),
-                Happens::End => StreamStep::End,
-                Happens::Broke => StreamStep::Broken(Outcome::ConnectionLost),
+            let event = match step {
+                Step::NextEvent => StreamStep::Event(Bytes::from_static(b"data: x\n\n")),
+                Step::StreamEnd => StreamStep::End,
+                Step::ConnectionBroke => StreamStep::Broken(Outcome::ConnectionLost),
                 _ => return,
             };
-            let _ = stream.send(step);
+            let _ = stream.send(event);
             return;
         }
-        let Some(attempt) = table.with(|w| w.attempts.pop()) else { return };
-        let reads = attempt.server.starts_with('r');
+        let Some(attempt) = servers.with(|cluster| cluster.attempts.pop()) else { return };
+        let is_prefill = attempt.server.starts_with('r');
         let ended = |outcome| Some(AttemptReply::Ended(outcome, None));
-        let reply = match (what, reads) {
-            (Happens::ReadDone, true) => {
-                self.hold(table);
+        let reply = match (step, is_prefill) {
+            (Step::PrefillDone, true) => {
+                self.record_cache(servers);
                 Some(AttemptReply::PrefillDone { cached_tokens: 0, load: None })
             }
-            (Happens::First, false) => {
+            (Step::FirstEvent, false) => {
                 let (sender, steps) = mpsc::unbounded_channel();
-                (self.stream, self.ran, self.held) = (Some(sender), true, false);
-                Some(AttemptReply::Stream(Stream { steps, table: table.clone(), _out: None }))
+                (self.stream, self.may_have_run, self.may_hold_cache) = (Some(sender), true, false);
+                Some(AttemptReply::Stream(FakeStream { steps, servers: servers.clone(), _in_flight: None }))
             }
-            (Happens::StateLost, false) => ended(Outcome::CacheMissing),
-            (Happens::TurnedAway, _) => ended(Outcome::Rejected),
-            (Happens::NoConnection, _) => ended(Outcome::NoConnection),
-            (Happens::Broke, true) => {
-                self.hold(table);
+            (Step::CacheMissing, false) => ended(Outcome::CacheMissing),
+            (Step::Rejected, _) => ended(Outcome::Rejected),
+            (Step::NoConnection, _) => ended(Outcome::NoConnection),
+            (Step::ConnectionBroke, true) => {
+                self.record_cache(servers);
                 ended(Outcome::ConnectionLost)
             }
-            (Happens::Broke | Happens::Error, _) => {
-                self.ran |= !reads;
+            (Step::ConnectionBroke | Step::ServerError, _) => {
+                self.may_have_run |= !is_prefill;
                 ended(Outcome::Failed)
             }
             _ => None,
         };
         match reply {
             Some(reply) => drop(attempt.reply.send(reply)),
-            None => table.with(|w| w.attempts.push(attempt)),
+            None => servers.with(|cluster| cluster.attempts.push(attempt)),
         }
     }
 
-    fn hold(&mut self, table: &Table) {
-        (self.held, self.released_before) = (true, table.with(|w| w.releases));
+    fn record_cache(&mut self, servers: &FakeServers) {
+        (self.may_hold_cache, self.releases_before_hold) = (true, servers.with(|cluster| cluster.releases));
     }
 
     /// Attempts that the conductor has given up on: a read may have finished, a writer may yet run.
-    fn given_up(&mut self, table: &Table, releases_before: u32) {
-        let mut over = Vec::new();
-        table.with(|w| {
-            let (closed, out) = w.attempts.drain(..).partition(|a| a.reply.is_closed());
-            (over, w.attempts) = (closed, out);
+    fn record_cancelled(&mut self, servers: &FakeServers, releases_before: u32) {
+        let mut cancelled = Vec::new();
+        servers.with(|cluster| {
+            let (closed, open) = cluster.attempts.drain(..).partition(|a| a.reply.is_closed());
+            (cancelled, cluster.attempts) = (closed, open);
         });
-        for attempt in over {
+        for attempt in cancelled {
             if attempt.server.starts_with('r') {
-                (self.held, self.released_before) = (true, releases_before);
+                (self.may_hold_cache, self.releases_before_hold) = (true, releases_before);
             } else {
-                self.ran = true;
+                self.may_have_run = true;
             }
         }
     }
 
     /// Sees to what has been sent.
-    fn check(&mut self, table: &Table, sends_before: usize, ran_before: bool) {
-        let sends = table.with(|w| w.sends.len());
-        assert!(table.with(|w| w.most_out) <= 1, "two attempts out");
+    fn check_sends(&mut self, servers: &FakeServers, sends_before: usize, may_have_run_before: bool) {
+        let sends = servers.with(|cluster| cluster.sends.len());
+        assert!(servers.with(|cluster| cluster.max_in_flight) <= 1, "two attempts out");
         assert!(self.stream.is_none() || sends == sends_before, "sent after the first event");
-        let wrote = table.with(|w| w.sends[sends_before..].iter().any(|s| s.starts_with('w')));
-        assert!(!(self.book && ran_before && wrote), "a book that may have run was sent again");
+        let sent_to_decode =
+            servers.with(|cluster| cluster.sends[sends_before..].iter().any(|s| s.starts_with('w')));
+        assert!(
+            !(self.is_unsafe && may_have_run_before && sent_to_decode),
+            "a book that may have run was sent again"
+        );
     }
 
     /// Sees to what the client got.
-    fn answered(&mut self, answer: &Answered) {
+    fn check_answer(&mut self, answer: &CallResult) {
         self.answers += 1;
         let refused = matches!(answer, Ok(Answer::Refused { .. }));
-        assert!(!(refused && self.book && self.ran), "a book that may have run was refused");
+        assert!(!(refused && self.is_unsafe && self.may_have_run), "a book that may have run was refused");
     }
 }
 
@@ -332,22 +336,26 @@
     sleep(Duration::from_millis(15)).await;
 }
 
-async fn walk(book: bool, end_takes: Duration, steps: Vec<Happens>) {
-    let table = Table::default();
-    table.with(|w| w.end_takes = end_takes);
-    let conductor = conductor(&table);
+async fn run_steps(is_unsafe: bool, cancellation_delay: Duration, steps: Vec<Step>) {
+    let servers = FakeServers::default();
+    servers.with(|cluster| cluster.cancellation_delay = cancellation_delay);
+    let conductor = conductor(&servers);
     settle().await;
-    let mut model = Model { book, ..Model::default() };
-    let request = Request { query: query("id-1", usize::from(book)), call: () };
+    let mut model = Model { is_unsafe, ..Model::default() };
+    let request = Request { query: query("id-1", usize::from(is_unsafe)), call: () };
     let mut call = Some(Box::pin(conductor.call(request)));
     let mut stream = None;
-    let end = [Happens::Wait(255), Happens::Wait(255), Happens::Wait(255), Happens::Wait(255)];
-    for what in steps.into_iter().chain(end) {
-        let before = (table.with(|w| w.sends.len()), model.ran, table.with(|w| w.releases));
-        match what {
-            Happens::Wait(n) => sleep(Duration::from_millis(u64::from(n) * 10)).await,
-            Happens::ClientLeaves => (call, stream) = (None, None),
-            what => model.step(&table, what),
+    let end = [Step::Wait(255), Step::Wait(255), Step::Wait(255), Step::Wait(255)];
+    for step in steps.into_iter().chain(end) {
+        let before = (
+            servers.with(|cluster| cluster.sends.len()),
+            model.may_have_run,
+            servers.with(|cluster| cluster.releases),
+        );
+        match step {
+            Step::Wait(n) => sleep(Duration::from_millis(u64::from(n) * 10)).await,
+            Step::ClientLeaves => (call, stream) = (None, None),
+            step => model.step(&servers, step),
         }
         if let Some(waiting) = &mut call {
             let polled = poll_fn(|cx| Poll::Ready(waiting.as_mut().poll(cx))).await;
@@ -360,10 +368,10 @@
                 },
             };
             if let Some(answer) = polled {
-                model.answered(&answer);
+                model.check_answer(&answer);
                 let served = matches!(answer, Ok(Answer::Served(_)));
                 assert!(
-                    served || table.with(|w| w.out.values().all(|n| *n == 0)),
+                    served || servers.with(|cluster| cluster.in_flight.values().all(|n| *n == 0)),
                     "answered while one is out"
                 );
                 call = None;
@@ -378,26 +386,29 @@
             }
         }
         settle().await;
-        model.given_up(&table, before.2);
-        model.check(&table, before.0, before.1);
+        model.record_cancelled(&servers, before.2);
+        model.check_sends(&servers, before.0, before.1);
     }
     assert!(call.is_none(), "no final answer");
     assert!(model.answers <= 1, "more than one final answer");
-    assert!(table.with(|w| w.out.values().all(|n| *n == 0)) || stream.is_some(), "an attempt is still out");
-    let let_go = table.with(|w| w.releases) > model.released_before;
-    assert!(!model.held || let_go, "state stayed behind");
+    assert!(
+        servers.with(|cluster| cluster.in_flight.values().all(|n| *n == 0)) || stream.is_some(),
+        "an attempt is still out"
+    );
+    let was_released = servers.with(|cluster| cluster.releases) > model.releases_before_hold;
+    assert!(!model.may_hold_cache || was_released, "state stayed behind");
 }
 
 #[test]
 fn random_steps_keep_the_rules() {
-    fn keeps(book: bool, far: bool, steps: Vec<Happens>) -> bool {
+    fn keeps(is_unsafe: bool, far: bool, steps: Vec<Step>) -> bool {
         // Where servers are far, the end of an attempt is later there than the next would be elsewhere.
-        let end_takes = Duration::from_millis(if far { 20 } else { 0 });
-        paused(walk(book, end_takes, steps));
+        let cancellation_delay = Duration::from_millis(if far { 20 } else { 0 });
+        run_paused(run_steps(is_unsafe, cancellation_delay, steps));
         true
     }
     let gen = Gen::from_size_and_seed(24, 0x5eed);
-    QuickCheck::new().rng(gen).tests(600).quickcheck(keeps as fn(bool, bool, Vec<Happens>) -> bool);
+    QuickCheck::new().rng(gen).tests(600).quickcheck(keeps as fn(bool, bool, Vec<Step>) -> bool);
 }
 
 #[test]
@@ -410,31 +421,38 @@
         poll_fn(|cx| service.poll_ready(cx)).await.unwrap();
         service.call(Request { query: query("id-1", 1), call: () }).await.unwrap()
     }
-    paused(async {
-        let table = Table::default();
-        let answer = tokio::spawn(through(conductor(&table)));
+    run_paused(async {
+        let servers = FakeServers::default();
+        let answer = tokio::spawn(through(conductor(&servers)));
         let mut model = Model::default();
-        for what in [Happens::ReadDone, Happens::First] {
+        for step in [Step::PrefillDone, Step::FirstEvent] {
             settle().await;
-            model.step(&table, what);
+            model.step(&servers, step);
         }
         let Answer::Served(mut events) = answer.await.unwrap() else { panic!("not served") };
-        model.step(&table, Happens::More);
-        model.step(&table, Happens::End);
+        model.step(&servers, Step::NextEvent);
+        model.step(&servers, Step::StreamEnd);
         let first = poll_fn(|cx| events.poll_next(cx)).await.unwrap().unwrap();
         assert_eq!(&first[..], b"data: x\n\n");
         assert!(poll_fn(|cx| events.poll_next(cx)).await.is_none());
         drop(events);
         settle().await;
-        assert_eq!(table.with(|w| (w.sends.len(), w.out[&Id::from("id-1")], w.releases)), (2, 0, 0));
+        assert_eq!(
+            servers.with(|cluster| (
+                cluster.sends.len(),
+                cluster.in_flight[&Id::from("id-1")],
+                cluster.releases
+            )),
+            (2, 0, 0)
+        );
     });
 }
 
 #[test]
 fn a_second_call_with_an_id_in_use_leaves_the_first_alone() {
-    paused(async {
-        let table = Table::default();
-        let conductor = conductor(&table);
+    run_paused(async {
+        let servers = FakeServers::default();
+        let conductor = conductor(&servers);
         let request = || Request { query: query("id-1", 1), call: () };
         let first = tokio::spawn({
             let conductor = conductor.clone();
@@ -443,10 +461,14 @@
         settle().await;
         assert!(matches!(conductor.call(request()).await, Err(CallError::IdInUse)));
         settle().await;
-        assert_eq!(table.with(|w| w.out[&Id::from("id-1")]), 1, "the first attempt is still out");
+        assert_eq!(
+            servers.with(|cluster| cluster.in_flight[&Id::from("id-1")]),
+            1,
+            "the first attempt is still out"
+        );
         let mut model = Model::default();
-        for what in [Happens::ReadDone, Happens::First] {
-            model.step(&table, what);
+        for step in [Step::PrefillDone, Step::FirstEvent] {
+            model.step(&servers, step);
             settle().await;
         }
         assert!(matches!(first.await.unwrap(), Ok(Answer::Served(_))));
@@ -455,63 +477,75 @@
 
 /// Sends and releases of a request so long after its reads ended like this, and whether it is served in the
 /// end; servers take so long to let go.
-async fn read_anew(first: &[Happens], release_takes: u64, wait: u64) -> (usize, u32, bool) {
-    let table = Table::default();
-    table.with(|w| w.release_takes = Duration::from_millis(release_takes));
-    let conductor = conductor(&table);
+async fn prefill_again(first: &[Step], release_delay: u64, wait: u64) -> (usize, u32, bool) {
+    let servers = FakeServers::default();
+    servers.with(|cluster| cluster.release_delay = Duration::from_millis(release_delay));
+    let conductor = conductor(&servers);
     let answer =
         tokio::spawn(async move { conductor.call(Request { query: query("id-1", 1), call: () }).await });
     let mut model = Model::default();
     settle().await;
-    for what in first {
-        model.step(&table, *what);
+    for step in first {
+        model.step(&servers, *step);
         settle().await;
     }
     sleep(Duration::from_millis(wait)).await;
-    let counts = table.with(|w| (w.sends.len(), w.releases));
+    let counts = servers.with(|cluster| (cluster.sends.len(), cluster.releases));
     sleep(Duration::from_secs(1)).await;
-    let before = table.with(|w| w.releases);
+    let before = servers.with(|cluster| cluster.releases);
     // A writer that is not heard of for longer may never have got the request: then a release is due.
-    for (what, wait) in [(Happens::ReadDone, 300), (Happens::First, 1_000)] {
-        model.step(&table, what);
+    for (step, wait) in [(Step::PrefillDone, 300), (Step::FirstEvent, 1_000)] {
+        model.step(&servers, step);
         sleep(Duration::from_millis(wait)).await;
     }
-    assert_eq!(table.with(|w| w.releases), before, "a release after the next read");
+    assert_eq!(servers.with(|cluster| cluster.releases), before, "a release after the next read");
     (counts.0, counts.1, answer.is_finished())
 }
 
 #[test]
-fn a_late_release_does_not_take_the_state_of_the_next_read() {
-    paused(async {
-        assert_eq!(read_anew(&[Happens::Broke], 40, 0).await, (2, 0, true), "it is read anew at once");
+fn a_late_release_does_not_free_the_cache_of_the_next_prefill() {
+    run_paused(async {
+        assert_eq!(
+            prefill_again(&[Step::ConnectionBroke], 40, 0).await,
+            (2, 0, true),
+            "it is read anew at once"
+        );
         // The next read may never arrive, so that what the first has left is let go beside it.
-        assert_eq!(read_anew(&[Happens::Broke], 40, 100).await, (2, 1, true), "nothing was let go");
+        assert_eq!(
+            prefill_again(&[Step::ConnectionBroke], 40, 100).await,
+            (2, 1, true),
+            "nothing was let go"
+        );
     });
 }
 
 #[test]
-fn what_no_box_has_heard_of_for_a_while_is_let_go_before_it_is_read_anew() {
-    use Happens::{Broke, NoConnection};
-    paused(async {
-        assert_eq!(read_anew(&[Broke, NoConnection], 40, 0).await, (2, 0, true), "waits for the release");
-        assert_eq!(read_anew(&[Broke, NoConnection], 40, 40).await, (3, 1, true));
+fn a_cache_is_released_before_the_next_prefill_if_no_server_was_reached() {
+    use Step::{ConnectionBroke, NoConnection};
+    run_paused(async {
+        assert_eq!(
+            prefill_again(&[ConnectionBroke, NoConnection], 40, 0).await,
+            (2, 0, true),
+            "waits for the release"
+        );
+        assert_eq!(prefill_again(&[ConnectionBroke, NoConnection], 40, 40).await, (3, 1, true));
         // Where no server takes the release, the request does not wait for ever, and none comes later.
-        assert_eq!(read_anew(&[Broke, NoConnection], 10_000, 300).await, (3, 0, true));
-        assert_eq!(read_anew(&[NoConnection], 40, 0).await, (2, 0, true), "nothing is held");
+        assert_eq!(prefill_again(&[ConnectionBroke, NoConnection], 10_000, 300).await, (3, 0, true));
+        assert_eq!(prefill_again(&[NoConnection], 40, 0).await, (2, 0, true), "nothing is held");
     });
 }
 
 /// Both the decisions' last word and the reply of the attempt lie ready as the request is polled. What they
 /// said stands: the client's answer, the attempt given up, its state let go.
-async fn closing_meets(book: bool, replies: &[Happens]) -> (Answered, u32, u32) {
-    let table = Table::default();
-    table.with(|w| w.end_takes = Duration::from_millis(20));
-    let conductor = conductor(&table);
+async fn close_during_reply(is_unsafe: bool, replies: &[Step]) -> (CallResult, u32, u32) {
+    let servers = FakeServers::default();
+    servers.with(|cluster| cluster.cancellation_delay = Duration::from_millis(20));
+    let conductor = conductor(&servers);
     settle().await;
-    let mut model = Model { book, ..Model::default() };
-    let request = Request { query: query("id-1", usize::from(book)), call: () };
+    let mut model = Model { is_unsafe, ..Model::default() };
+    let request = Request { query: query("id-1", usize::from(is_unsafe)), call: () };
     let mut call = Box::pin(conductor.call(request));
-    for (n, what) in replies.iter().enumerate() {
+    for (n, step) in replies.iter().enumerate() {
         for _ in 0..2 {
             assert!(poll_fn(|cx| Poll::Ready(call.as_mut().poll(cx))).await.is_pending());
             settle().await;
@@ -519,37 +553,45 @@
         if n + 1 == replies.len() {
             conductor.close();
         }
-        model.step(&table, *what);
+        model.step(&servers, *step);
         settle().await;
     }
     let answer = call.await;
-    assert_eq!(table.with(|w| w.out[&Id::from("id-1")]), 0, "answered while its attempt is out");
+    assert_eq!(
+        servers.with(|cluster| cluster.in_flight[&Id::from("id-1")]),
+        0,
+        "answered while its attempt is out"
+    );
     settle().await;
-    (answer, table.with(|w| w.out[&Id::from("id-1")]), table.with(|w| w.releases))
+    (
+        answer,
+        servers.with(|cluster| cluster.in_flight[&Id::from("id-1")]),
+        servers.with(|cluster| cluster.releases),
+    )
 }
 
 #[test]
-fn what_was_decided_stands_beside_a_reply_that_lies_ready() {
-    use Happens::{Broke, First, ReadDone, TurnedAway};
-    paused(async {
-        for (book, replies) in [
-            (false, &[ReadDone][..]),
-            (true, &[ReadDone]),
-            (true, &[TurnedAway]),
-            (false, &[ReadDone, First]),
-            (true, &[ReadDone, First]),
-            (true, &[ReadDone, Broke]),
-            (true, &[ReadDone, TurnedAway]),
+fn a_decision_stands_against_a_reply_that_is_ready() {
+    use Step::{ConnectionBroke, FirstEvent, PrefillDone, Rejected};
+    run_paused(async {
+        for (is_unsafe, replies) in [
+            (false, &[PrefillDone][..]),
+            (true, &[PrefillDone]),
+            (true, &[Rejected]),
+            (false, &[PrefillDone, FirstEvent]),
+            (true, &[PrefillDone, FirstEvent]),
+            (true, &[PrefillDone, ConnectionBroke]),
+            (true, &[PrefillDone, Rejected]),
         ] {
-            let (answer, out, releases) = closing_meets(book, replies).await;
-            let may_have_run = book && replies.len() == 2;
+            let (answer, in_flight, releases) = close_during_reply(is_unsafe, replies).await;
+            let may_have_run = is_unsafe && replies.len() == 2;
             match answer.unwrap() {
-                Answer::Failed { .. } => assert!(may_have_run, "{book}, {replies:?}: never ran"),
-                Answer::Refused { .. } => assert!(!may_have_run, "{book}, {replies:?}: may have run"),
-                Answer::Served(_) => panic!("{book}, {replies:?}: it begins as the conductor ends"),
+                Answer::Failed { .. } => assert!(may_have_run, "{is_unsafe}, {replies:?}: never ran"),
+                Answer::Refused { .. } => assert!(!may_have_run, "{is_unsafe}, {replies:?}: may have run"),
+                Answer::Served(_) => panic!("{is_unsafe}, {replies:?}: it begins as the conductor ends"),
             }
-            assert_eq!(out, 0, "{book}, {replies:?}: an attempt is out");
-            assert!(releases >= 1, "{book}, {replies:?}: nothing was let go");
+            assert_eq!(in_flight, 0, "{is_unsafe}, {replies:?}: an attempt is out");
+            assert!(releases >= 1, "{is_unsafe}, {replies:?}: nothing was let go");
         }
     });
 }
--- a/core/tests/permit.rs
+++ b/core/tests/permit.rs
@@ -11,27 +11,27 @@
     start, AttemptReply, Clock, Conductor, ConductorParts, MembershipUpdate, Metrics, Request, SendPermit,
     Upstream,
 };
-use support::{classes, entry, paused, query, NoEvents, Told};
+use support::{classes, entry, query, run_paused, ChannelSource, NoEvents};
 use tokio::sync::mpsc;
 use tokio::time::{sleep, Instant};
 
 /// How long a release takes, which the next attempt after a failed connection waits for.
-const RELEASE_TAKES: Duration = Duration::from_millis(400);
+const RELEASE_DELAY: Duration = Duration::from_millis(400);
 /// For a connection to come up.
-const CONNECT_TAKES: Duration = Duration::from_millis(10);
+const CONNECT_DELAY: Duration = Duration::from_millis(10);
 /// After a drain is told, nothing begins later than this.
 const DRAIN_GRACE: Duration = Duration::from_millis(100);
 
 /// A prefill server whose first read breaks and to which the next connection fails.
 #[derive(Default)]
-struct World {
+struct Cluster {
     attempts: u32,
-    /// When each attempt began, with its server.
-    began: Vec<(Id, Instant)>,
+    /// When each attempt was sent, and its server.
+    sent: Vec<(Id, Instant)>,
 }
 
 #[derive(Clone, Default)]
-struct Servers(Arc<Mutex<World>>);
+struct Servers(Arc<Mutex<Cluster>>);
 
 impl Upstream for Servers {
     type Call = ();
@@ -46,15 +46,15 @@
         permit: &SendPermit,
     ) -> AttemptReply<NoEvents> {
         let nth = {
-            let mut world = self.0.lock().unwrap();
-            world.attempts += 1;
-            world.attempts
+            let mut cluster = self.0.lock().unwrap();
+            cluster.attempts += 1;
+            cluster.attempts
         };
-        sleep(CONNECT_TAKES).await;
+        sleep(CONNECT_DELAY).await;
         if permit.check().is_err() {
             return AttemptReply::Ended(Outcome::NotSent, None);
         }
-        self.0.lock().unwrap().began.push((server.clone(), Instant::now()));
+        self.0.lock().unwrap().sent.push((server.clone(), Instant::now()));
         match nth {
             1 => AttemptReply::Ended(Outcome::ConnectionLost, None),
             2 => AttemptReply::Ended(Outcome::NoConnection, None),
@@ -63,7 +63,7 @@
     }
 
     async fn release(&self, _: &Id, _: &Id) -> bool {
-        sleep(RELEASE_TAKES).await;
+        sleep(RELEASE_DELAY).await;
         true
     }
 
@@ -73,7 +73,7 @@
 }
 
 fn conductor(servers: &Servers) -> (Conductor<Servers>, mpsc::UnboundedSender<MembershipUpdate>) {
-    let (news, told) = mpsc::unbounded_channel();
+    let (updates, received_updates) = mpsc::unbounded_channel();
     let settings = Settings {
         roles: vec![Role::Prefill, Role::Decode],
         memory_tokens: vec![200_000; 2],
@@ -90,19 +90,19 @@
         seed: 7,
         clock: Clock::new(),
         upstream: Arc::new(servers.clone()),
-        members: Told(told),
+        members: ChannelSource(received_updates),
         log: slog::Logger::root(slog::Discard, slog::o!()),
     });
-    (conductor, news)
+    (conductor, updates)
 }
 
 /// Lists three servers, and asks once.
-async fn asked(
+async fn send_request(
     conductor: &Conductor<Servers>,
-    news: &mpsc::UnboundedSender<MembershipUpdate>,
+    updates: &mpsc::UnboundedSender<MembershipUpdate>,
 ) -> tokio::task::JoinHandle<()> {
     let entries = vec![entry("r1", 0, Health::Up), entry("r2", 0, Health::Up), entry("w", 1, Health::Up)];
-    news.send(MembershipUpdate { kind: ListUpdateKind::Full, entries }).unwrap();
+    updates.send(MembershipUpdate { kind: ListUpdateKind::Full, entries }).unwrap();
     sleep(Duration::from_millis(15)).await;
     let conductor = conductor.clone();
     tokio::spawn(async move {
@@ -112,59 +112,60 @@
 }
 
 #[test]
-fn nothing_begins_after_the_yes_to_an_exclusion() {
-    paused(async {
+fn no_attempt_is_sent_after_an_exclusion_is_confirmed() {
+    run_paused(async {
         let servers = Servers::default();
-        let (conductor, news) = conductor(&servers);
-        let answer = asked(&conductor, &news).await;
+        let (conductor, updates) = conductor(&servers);
+        let answer = send_request(&conductor, &updates).await;
         // Its connection comes up as the instances are taken out.
-        sleep(CONNECT_TAKES / 2).await;
+        sleep(CONNECT_DELAY / 2).await;
         for server in ["r1", "r2"] {
             conductor.exclude(&server.into()).unwrap();
         }
         sleep(Duration::from_secs(6)).await;
         assert!(answer.is_finished());
-        assert_eq!(servers.0.lock().unwrap().began, [], "begun after the yes");
+        assert_eq!(servers.0.lock().unwrap().sent, [], "begun after the yes");
     });
 }
 
 #[test]
-fn nothing_begins_at_a_server_that_has_started_anew_since_it_was_decided() {
-    paused(async {
+fn no_attempt_is_sent_to_a_server_that_restarted_since_the_decision() {
+    run_paused(async {
         let servers = Servers::default();
-        let (conductor, news) = conductor(&servers);
-        let answer = asked(&conductor, &news).await;
-        sleep(CONNECT_TAKES / 2).await;
+        let (conductor, updates) = conductor(&servers);
+        let answer = send_request(&conductor, &updates).await;
+        sleep(CONNECT_DELAY / 2).await;
         let restarted = |name| ServerEntry { started: 3_600_000_000, ..entry(name, 0, Health::Up) };
-        news.send(MembershipUpdate {
-            kind: ListUpdateKind::Changes,
-            entries: vec![restarted("r1"), restarted("r2")],
-        })
-        .unwrap();
-        sleep(CONNECT_TAKES).await;
-        assert_eq!(servers.0.lock().unwrap().began, [], "outside of the budget of its slow start");
+        updates
+            .send(MembershipUpdate {
+                kind: ListUpdateKind::Changes,
+                entries: vec![restarted("r1"), restarted("r2")],
+            })
+            .unwrap();
+        sleep(CONNECT_DELAY).await;
+        assert_eq!(servers.0.lock().unwrap().sent, [], "outside of the budget of its slow start");
         sleep(Duration::from_secs(6)).await;
         assert!(answer.is_finished());
     });
 }
 
 #[test]
-fn nothing_begins_at_a_server_that_began_to_drain_while_the_attempt_waited() {
-    paused(async {
+fn no_attempt_is_sent_to_a_server_that_began_to_drain_while_it_waited() {
+    run_paused(async {
         let servers = Servers::default();
-        let (conductor, news) = conductor(&servers);
-        let answer = asked(&conductor, &news).await;
+        let (conductor, updates) = conductor(&servers);
+        let answer = send_request(&conductor, &updates).await;
         // The third attempt has been decided, and waits for the release.
         sleep(Duration::from_millis(30)).await;
         let drained_at = Instant::now();
         let entries = vec![entry("r1", 0, Health::Draining), entry("r2", 0, Health::Draining)];
-        news.send(MembershipUpdate { kind: ListUpdateKind::Changes, entries }).unwrap();
+        updates.send(MembershipUpdate { kind: ListUpdateKind::Changes, entries }).unwrap();
         sleep(Duration::from_secs(6)).await;
         assert!(answer.is_finished());
-        let began = servers.0.lock().unwrap().began.clone();
+        let sent = servers.0.lock().unwrap().sent.clone();
         let drains = |server: &Id| server.starts_with('r');
         let late = |at: Instant| at > drained_at + DRAIN_GRACE;
-        let late: Vec<_> = began.iter().filter(|(server, at)| drains(server) && late(*at)).collect();
+        let late: Vec<_> = sent.iter().filter(|(server, at)| drains(server) && late(*at)).collect();
         assert!(late.is_empty(), "began after the grace: {late:?}");
     });
 }
--- a/core/tests/slow_decisions.rs
+++ b/core/tests/slow_decisions.rs
@@ -13,24 +13,24 @@
     Request, SendPermit, Upstream,
 };
 use slog::Drain;
-use support::{classes, entry, query, NoEvents, Told};
+use support::{classes, entry, query, ChannelSource, NoEvents};
 use tokio::sync::mpsc;
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout};
 
 /// What one event takes the decisions.
-const EVENT_TAKES: Duration = Duration::from_millis(100);
+const EVENT_DELAY: Duration = Duration::from_millis(100);
 /// What this test's machine and one event that has just begun may add to any time.
-const ADDED: Duration = Duration::from_millis(200);
+const TIMING_ALLOWANCE: Duration = Duration::from_millis(200);
 /// A final answer may be later than its time by this much.
-const LATE_SLACK: Duration = Duration::from_millis(500);
+const ANSWER_SLACK: Duration = Duration::from_millis(500);
 /// What the rule on what is held adds to the settings' time.
-const HELD_ADDED: Duration = Duration::from_millis(300);
+const RELEASE_SLACK: Duration = Duration::from_millis(300);
 const BUDGET: Duration = Duration::from_millis(1_000);
-const RELEASE: Duration = Duration::from_millis(600);
+const RELEASE_TIMEOUT: Duration = Duration::from_millis(600);
 const DRAIN_GRACE: Duration = Duration::from_millis(100);
-const READ_TAKES: Duration = Duration::from_millis(30);
-const ASKED: usize = 25;
+const PREFILL_DELAY: Duration = Duration::from_millis(30);
+const REQUEST_COUNT: usize = 25;
 
 /// A log that holds up whoever hands it what the decisions are told.
 struct SlowLog;
@@ -41,7 +41,7 @@
 
     fn log(&self, record: &slog::Record, _: &slog::OwnedKVList) -> Result<(), slog::Never> {
         if matches!(record.msg().to_string().as_str(), "request" | "report") {
-            std::thread::sleep(EVENT_TAKES);
+            std::thread::sleep(EVENT_DELAY);
         }
         Ok(())
     }
@@ -49,24 +49,24 @@
 
 /// What servers have seen of a request.
 #[derive(Default)]
-struct Seen {
-    began: Vec<(Id, Instant)>,
-    held_since: Option<Instant>,
-    held_longest: Duration,
+struct RequestLog {
+    sent: Vec<(Id, Instant)>,
+    cached_since: Option<Instant>,
+    longest_cached: Duration,
 }
 
-impl Seen {
-    fn taken(&mut self) {
-        let held = self.held_since.take().map_or(Duration::ZERO, |since| since.elapsed());
-        self.held_longest = self.held_longest.max(held);
+impl RequestLog {
+    fn record_fetch(&mut self) {
+        let cached_for = self.cached_since.take().map_or(Duration::ZERO, |since| since.elapsed());
+        self.longest_cached = self.longest_cached.max(cached_for);
     }
 }
 
 #[derive(Clone, Default)]
-struct Servers(Arc<Mutex<HashMap<Id, Seen>>>);
+struct Servers(Arc<Mutex<HashMap<Id, RequestLog>>>);
 
 impl Servers {
-    fn of<T>(&self, request: &Id, then: impl FnOnce(&mut Seen) -> T) -> T {
+    fn with_log<T>(&self, request: &Id, then: impl FnOnce(&mut RequestLog) -> T) -> T {
         then(self.0.lock().unwrap().entry(request.clone()).or_default())
     }
 }
@@ -86,20 +86,20 @@
         if permit.check().is_err() {
             return AttemptReply::Ended(Outcome::NotSent, None);
         }
-        self.of(request, |seen| seen.began.push((server.clone(), Instant::now())));
+        self.with_log(request, |request_log| request_log.sent.push((server.clone(), Instant::now())));
         if server.starts_with('w') {
-            self.of(request, Seen::taken);
+            self.with_log(request, RequestLog::record_fetch);
             return AttemptReply::Stream(NoEvents);
         }
-        if timeout(wait, sleep(READ_TAKES)).await.is_err() {
+        if timeout(wait, sleep(PREFILL_DELAY)).await.is_err() {
             return AttemptReply::Ended(Outcome::NoAnswer, None);
         }
-        self.of(request, |seen| seen.held_since = Some(Instant::now()));
+        self.with_log(request, |request_log| request_log.cached_since = Some(Instant::now()));
         AttemptReply::PrefillDone { cached_tokens: 0, load: None }
     }
 
     async fn release(&self, _: &Id, request: &Id) -> bool {
-        self.of(request, Seen::taken);
+        self.with_log(request, RequestLog::record_fetch);
         true
     }
 
@@ -109,12 +109,12 @@
 }
 
 async fn conductor(servers: &Servers) -> (Conductor<Servers>, mpsc::UnboundedSender<MembershipUpdate>) {
-    let (news, told) = mpsc::unbounded_channel();
+    let (updates, received_updates) = mpsc::unbounded_channel();
     let settings = Settings {
         roles: vec![Role::Prefill, Role::Decode],
         memory_tokens: vec![200_000; 2],
         classes: classes().to_vec(),
-        cache_release_timeout: RELEASE.as_micros() as u64,
+        cache_release_timeout: RELEASE_TIMEOUT.as_micros() as u64,
         drain_grace: DRAIN_GRACE.as_micros() as u64,
         ..Settings::example()
     };
@@ -126,17 +126,17 @@
         seed: 7,
         clock: Clock::new(),
         upstream: Arc::new(servers.clone()),
-        members: Told(told),
+        members: ChannelSource(received_updates),
         log: slog::Logger::root(SlowLog.ignore_res(), slog::o!()),
     });
     let up = |name| entry(name, usize::from(str::starts_with(name, "w")), Health::Up);
     let entries = ["r1", "r2", "r3", "w1", "w2", "w3"].map(up).to_vec();
-    news.send(MembershipUpdate { kind: ListUpdateKind::Full, entries }).unwrap();
+    updates.send(MembershipUpdate { kind: ListUpdateKind::Full, entries }).unwrap();
     sleep(Duration::from_millis(50)).await;
-    (conductor, news)
+    (conductor, updates)
 }
 
-fn asked(nth: usize, class: usize) -> Query {
+fn query_number(nth: usize, class: usize) -> Query {
     let budget = BUDGET.as_micros() as u64;
     Query { budget, session: format!("s{nth}").as_str().into(), ..query(&format!("q{nth}"), class) }
 }
@@ -150,57 +150,62 @@
 fn every_request_gets_its_final_answer_in_time() {
     run(async {
         let servers = Servers::default();
-        let (conductor, _news) = conductor(&servers).await;
-        let mut asking = JoinSet::new();
-        for nth in 0..ASKED {
+        let (conductor, _updates) = conductor(&servers).await;
+        let mut calls = JoinSet::new();
+        for nth in 0..REQUEST_COUNT {
             let conductor = conductor.clone();
-            asking.spawn(async move {
+            calls.spawn(async move {
                 let begin = Instant::now();
-                let answer = conductor.call(Request { query: asked(nth, nth % 2), call: () }).await;
+                let answer = conductor.call(Request { query: query_number(nth, nth % 2), call: () }).await;
                 (nth, matches!(answer, Ok(Answer::Refused { .. })), begin.elapsed())
             });
             sleep(Duration::from_millis(10)).await;
         }
-        for (nth, refused, took) in asking.join_all().await {
-            assert!(took <= BUDGET + LATE_SLACK, "q{nth} was answered after {took:?}");
-            let at_decode = |seen: &mut Seen| seen.began.iter().any(|(server, _)| server.starts_with('w'));
-            let ran = servers.of(&format!("q{nth}").as_str().into(), at_decode);
+        for (nth, refused, took) in calls.join_all().await {
+            assert!(took <= BUDGET + ANSWER_SLACK, "q{nth} was answered after {took:?}");
+            let at_decode = |request_log: &mut RequestLog| {
+                request_log.sent.iter().any(|(server, _)| server.starts_with('w'))
+            };
+            let ran = servers.with_log(&format!("q{nth}").as_str().into(), at_decode);
             assert!(!(refused && ran && nth % 2 == 1), "q{nth} may have run, and was refused");
         }
-        sleep(RELEASE + HELD_ADDED).await;
-        for (id, seen) in servers.0.lock().unwrap().iter_mut() {
-            seen.taken();
-            let held = seen.held_longest;
-            assert!(held <= RELEASE + HELD_ADDED + ADDED, "{id}: held for {held:?}");
+        sleep(RELEASE_TIMEOUT + RELEASE_SLACK).await;
+        for (id, request_log) in servers.0.lock().unwrap().iter_mut() {
+            request_log.record_fetch();
+            let cached_for = request_log.longest_cached;
+            assert!(
+                cached_for <= RELEASE_TIMEOUT + RELEASE_SLACK + TIMING_ALLOWANCE,
+                "{id}: held for {cached_for:?}"
+            );
         }
     });
 }
 
 #[test]
-fn nothing_begins_for_a_client_that_has_gone_or_whose_time_is_over() {
+fn no_attempt_is_sent_for_a_client_that_left_or_timed_out() {
     run(async {
         let servers = Servers::default();
-        let (conductor, _news) = conductor(&servers).await;
-        let mut left = Vec::new();
-        let mut asking = JoinSet::new();
-        for nth in 0..ASKED {
+        let (conductor, _updates) = conductor(&servers).await;
+        let mut ended_calls = Vec::new();
+        let mut calls = JoinSet::new();
+        for nth in 0..REQUEST_COUNT {
             let conductor = conductor.clone();
-            asking.spawn(async move {
-                let call = conductor.call(Request { query: asked(nth, 0), call: () });
+            calls.spawn(async move {
+                let call = conductor.call(Request { query: query_number(nth, 0), call: () });
                 // Every other client leaves.
                 let stays = if nth % 2 == 0 { BUDGET / 5 } else { BUDGET * 2 };
                 let _ = timeout(stays, call).await;
                 (nth, Instant::now())
             });
         }
-        while let Some(Ok(ended)) = asking.join_next().await {
-            left.push(ended);
+        while let Some(Ok(ended)) = calls.join_next().await {
+            ended_calls.push(ended);
         }
         sleep(BUDGET).await;
-        for (nth, at) in left {
+        for (nth, ended_at) in ended_calls {
             let id: Id = format!("q{nth}").as_str().into();
-            let began = servers.of(&id, |seen| std::mem::take(&mut seen.began));
-            let late: Vec<_> = began.iter().filter(|(_, began)| *began > at + EVENT_TAKES).collect();
+            let sent = servers.with_log(&id, |request_log| std::mem::take(&mut request_log.sent));
+            let late: Vec<_> = sent.iter().filter(|(_, sent_at)| *sent_at > ended_at + EVENT_DELAY).collect();
             assert!(late.is_empty(), "{id} began after its end: {late:?}");
         }
     });
@@ -208,49 +213,50 @@
 
 /// A refusal would promise that nothing of it has run, also where it comes before any decision.
 #[test]
-fn an_id_that_is_in_use_is_turned_down_and_not_refused() {
+fn an_id_in_use_is_an_error_and_not_a_refusal() {
     run(async {
         let servers = Servers::default();
-        let (conductor, _news) = conductor(&servers).await;
-        let mut asking = JoinSet::new();
-        for nth in 0..ASKED {
+        let (conductor, _updates) = conductor(&servers).await;
+        let mut calls = JoinSet::new();
+        for nth in 0..REQUEST_COUNT {
             let conductor = conductor.clone();
-            asking.spawn(async move {
+            calls.spawn(async move {
                 // What comes of these is other tests' matter.
-                let _ = conductor.call(Request { query: asked(nth, 1), call: () }).await;
+                let _ = conductor.call(Request { query: query_number(nth, 1), call: () }).await;
             });
         }
         sleep(Duration::from_millis(5)).await;
-        for nth in [0, ASKED / 2, ASKED - 1] {
-            let again = conductor.call(Request { query: asked(nth, 1), call: () }).await;
+        for nth in [0, REQUEST_COUNT / 2, REQUEST_COUNT - 1] {
+            let again = conductor.call(Request { query: query_number(nth, 1), call: () }).await;
             assert!(matches!(again, Err(CallError::IdInUse)), "q{nth}");
         }
     });
 }
 
 #[test]
-fn nothing_begins_at_a_server_that_drains() {
+fn no_attempt_is_sent_to_a_draining_server() {
     run(async {
         let servers = Servers::default();
-        let (conductor, news) = conductor(&servers).await;
-        let mut asking = JoinSet::new();
-        for nth in 0..ASKED {
+        let (conductor, updates) = conductor(&servers).await;
+        let mut calls = JoinSet::new();
+        for nth in 0..REQUEST_COUNT {
             let conductor = conductor.clone();
-            asking.spawn(async move {
+            calls.spawn(async move {
                 // What comes of it is another test's matter.
-                let _ = conductor.call(Request { query: asked(nth, 0), call: () }).await;
+                let _ = conductor.call(Request { query: query_number(nth, 0), call: () }).await;
             });
         }
         sleep(Duration::from_millis(5)).await;
         let entries = vec![entry("r1", 0, Health::Draining), entry("w1", 1, Health::Draining)];
-        news.send(MembershipUpdate { kind: ListUpdateKind::Changes, entries }).unwrap();
-        let told = Instant::now();
-        asking.join_all().await;
-        for (id, seen) in servers.0.lock().unwrap().iter() {
+        updates.send(MembershipUpdate { kind: ListUpdateKind::Changes, entries }).unwrap();
+        let drained_at = Instant::now();
+        calls.join_all().await;
+        for (id, request_log) in servers.0.lock().unwrap().iter() {
             let drains = |server: &Id| matches!(&**server, "r1" | "w1");
-            let late = |at: Instant| at > told + DRAIN_GRACE + ADDED;
-            let late: Vec<_> = seen.began.iter().filter(|(server, at)| drains(server) && late(*at)).collect();
-            assert!(late.is_empty(), "{id}: {late:?}, told at {told:?}");
+            let late = |at: Instant| at > drained_at + DRAIN_GRACE + TIMING_ALLOWANCE;
+            let late: Vec<_> =
+                request_log.sent.iter().filter(|(server, at)| drains(server) && late(*at)).collect();
+            assert!(late.is_empty(), "{id}: {late:?}, told at {drained_at:?}");
         }
     });
 }
--- a/core/tests/support/mod.rs
+++ b/core/tests/support/mod.rs
@@ -11,9 +11,9 @@
 use tokio::sync::mpsc;
 
 /// One list, and no news after it.
-pub struct Fixed(pub Option<MembershipUpdate>);
+pub struct SingleUpdate(pub Option<MembershipUpdate>);
 
-impl MembershipSource for Fixed {
+impl MembershipSource for SingleUpdate {
     async fn next(&mut self) -> Option<MembershipUpdate> {
         match self.0.take() {
             Some(news) => Some(news),
@@ -23,9 +23,9 @@
 }
 
 /// News as the test tells them.
-pub struct Told(pub mpsc::UnboundedReceiver<MembershipUpdate>);
+pub struct ChannelSource(pub mpsc::UnboundedReceiver<MembershipUpdate>);
 
-impl MembershipSource for Told {
+impl MembershipSource for ChannelSource {
     async fn next(&mut self) -> Option<MembershipUpdate> {
         self.0.recv().await
     }
@@ -68,7 +68,7 @@
     }
 }
 
-pub fn paused<T>(test: impl Future<Output = T>) -> T {
+pub fn run_paused<T>(test: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
     runtime.unwrap().block_on(test)
 }
--- a/core/tests/unit/answer_stream.rs
+++ b/core/tests/unit/answer_stream.rs
@@ -97,7 +97,7 @@
 
 /// In whichever order the two came, no event passes once the stream has been given to another.
 #[tokio::test(start_paused = true)]
-async fn a_stream_that_moves_ends_whatever_lies_ready() {
+async fn a_moved_stream_ends_even_if_events_are_ready() {
     for before in [0, 1, 3] {
         let (mut stream, mut handles) = stream();
         for _ in 0..before {
@@ -116,7 +116,7 @@
 /// A final answer that crossed the first event changes nothing, and the move behind it still wakes the
 /// stream.
 #[tokio::test(start_paused = true)]
-async fn an_answer_that_came_too_late_hides_no_move() {
+async fn a_late_answer_does_not_hide_a_move() {
     let (mut stream, handles) = stream();
     for late in [Decision::Refuse { retry_after: 0 }, Decision::Fail, Decision::Cancel] {
         handles.instructions.send(instruction(late)).unwrap();
@@ -134,7 +134,7 @@
 
 /// The client's own pause is no silence of the server: half an event may lie in its socket.
 #[tokio::test(start_paused = true)]
-async fn a_client_that_took_nothing_for_a_while_finds_its_stream_alive() {
+async fn a_client_that_paused_finds_its_stream_alive() {
     for pause in [1, 4, 5, 60] {
         let (mut stream, mut handles) = stream();
         handles.events.send(event()).unwrap();
@@ -151,7 +151,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_server_that_says_nothing_is_given_up_within_the_time_of_a_waiting_client() {
+async fn a_silent_server_is_given_up_before_the_client_counts_as_abandoned() {
     for pause in [0, 1_000, 4_400, 4_600] {
         let (mut stream, mut handles) = stream();
         handles.events.send(event()).unwrap();
--- a/core/tests/unit/command_queue.rs
+++ b/core/tests/unit/command_queue.rs
@@ -31,7 +31,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_became_of_open_requests_goes_ahead_of_new_ones_but_not_for_ever() {
+async fn urgent_commands_go_ahead_of_new_requests_up_to_a_limit() {
     let (sender, mut receiver) = command_queue(Clock::new());
     sender.send(submit(7));
     (0..2 * MAX_URGENT_IN_A_ROW).for_each(|_| sender.send(Command::Close));
@@ -43,7 +43,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_wait_follows_from_what_waits_and_what_one_costs() {
+async fn the_expected_wait_follows_from_the_backlog_and_the_cost() {
     let (sender, mut receiver) = command_queue(Clock::new());
     let backlog = receiver.backlog();
     assert_eq!((backlog.waiting_count(), backlog.expected_wait()), (0, 0));
@@ -64,7 +64,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn it_ends_with_the_last_sender() {
+async fn the_queue_ends_with_the_last_sender() {
     let (sender, mut receiver) = command_queue(Clock::new());
     let weak = sender.downgrade();
     assert!(weak.upgrade().is_some());
--- a/core/tests/unit/reachability.rs
+++ b/core/tests/unit/reachability.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn what_was_heard_last_comes_first_and_what_was_silent_last() {
+fn servers_that_answered_last_come_first_and_silent_ones_last() {
     let mut reachability = fleet();
     for (id, outcome, at) in [
         ("a1", Outcome::PrefillDone, 10),
@@ -40,12 +40,12 @@
 }
 
 #[test]
-fn zones_take_turns_and_those_it_went_to_come_first_among_equals() {
+fn zones_take_turns_and_earlier_servers_come_first_among_equals() {
     assert_eq!(order(&fleet(), &["a3"]), ["a3", "b1", "a1", "b2", "a2"]);
 }
 
 #[test]
-fn a_list_keeps_what_was_heard_of_those_that_stay() {
+fn a_list_update_keeps_the_contacts_of_servers_that_stay() {
     let mut reachability = fleet();
     reachability.record_outcome(&"a3".into(), Outcome::PrefillDone, 10);
     reachability.record_outcome(&"b2".into(), Outcome::NoConnection, 10);
@@ -56,10 +56,10 @@
     assert_eq!((order(&reachability, &[]), reachability.listed_count()), (vec!["a1".into(), "b2".into()], 2));
 }
 
-/// Whatever was told: each server once, none that answered behind one that did not, and of the two first
+/// Whatever was reports: each server once, none that answered behind one that did not, and of the two first
 /// that answered one in each zone, where there are such.
 #[test]
-fn any_order_holds_every_box_once() {
+fn a_call_order_names_every_server_once() {
     fn holds(reports: Vec<(u8, bool)>) -> bool {
         let mut reachability = fleet();
         let names = ["a1", "a2", "a3", "b1", "b2"];
@@ -85,7 +85,7 @@
 
 /// With thousands of servers as well, a call has servers of all zones to try, and not more than it needs.
 #[test]
-fn a_large_list_names_a_few_of_each_zone_and_those_it_went_to() {
+fn a_large_list_yields_a_few_servers_of_each_zone_and_the_earlier_ones() {
     let mut reachability = Reachability::default();
     let entries: Vec<ServerEntry> = (0..3_000).map(|n| entry(&format!("s{n:04}"), n % 3)).collect();
     reachability.apply_update(ListUpdateKind::Full, &entries);
--- a/core/tests/unit/release.rs
+++ b/core/tests/unit/release.rs
@@ -60,14 +60,14 @@
 async fn time_release(releaser: &UpstreamReleaser<Servers>, release_state: &Mutex<ReleaseState>) -> Duration {
     let begin = Instant::now();
     releaser.release(&"q".into(), release_state);
-    let end = lock(release_state).take_release_end().expect("one is under way");
+    let end = lock(release_state).take_release_end().expect("a release is running");
     // It resolves as the task drops its end.
     let _ = end.await;
     begin.elapsed()
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_server_that_did_not_take_a_release_is_not_the_first_to_be_asked_by_the_next() {
+async fn a_server_that_missed_a_release_is_not_called_first_by_the_next() {
     let releaser = releaser();
     let first = time_release(&releaser, &Mutex::default()).await;
     let second = time_release(&releaser, &Mutex::default()).await;
@@ -76,15 +76,15 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_release_at_the_end_of_a_request_goes_on_beside_the_one_before() {
+async fn a_release_at_the_end_of_a_request_lets_the_previous_one_continue() {
     let (releaser, release_state) = (releaser(), Mutex::default());
     releaser.release(&"q".into(), &release_state);
-    let before = lock(&release_state).take_release_end().expect("one is under way");
+    let before = lock(&release_state).take_release_end().expect("a release is running");
     lock(&release_state).mark_uncovered();
     releaser.release_at_end(&"q".into(), &release_state, false);
     let begin = Instant::now();
     let _ = before.await;
-    assert!(begin.elapsed() >= Duration::from_millis(400), "it was ended before a server had taken it");
+    assert!(begin.elapsed() >= Duration::from_millis(400), "aborted before a server had accepted it");
     // One that covers all is not begun again.
     releaser.release_at_end(&"q".into(), &release_state, false);
     assert_eq!(releaser.tasks().len(), 0);
@@ -93,7 +93,7 @@
 /// The attempt of a client that leaves ends with its connection, and the release goes over another one: were
 /// it there first, a prefill that ends in between would leave what nobody lets go of any more.
 #[tokio::test(start_paused = true)]
-async fn a_release_does_not_overtake_the_end_of_the_attempt_that_was_cut() {
+async fn a_release_does_not_overtake_the_end_of_a_cancelled_attempt() {
     let releaser = releaser();
     // Which server answers is known by then.
     time_release(&releaser, &Mutex::default()).await;
@@ -102,7 +102,7 @@
         lock(&release_state).record_send(&"b0".into());
         let begin = Instant::now();
         releaser.release_at_end(&"q".into(), &release_state, was_cancelled);
-        let end = lock(&release_state).take_release_end().expect("one is under way");
+        let end = lock(&release_state).take_release_end().expect("a release is running");
         let _ = end.await;
         assert_eq!(begin.elapsed() >= CANCELLATION_DELAY, was_cancelled, "{:?}", begin.elapsed());
     }
