--- a/core/tests/exclusion.rs
+++ b/core/tests/exclusion.rs
@@ -1,4 +1,4 @@
-//! Instances taken out of use by hand, whatever the list says of them meanwhile.
+//! Instances that operators have excluded stay so, whatever the list says of them meanwhile.
 
 use frosttrail::{Health, Id, ListUpdateKind, ServerEntry};
 use frosttrail_core::{ExclusionError, Exclusions};
@@ -28,7 +28,7 @@
         first_health(exclusions.apply_update(3, ListUpdateKind::Changes, &[entry("a", Health::Gone, 0)])),
         Health::Gone
     );
-    // Still known while it is absent, and still out when it is back.
+    // Still known while it is absent, and still excluded when it is back.
     exclusions.exclude(&a).unwrap();
     assert_eq!(
         first_health(exclusions.apply_update(4, ListUpdateKind::Full, &[entry("a", Health::Up, 9)])),
@@ -64,7 +64,7 @@
     exclusions.exclude(&a).unwrap();
     exclusions.include(100, &a).unwrap();
     assert_eq!(exclusions.effective_entry(&a).unwrap().started, 100);
-    // The list's own time counts where it is later, and a list that lags does not make it warm.
+    // A later start from the list counts, and a list that lags does not end the slow start.
     let later = exclusions.apply_update(101, ListUpdateKind::Changes, &[entry("a", Health::Up, 150)]);
     assert_eq!(later[0].started, 150);
     let lagging = exclusions.apply_update(102, ListUpdateKind::Full, &[entry("a", Health::Up, 0)]);
--- a/core/tests/held.rs
+++ b/core/tests/held.rs
@@ -1,6 +1,6 @@
-//! Whatever servers do not answer: a state that was read is taken by an attempt that reaches a server, or a
-//! release has reached one that runs, within the settings' time and what sockets add to it. Truth is
-//! counted at the servers; time is paused.
+//! KV cache that a prefill has left is fetched by an attempt that reaches a server, or released at a
+//! running server, within the release timeout and what sockets add to it, whichever servers do not answer.
+//! The wait is measured at the servers; time is paused.
 
 mod support;
 
@@ -19,30 +19,29 @@
 use support::{query, run_paused, SingleUpdate};
 use tokio::time::{sleep, timeout, Instant};
 
-/// What sockets add to the settings' time, and a little for the calls themselves.
+/// What sockets add to the release timeout, and a little for the calls themselves.
 const ALLOWANCE: Duration = Duration::from_millis(300);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// A connection that fell silent breaks after this time, where it does.
+/// A silent connection that breaks does so after this time.
 const RESET_DELAY: Duration = Duration::from_millis(300);
 const SERVER_NAMES: [&str; 8] = ["r1", "r2", "r3", "r4", "w1", "w2", "w3", "w4"];
 
-/// How a server is.
+/// How a server behaves.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum ServerState {
     Healthy,
-    /// Takes a state, then turns the request away.
+    /// Fetches the KV cache, then rejects the request.
     RejectsAfterFetch,
-    /// New connections never come up.
+    /// New connections time out.
     Unreachable,
-    /// New connections are refused.
     RefusesConnections,
-    /// Takes requests and answers none.
+    /// Accepts requests and never answers.
     NeverAnswers,
-    /// Its open connections fell silent: what is written to one never arrives, and no error tells so.
+    /// Its open connections are silent: what is written to one never arrives, and no error is returned.
     Silent,
-    /// The same, and the connection breaks after a while.
+    /// Like `Silent`, and the connection breaks after a while.
     SilentThenReset,
-    /// Reads the prompt; its connection breaks before the answer.
+    /// Prefills the prompt; its connection breaks before the reply.
     BreaksAfterPrefill,
 }
 
@@ -65,14 +64,14 @@
 #[derive(Default)]
 struct Cluster {
     states: HashMap<Id, ServerState>,
-    /// Since when a state waits that no attempt has.
+    /// Since when KV cache waits that no attempt has fetched.
     waiting_since: Option<Instant>,
     longest_wait: Duration,
     prefills: u32,
 }
 
 impl Cluster {
-    /// A prompt has been read; what was held before has waited until now.
+    /// A prompt has been prefilled; KV cache that was held before has waited until now.
     fn record_prefill(&mut self) {
         self.record_fetch();
         (self.waiting_since, self.prefills) = (Some(Instant::now()), self.prefills + 1);
@@ -129,7 +128,7 @@
             ServerState::NeverAnswers => {
                 self.with(Cluster::record_fetch);
                 sleep(wait).await;
-                // A writer that never began still leaves the state where it was.
+                // A decode server that never began leaves the KV cache where it was.
                 self.with(|cluster| cluster.waiting_since = cluster.prefills.gt(&0).then(Instant::now));
                 return ended(Outcome::NoAnswer);
             }
@@ -184,7 +183,7 @@
     }
 }
 
-/// One request through a fleet of which each server is as it is; how long its state waited at worst.
+/// Runs one request against servers in these states, and returns the longest time that its KV cache waited.
 async fn longest_wait(states: [ServerState; 8], release_timeout: Duration) -> Duration {
     let servers = FakeServers::default();
     servers.with(|cluster| cluster.states = SERVER_NAMES.iter().map(|n| Id::from(*n)).zip(states).collect());
@@ -228,7 +227,7 @@
 }
 
 fn assert_released_in_time(states: [ServerState; 8], release_ms: u64) {
-    // Where nothing runs, nothing can take the call.
+    // Without a running server, no server can accept the release.
     if !states.iter().any(|state| {
         matches!(
             state,
@@ -264,7 +263,8 @@
 #[test]
 fn a_lost_zone_does_not_use_up_the_release_timeout() {
     use ServerState::{Healthy, Unreachable};
-    // Both writers of one zone, then all of it but the reader that holds the state, then all that write.
+    // Both decode servers of one zone, then that whole zone but the prefill server that holds the cache,
+    // then every decode server.
     for states in [
         [Healthy, Healthy, Healthy, Healthy, Unreachable, Healthy, Unreachable, Healthy],
         [Healthy, Unreachable, Healthy, Unreachable, Unreachable, Unreachable, Unreachable, Unreachable],
@@ -276,7 +276,7 @@
     }
 }
 
-/// A send that has not arrived is not out: it does not stop the clock of what is held.
+/// A send that has not arrived does not count as in flight: the KV cache goes on waiting.
 #[test]
 fn a_send_that_never_arrives_does_not_stop_the_release_timer() {
     use ServerState::{BreaksAfterPrefill, Healthy, Silent, SilentThenReset};
--- a/core/tests/model.rs
+++ b/core/tests/model.rs
@@ -1,6 +1,6 @@
-//! A model of one request's connection to the servers, against which random steps are checked: at any
-//! moment at most one attempt is out, what may have run is not sent or refused again, the client gets
-//! exactly one final answer, and no state stays behind. Time is paused, servers are a table in memory.
+//! Checks one request against a model of its connection to the servers, in random steps. At any moment at
+//! most one attempt is in flight, what may have run is not sent or refused again, the client gets exactly
+//! one final answer, and no KV cache stays behind. Time is paused, and the servers are a table in memory.
 
 mod support;
 
@@ -32,15 +32,15 @@
 
 #[derive(Default)]
 struct Cluster {
-    /// Attempts out, by request: only the servers' own count, not the conductor's.
+    /// Attempts in flight, by request, as counted by the servers and not by the conductor.
     in_flight: HashMap<Id, u32>,
     max_in_flight: u32,
     attempts: Vec<Attempt>,
     sends: Vec<Id>,
     releases: u32,
-    /// How long a server takes to let go,
+    /// How long a server takes to release KV cache.
     release_delay: Duration,
-    /// and how long the end of an attempt is on its way to one.
+    /// How long the end of an attempt takes to reach its server.
     cancellation_delay: Duration,
     streams_dropped: u32,
 }
@@ -54,8 +54,8 @@
     }
 }
 
-/// Counts an attempt as out until its server has ended it, or has heard that its future, or the stream it
-/// became, was dropped.
+/// Counts an attempt as in flight until its server has ended it, or has learned that its future, or the
+/// stream that followed, was dropped.
 struct InFlight {
     servers: FakeServers,
     id: Id,
@@ -80,7 +80,7 @@
         let finish = move || servers.with(|cluster| *cluster.in_flight.get_mut(&id).unwrap() -= 1);
         match tokio::runtime::Handle::try_current() {
             Ok(runtime) if !self.ended_by_server && !delay.is_zero() => drop(runtime.spawn(async move {
-                // Within that time, that is.
+                // Arrives within that time.
                 sleep(delay * 3 / 4).await;
                 finish();
             })),
@@ -157,7 +157,7 @@
     }
 }
 
-/// What happens next, to whatever is there for it to happen to.
+/// What happens next, to whatever attempt or stream it applies to.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     PrefillDone,
@@ -176,7 +176,7 @@
 impl Arbitrary for Step {
     fn arbitrary(g: &mut Gen) -> Self {
         use Step::*;
-        // Reads and first events are likelier, so that walks get somewhere.
+        // Prefills and first events are likelier, so that the sequences reach the later steps.
         let wait = Wait(u8::arbitrary(g));
         let all = [
             PrefillDone,
@@ -231,22 +231,22 @@
     })
 }
 
-/// Where the request's connection stands.
+/// The state of the request at the servers.
 #[derive(Default)]
 struct Model {
     is_unsafe: bool,
-    /// A writer may have run it.
+    /// A decode server may have run it.
     may_have_run: bool,
-    /// A reader may hold state for it.
+    /// A prefill server may hold KV cache for it.
     may_hold_cache: bool,
-    /// Releases when that state came about.
+    /// How many releases there had been when that cache was left.
     releases_before_hold: u32,
     stream: Option<mpsc::UnboundedSender<StreamStep>>,
     answers: u32,
 }
 
 impl Model {
-    /// Carries out a step if there is something to carry it out on.
+    /// Carries out a step if there is an attempt or a stream that it applies to.
     fn step(&mut self, servers: &FakeServers, step: Step) {
         if let Some(stream) = &self.stream {
             let event = match step {
@@ -294,7 +294,7 @@
         (self.may_hold_cache, self.releases_before_hold) = (true, servers.with(|cluster| cluster.releases));
     }
 
-    /// Attempts that the conductor has given up on: a read may have finished, a writer may yet run.
+    /// Attempts that the conductor has cancelled: a prefill may have finished, and a decode may yet run.
     fn record_cancelled(&mut self, servers: &FakeServers, releases_before: u32) {
         let mut cancelled = Vec::new();
         servers.with(|cluster| {
@@ -310,28 +310,31 @@
         }
     }
 
-    /// Sees to what has been sent.
+    /// Checks what has been sent.
     fn check_sends(&mut self, servers: &FakeServers, sends_before: usize, may_have_run_before: bool) {
         let sends = servers.with(|cluster| cluster.sends.len());
-        assert!(servers.with(|cluster| cluster.max_in_flight) <= 1, "two attempts out");
+        assert!(servers.with(|cluster| cluster.max_in_flight) <= 1, "two attempts in flight");
         assert!(self.stream.is_none() || sends == sends_before, "sent after the first event");
         let sent_to_decode =
             servers.with(|cluster| cluster.sends[sends_before..].iter().any(|s| s.starts_with('w')));
         assert!(
             !(self.is_unsafe && may_have_run_before && sent_to_decode),
-            "a book that may have run was sent again"
+            "an unsafe request that may have run was sent again"
         );
     }
 
-    /// Sees to what the client got.
+    /// Checks the client's answer.
     fn check_answer(&mut self, answer: &CallResult) {
         self.answers += 1;
         let refused = matches!(answer, Ok(Answer::Refused { .. }));
-        assert!(!(refused && self.is_unsafe && self.may_have_run), "a book that may have run was refused");
+        assert!(
+            !(refused && self.is_unsafe && self.may_have_run),
+            "an unsafe request that may have run was refused"
+        );
     }
 }
 
-/// Lets every task run that can.
+/// Lets every task run that is ready.
 async fn settle() {
     sleep(Duration::from_millis(15)).await;
 }
@@ -372,7 +375,7 @@
                 let served = matches!(answer, Ok(Answer::Served(_)));
                 assert!(
                     served || servers.with(|cluster| cluster.in_flight.values().all(|n| *n == 0)),
-                    "answered while one is out"
+                    "answered while an attempt is in flight"
                 );
                 call = None;
                 if let Ok(Answer::Served(events)) = answer {
@@ -393,16 +396,17 @@
     assert!(model.answers <= 1, "more than one final answer");
     assert!(
         servers.with(|cluster| cluster.in_flight.values().all(|n| *n == 0)) || stream.is_some(),
-        "an attempt is still out"
+        "an attempt is still in flight"
     );
     let was_released = servers.with(|cluster| cluster.releases) > model.releases_before_hold;
-    assert!(!model.may_hold_cache || was_released, "state stayed behind");
+    assert!(!model.may_hold_cache || was_released, "KV cache stayed behind");
 }
 
 #[test]
 fn random_steps_keep_the_rules() {
     fn keeps(is_unsafe: bool, far: bool, steps: Vec<Step>) -> bool {
-        // Where servers are far, the end of an attempt is later there than the next would be elsewhere.
+        // With distant servers, the end of an attempt arrives later there than the next attempt does
+        // elsewhere.
         let cancellation_delay = Duration::from_millis(if far { 20 } else { 0 });
         run_paused(run_steps(is_unsafe, cancellation_delay, steps));
         true
@@ -413,7 +417,7 @@
 
 #[test]
 fn the_handle_serves_as_a_plug_in_of_an_rpc_library() {
-    /// What such a library asks of a client.
+    /// Uses the handle as an RPC library uses a client.
     async fn through<S>(mut service: S) -> S::Response
     where
         S: tower_service::Service<Request<()>, Error = CallError>,
@@ -464,7 +468,7 @@
         assert_eq!(
             servers.with(|cluster| cluster.in_flight[&Id::from("id-1")]),
             1,
-            "the first attempt is still out"
+            "the first attempt is still in flight"
         );
         let mut model = Model::default();
         for step in [Step::PrefillDone, Step::FirstEvent] {
@@ -475,8 +479,8 @@
     });
 }
 
-/// Sends and releases of a request so long after its reads ended like this, and whether it is served in the
-/// end; servers take so long to let go.
+/// Returns the sends and releases of a request at a time `wait` after its first steps, and whether it is
+/// served in the end, with servers that take `release_delay` to release.
 async fn prefill_again(first: &[Step], release_delay: u64, wait: u64) -> (usize, u32, bool) {
     let servers = FakeServers::default();
     servers.with(|cluster| cluster.release_delay = Duration::from_millis(release_delay));
@@ -493,12 +497,13 @@
     let counts = servers.with(|cluster| (cluster.sends.len(), cluster.releases));
     sleep(Duration::from_secs(1)).await;
     let before = servers.with(|cluster| cluster.releases);
-    // A writer that is not heard of for longer may never have got the request: then a release is due.
+    // A decode server that stays silent for longer may never have got the request, so that a release is
+    // due.
     for (step, wait) in [(Step::PrefillDone, 300), (Step::FirstEvent, 1_000)] {
         model.step(&servers, step);
         sleep(Duration::from_millis(wait)).await;
     }
-    assert_eq!(servers.with(|cluster| cluster.releases), before, "a release after the next read");
+    assert_eq!(servers.with(|cluster| cluster.releases), before, "a release after the next prefill");
     (counts.0, counts.1, answer.is_finished())
 }
 
@@ -508,13 +513,13 @@
         assert_eq!(
             prefill_again(&[Step::ConnectionBroke], 40, 0).await,
             (2, 0, true),
-            "it is read anew at once"
+            "the next prefill starts at once"
         );
-        // The next read may never arrive, so that what the first has left is let go beside it.
+        // The next prefill may never arrive, so that the first one's KV cache is released meanwhile.
         assert_eq!(
             prefill_again(&[Step::ConnectionBroke], 40, 100).await,
             (2, 1, true),
-            "nothing was let go"
+            "nothing was released"
         );
     });
 }
@@ -526,17 +531,17 @@
         assert_eq!(
             prefill_again(&[ConnectionBroke, NoConnection], 40, 0).await,
             (2, 0, true),
-            "waits for the release"
+            "the next prefill waits for the release"
         );
         assert_eq!(prefill_again(&[ConnectionBroke, NoConnection], 40, 40).await, (3, 1, true));
-        // Where no server takes the release, the request does not wait for ever, and none comes later.
+        // If no server accepts the release, the request does not wait for ever, and no release comes later.
         assert_eq!(prefill_again(&[ConnectionBroke, NoConnection], 10_000, 300).await, (3, 0, true));
         assert_eq!(prefill_again(&[NoConnection], 40, 0).await, (2, 0, true), "nothing is held");
     });
 }
 
-/// Both the decisions' last word and the reply of the attempt lie ready as the request is polled. What they
-/// said stands: the client's answer, the attempt given up, its state let go.
+/// Has both the conductor's close and the attempt's reply ready when the request is polled. The decision
+/// stands: the client gets its answer, the attempt is cancelled and its KV cache is released.
 async fn close_during_reply(is_unsafe: bool, replies: &[Step]) -> (CallResult, u32, u32) {
     let servers = FakeServers::default();
     servers.with(|cluster| cluster.cancellation_delay = Duration::from_millis(20));
@@ -560,7 +565,7 @@
     assert_eq!(
         servers.with(|cluster| cluster.in_flight[&Id::from("id-1")]),
         0,
-        "answered while its attempt is out"
+        "answered while its attempt is in flight"
     );
     settle().await;
     (
@@ -588,10 +593,10 @@
             match answer.unwrap() {
                 Answer::Failed { .. } => assert!(may_have_run, "{is_unsafe}, {replies:?}: never ran"),
                 Answer::Refused { .. } => assert!(!may_have_run, "{is_unsafe}, {replies:?}: may have run"),
-                Answer::Served(_) => panic!("{is_unsafe}, {replies:?}: it begins as the conductor ends"),
+                Answer::Served(_) => panic!("{is_unsafe}, {replies:?}: served while the conductor closes"),
             }
-            assert_eq!(in_flight, 0, "{is_unsafe}, {replies:?}: an attempt is out");
-            assert!(releases >= 1, "{is_unsafe}, {replies:?}: nothing was let go");
+            assert_eq!(in_flight, 0, "{is_unsafe}, {replies:?}: an attempt is in flight");
+            assert!(releases >= 1, "{is_unsafe}, {replies:?}: nothing was released");
         }
     });
 }
--- a/core/tests/permit.rs
+++ b/core/tests/permit.rs
@@ -1,5 +1,5 @@
-//! An attempt that has been decided may wait, for a release or for its connection. What forbids it
-//! meanwhile is obeyed: it never begins. Time is paused; the servers' side is a table in memory.
+//! A decided attempt may wait, for a release or for its connection. If an exclusion, a restart or a drain
+//! forbids it meanwhile, it is never sent. Time is paused, and the servers are a table in memory.
 
 mod support;
 
@@ -17,12 +17,12 @@
 
 /// How long a release takes, which the next attempt after a failed connection waits for.
 const RELEASE_DELAY: Duration = Duration::from_millis(400);
-/// For a connection to come up.
+/// How long a connection takes to come up.
 const CONNECT_DELAY: Duration = Duration::from_millis(10);
-/// After a drain is told, nothing begins later than this.
+/// After a drain is reported, nothing is sent later than this.
 const DRAIN_GRACE: Duration = Duration::from_millis(100);
 
-/// A prefill server whose first read breaks and to which the next connection fails.
+/// Prefill servers: the first attempt loses its connection, and the second gets none.
 #[derive(Default)]
 struct Cluster {
     attempts: u32,
@@ -96,7 +96,7 @@
     (conductor, updates)
 }
 
-/// Lists three servers, and asks once.
+/// Lists three servers and sends one request.
 async fn send_request(
     conductor: &Conductor<Servers>,
     updates: &mpsc::UnboundedSender<MembershipUpdate>,
@@ -117,14 +117,14 @@
         let servers = Servers::default();
         let (conductor, updates) = conductor(&servers);
         let answer = send_request(&conductor, &updates).await;
-        // Its connection comes up as the instances are taken out.
+        // Its connection comes up while the instances are excluded.
         sleep(CONNECT_DELAY / 2).await;
         for server in ["r1", "r2"] {
             conductor.exclude(&server.into()).unwrap();
         }
         sleep(Duration::from_secs(6)).await;
         assert!(answer.is_finished());
-        assert_eq!(servers.0.lock().unwrap().sent, [], "begun after the yes");
+        assert_eq!(servers.0.lock().unwrap().sent, [], "sent after the exclusion was confirmed");
     });
 }
 
@@ -143,7 +143,7 @@
             })
             .unwrap();
         sleep(CONNECT_DELAY).await;
-        assert_eq!(servers.0.lock().unwrap().sent, [], "outside of the budget of its slow start");
+        assert_eq!(servers.0.lock().unwrap().sent, [], "sent outside of the budget of its slow start");
         sleep(Duration::from_secs(6)).await;
         assert!(answer.is_finished());
     });
@@ -166,6 +166,6 @@
         let drains = |server: &Id| server.starts_with('r');
         let late = |at: Instant| at > drained_at + DRAIN_GRACE;
         let late: Vec<_> = sent.iter().filter(|(server, at)| drains(server) && late(*at)).collect();
-        assert!(late.is_empty(), "began after the grace: {late:?}");
+        assert!(late.is_empty(), "sent after the grace period: {late:?}");
     });
 }
--- a/core/tests/slow_decisions.rs
+++ b/core/tests/slow_decisions.rs
@@ -1,5 +1,5 @@
-//! However slow the decisions are, what is promised to clients and servers holds: here each event takes them
-//! 0.1 s, as the log that they write to is slow. Time is real.
+//! Whatever the speed of the decisions, the promises to clients and servers hold. Here each event takes the
+//! decisions 0.1 s, as their logger is slow. Time is real.
 
 mod support;
 
@@ -18,13 +18,13 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout};
 
-/// What one event takes the decisions.
+/// How long the decisions take for one event.
 const EVENT_DELAY: Duration = Duration::from_millis(100);
-/// What this test's machine and one event that has just begun may add to any time.
+/// What the machine and one event that has just begun may add to any time.
 const TIMING_ALLOWANCE: Duration = Duration::from_millis(200);
-/// A final answer may be later than its time by this much.
+/// How late a final answer may be.
 const ANSWER_SLACK: Duration = Duration::from_millis(500);
-/// What the rule on what is held adds to the settings' time.
+/// What the rule on held KV cache adds to the release timeout.
 const RELEASE_SLACK: Duration = Duration::from_millis(300);
 const BUDGET: Duration = Duration::from_millis(1_000);
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(600);
@@ -32,7 +32,7 @@
 const PREFILL_DELAY: Duration = Duration::from_millis(30);
 const REQUEST_COUNT: usize = 25;
 
-/// A log that holds up whoever hands it what the decisions are told.
+/// A logger that stalls whoever logs an event of the decisions.
 struct SlowLog;
 
 impl Drain for SlowLog {
@@ -206,12 +206,12 @@
             let id: Id = format!("q{nth}").as_str().into();
             let sent = servers.with_log(&id, |request_log| std::mem::take(&mut request_log.sent));
             let late: Vec<_> = sent.iter().filter(|(_, sent_at)| *sent_at > ended_at + EVENT_DELAY).collect();
-            assert!(late.is_empty(), "{id} began after its end: {late:?}");
+            assert!(late.is_empty(), "{id} was sent after its end: {late:?}");
         }
     });
 }
 
-/// A refusal would promise that nothing of it has run, also where it comes before any decision.
+/// A refusal would promise that nothing of the request has run, even a refusal before any decision.
 #[test]
 fn an_id_in_use_is_an_error_and_not_a_refusal() {
     run(async {
@@ -221,7 +221,7 @@
         for nth in 0..REQUEST_COUNT {
             let conductor = conductor.clone();
             calls.spawn(async move {
-                // What comes of these is other tests' matter.
+                // Other tests check these answers.
                 let _ = conductor.call(Request { query: query_number(nth, 1), call: () }).await;
             });
         }
@@ -242,7 +242,7 @@
         for nth in 0..REQUEST_COUNT {
             let conductor = conductor.clone();
             calls.spawn(async move {
-                // What comes of it is another test's matter.
+                // Another test checks the answer.
                 let _ = conductor.call(Request { query: query_number(nth, 0), call: () }).await;
             });
         }
@@ -256,7 +256,7 @@
             let late = |at: Instant| at > drained_at + DRAIN_GRACE + TIMING_ALLOWANCE;
             let late: Vec<_> =
                 request_log.sent.iter().filter(|(server, at)| drains(server) && late(*at)).collect();
-            assert!(late.is_empty(), "{id}: {late:?}, told at {drained_at:?}");
+            assert!(late.is_empty(), "{id}: {late:?}, drained at {drained_at:?}");
         }
     });
 }
--- a/core/tests/support/mod.rs
+++ b/core/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of the core share: a list that is told once, a request, and paused time.
+//! Shared helpers for the core's tests: sources of members, a request, and paused time.
 #![allow(dead_code)]
 
 use std::future::Future;
@@ -10,7 +10,7 @@
 use frosttrail_core::{EventStream, MembershipSource, MembershipUpdate, StreamStep};
 use tokio::sync::mpsc;
 
-/// One list, and no news after it.
+/// One list, and no update after it.
 pub struct SingleUpdate(pub Option<MembershipUpdate>);
 
 impl MembershipSource for SingleUpdate {
@@ -22,7 +22,7 @@
     }
 }
 
-/// News as the test tells them.
+/// Updates that the test sends.
 pub struct ChannelSource(pub mpsc::UnboundedReceiver<MembershipUpdate>);
 
 impl MembershipSource for ChannelSource {
@@ -31,7 +31,7 @@
     }
 }
 
-/// An answer that is over as it begins.
+/// An answer that ends as it begins.
 pub struct NoEvents;
 
 impl EventStream for NoEvents {
@@ -40,12 +40,12 @@
     }
 }
 
-/// A line of the list.
+/// An entry of the list.
 pub fn entry(name: &str, kind: usize, health: Health) -> ServerEntry {
     ServerEntry { server: name.into(), rack: 0, kind, zone: 0, started: 0, health }
 }
 
-/// One that may be repeated, and one that may not.
+/// A class whose requests may be repeated, and one whose requests may not.
 pub fn classes() -> [Arc<RequestClass>; 2] {
     let book = RequestClass { name: "book".into(), effect: Effect::Unsafe, ..RequestClass::example() };
     [RequestClass::example(), book].map(Arc::new)
--- a/core/tests/unit/answer_stream.rs
+++ b/core/tests/unit/answer_stream.rs
@@ -1,4 +1,4 @@
-//! A stream and the instructions that cross its events.
+//! A stream, and instructions that arrive while it sends events.
 
 use std::future::poll_fn;
 
@@ -15,22 +15,22 @@
 use crate::permit::SendPermit;
 use crate::release::{ReleaseState, Releaser};
 
-/// A stream holds nothing.
+/// For streams, which have no KV cache to release.
 struct NoReleases;
 
 impl Releaser for NoReleases {
     fn release(&self, _: &Id, _: &Mutex<ReleaseState>) {
-        panic!("nothing is held");
+        panic!("a stream has nothing to release");
     }
 
     fn release_at_end(&self, _: &Id, _: &Mutex<ReleaseState>, _: bool) {
-        panic!("nothing is held");
+        panic!("a stream has nothing to release");
     }
 
     fn record_outcome(&self, _: &Id, _: Outcome, _: Micros) {}
 }
 
-/// Events that lie ready, or come later.
+/// Events that are ready or come later.
 struct ChannelEvents(mpsc::UnboundedReceiver<StreamStep>);
 
 impl EventStream for ChannelEvents {
@@ -95,7 +95,7 @@
     all
 }
 
-/// In whichever order the two came, no event passes once the stream has been given to another.
+/// In whichever order the two came, no event passes once the stream has been moved.
 #[tokio::test(start_paused = true)]
 async fn a_moved_stream_ends_even_if_events_are_ready() {
     for before in [0, 1, 3] {
@@ -113,8 +113,7 @@
     }
 }
 
-/// A final answer that crossed the first event changes nothing, and the move behind it still wakes the
-/// stream.
+/// A final answer that crossed the first event changes nothing, and a move after it still wakes the stream.
 #[tokio::test(start_paused = true)]
 async fn a_late_answer_does_not_hide_a_move() {
     let (mut stream, handles) = stream();
@@ -129,10 +128,10 @@
     handles.instructions.send(instruction(Decision::Move)).unwrap();
     let begin = Instant::now();
     assert_eq!(waits.await.unwrap(), Some(Err(StreamBroken)));
-    assert_eq!(begin.elapsed(), Duration::ZERO, "it was not woken");
+    assert_eq!(begin.elapsed(), Duration::ZERO, "the stream was not woken");
 }
 
-/// The client's own pause is no silence of the server: half an event may lie in its socket.
+/// A pause of the client does not count as silence of the server: half an event may lie in its socket.
 #[tokio::test(start_paused = true)]
 async fn a_client_that_paused_finds_its_stream_alive() {
     for pause in [1, 4, 5, 60] {
--- a/core/tests/unit/command_queue.rs
+++ b/core/tests/unit/command_queue.rs
@@ -1,4 +1,4 @@
-//! The order of commands, and what their sender is told of the wait.
+//! The order of commands, and the wait that senders are told.
 
 use std::sync::atomic::AtomicBool;
 use std::sync::Mutex;
--- a/core/tests/unit/reachability.rs
+++ b/core/tests/unit/reachability.rs
@@ -1,4 +1,4 @@
-//! Tests of what `core/src/reachability.rs` keeps to itself.
+//! Unit tests of the order in which a release calls servers.
 
 use super::*;
 use quickcheck::{Gen, QuickCheck};
@@ -56,8 +56,8 @@
     assert_eq!((order(&reachability, &[]), reachability.listed_count()), (vec!["a1".into(), "b2".into()], 2));
 }
 
-/// Whatever was reports: each server once, none that answered behind one that did not, and of the two first
-/// that answered one in each zone, where there are such.
+/// Whatever was reported, each server comes once, and none that answered comes after a silent one. If
+/// servers of both zones answered, the first two come from different zones.
 #[test]
 fn a_call_order_names_every_server_once() {
     fn holds(reports: Vec<(u8, bool)>) -> bool {
@@ -83,7 +83,7 @@
     QuickCheck::new().rng(gen).tests(400).quickcheck(holds as fn(Vec<(u8, bool)>) -> bool);
 }
 
-/// With thousands of servers as well, a call has servers of all zones to try, and not more than it needs.
+/// With thousands of servers too, a call gets servers of all zones to try, and no more than it needs.
 #[test]
 fn a_large_list_yields_a_few_servers_of_each_zone_and_the_earlier_ones() {
     let mut reachability = Reachability::default();
--- a/core/tests/unit/release.rs
+++ b/core/tests/unit/release.rs
@@ -1,4 +1,4 @@
-//! What one release has learned of servers is of use to the next.
+//! What one release has learned about servers is used by the next.
 
 use frosttrail::{Health, LoadReport};
 
@@ -6,7 +6,7 @@
 use crate::permit::SendPermit;
 use crate::traits::{AttemptReply, EventStream, StreamStep};
 
-/// How long the end of an attempt is on its way.
+/// How long the end of an attempt takes to reach its server.
 const CANCELLATION_DELAY: Duration = Duration::from_millis(30);
 
 /// Servers of which those named `a…` never answer.
@@ -56,12 +56,12 @@
     releaser
 }
 
-/// How long a release takes until a server has taken it.
+/// How long a release takes until a server has accepted it.
 async fn time_release(releaser: &UpstreamReleaser<Servers>, release_state: &Mutex<ReleaseState>) -> Duration {
     let begin = Instant::now();
     releaser.release(&"q".into(), release_state);
     let end = lock(release_state).take_release_end().expect("a release is running");
-    // It resolves as the task drops its end.
+    // Resolves when the task drops its end of the channel.
     let _ = end.await;
     begin.elapsed()
 }
@@ -85,17 +85,17 @@
     let begin = Instant::now();
     let _ = before.await;
     assert!(begin.elapsed() >= Duration::from_millis(400), "aborted before a server had accepted it");
-    // One that covers all is not begun again.
+    // A release that covers all is not started again.
     releaser.release_at_end(&"q".into(), &release_state, false);
     assert_eq!(releaser.tasks().len(), 0);
 }
 
-/// The attempt of a client that leaves ends with its connection, and the release goes over another one: were
-/// it there first, a prefill that ends in between would leave what nobody lets go of any more.
+/// The attempt of a client that leaves ends with its connection, and the release uses another connection.
+/// If it arrived first, a prefill that ends in between would leave KV cache that nobody releases any more.
 #[tokio::test(start_paused = true)]
 async fn a_release_does_not_overtake_the_end_of_a_cancelled_attempt() {
     let releaser = releaser();
-    // Which server answers is known by then.
+    // The server that answers is known after this.
     time_release(&releaser, &Mutex::default()).await;
     for was_cancelled in [true, false] {
         let release_state = Mutex::<ReleaseState>::default();
