--- a/core/tests/slow_decisions.rs
+++ b/core/tests/slow_decisions.rs
@@ -136,7 +136,7 @@
     (conductor, updates)
 }
 
-fn query_number(nth: usize, class: usize) -> Query {
+fn numbered_query(nth: usize, class: usize) -> Query {
     let budget = BUDGET.as_micros() as u64;
     Query { budget, session: format!("s{nth}").as_str().into(), ..query(&format!("q{nth}"), class) }
 }
@@ -156,7 +156,7 @@
             let conductor = conductor.clone();
             calls.spawn(async move {
                 let begin = Instant::now();
-                let answer = conductor.call(Request { query: query_number(nth, nth % 2), call: () }).await;
+                let answer = conductor.call(Request { query: numbered_query(nth, nth % 2), call: () }).await;
                 (nth, matches!(answer, Ok(Answer::Refused { .. })), begin.elapsed())
             });
             sleep(Duration::from_millis(10)).await;
@@ -175,7 +175,7 @@
             let cached_for = request_log.longest_cached;
             assert!(
                 cached_for <= RELEASE_TIMEOUT + RELEASE_SLACK + TIMING_ALLOWANCE,
-                "{id}: held for {cached_for:?}"
+                "{id}: KV cache held for {cached_for:?}"
             );
         }
     });
@@ -191,7 +191,7 @@
         for nth in 0..REQUEST_COUNT {
             let conductor = conductor.clone();
             calls.spawn(async move {
-                let call = conductor.call(Request { query: query_number(nth, 0), call: () });
+                let call = conductor.call(Request { query: numbered_query(nth, 0), call: () });
                 // Every other client leaves.
                 let stays = if nth % 2 == 0 { BUDGET / 5 } else { BUDGET * 2 };
                 let _ = timeout(stays, call).await;
@@ -222,12 +222,12 @@
             let conductor = conductor.clone();
             calls.spawn(async move {
                 // Other tests check these answers.
-                let _ = conductor.call(Request { query: query_number(nth, 1), call: () }).await;
+                let _ = conductor.call(Request { query: numbered_query(nth, 1), call: () }).await;
             });
         }
         sleep(Duration::from_millis(5)).await;
         for nth in [0, REQUEST_COUNT / 2, REQUEST_COUNT - 1] {
-            let again = conductor.call(Request { query: query_number(nth, 1), call: () }).await;
+            let again = conductor.call(Request { query: numbered_query(nth, 1), call: () }).await;
             assert!(matches!(again, Err(CallError::IdInUse)), "q{nth}");
         }
     });
@@ -243,7 +243,7 @@
             let conductor = conductor.clone();
             calls.spawn(async move {
                 // Another test checks the answer.
-                let _ = conductor.call(Request { query: query_number(nth, 0), call: () }).await;
+                let _ = conductor.call(Request { query: numbered_query(nth, 0), call: () }).await;
             });
         }
         sleep(Duration::from_millis(5)).await;
--- a/core/tests/support/mod.rs
+++ b/core/tests/support/mod.rs
@@ -16,7 +16,7 @@
 impl MembershipSource for SingleUpdate {
     async fn next(&mut self) -> Option<MembershipUpdate> {
         match self.0.take() {
-            Some(news) => Some(news),
+            Some(update) => Some(update),
             None => std::future::pending().await,
         }
     }
@@ -47,8 +47,9 @@
 
 /// A class whose requests may be repeated, and one whose requests may not.
 pub fn classes() -> [Arc<RequestClass>; 2] {
-    let book = RequestClass { name: "book".into(), effect: Effect::Unsafe, ..RequestClass::example() };
-    [RequestClass::example(), book].map(Arc::new)
+    let unsafe_class =
+        RequestClass { name: "book".into(), effect: Effect::Unsafe, ..RequestClass::example() };
+    [RequestClass::example(), unsafe_class].map(Arc::new)
 }
 
 /// A request of one of [`classes`].
