--- a/core/src/command_queue.rs
+++ b/core/src/command_queue.rs
@@ -1,5 +1,5 @@
-//! The way to the dispatcher: what has become of open requests goes ahead of new ones, and whoever sends can
-//! tell how long a new one would wait.
+//! The queue to the dispatcher. Commands of open requests go ahead of new requests, and senders can tell
+//! how long a new request would wait.
 
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::sync::Arc;
@@ -11,116 +11,118 @@
 use crate::clock::Clock;
 use crate::command::Command;
 
-/// So many commands of open requests are taken in a row while new ones wait.
-const URGENT_IN_A_ROW: u32 = 64;
-/// Weight of the latest command in what one costs, as one part of so many.
-const COST_PARTS: u64 = 8;
+/// Commands other than new requests that are taken in a row while new requests wait.
+const MAX_URGENT_IN_A_ROW: u32 = 64;
+/// The latest command counts as one part in this many in the moving average of what a command costs.
+const COST_AVERAGE_DIVISOR: u64 = 8;
 
-/// What a command has taken counts for so many times the usual at most, and this many microseconds.
-const OUTLIER_TIMES: u64 = 4;
-const OUTLIER_LEAST: u64 = 1_000;
+/// The measured cost of one command is capped at this multiple of the average, plus the allowance.
+const MAX_COST_MULTIPLE: u64 = 4;
+const COST_ALLOWANCE_US: u64 = 1_000;
 
-/// A command and when it was sent.
 #[derive(Debug)]
-struct Queued {
+struct QueuedCommand {
     command: Command,
-    at: Micros,
+    sent_at: Micros,
 }
 
 /// How far the dispatcher is behind.
 #[derive(Debug, Default)]
 pub(crate) struct Backlog {
     waiting: AtomicUsize,
-    /// Nothing that waits is older.
-    oldest: AtomicU64,
-    /// What a command has cost of late, in microseconds.
-    cost: AtomicU64,
+    /// A lower bound for the send time of all waiting commands.
+    oldest_sent_at: AtomicU64,
+    /// Moving average of the time that one command takes.
+    average_cost_us: AtomicU64,
 }
 
 impl Backlog {
-    fn added(&self, now: Micros) {
+    fn record_sent(&self, now: Micros) {
         if self.waiting.fetch_add(1, Ordering::Relaxed) == 0 {
-            self.oldest.store(now, Ordering::Relaxed);
+            self.oldest_sent_at.store(now, Ordering::Relaxed);
         }
     }
 
-    /// The command in work counts as waiting until it is done.
-    fn done(&self, sent_at: Micros, took: Duration) {
-        let cost = self.cost.load(Ordering::Relaxed);
-        // One command beside which the process was held up says little of the next ones.
-        let took = (took.as_micros() as u64).min(OUTLIER_TIMES * cost + OUTLIER_LEAST);
-        self.cost.store((cost * (COST_PARTS - 1) + took) / COST_PARTS, Ordering::Relaxed);
-        self.oldest.fetch_max(sent_at, Ordering::Relaxed);
+    /// Records that a command has been handled. Until then it counts as waiting.
+    fn record_done(&self, sent_at: Micros, took: Duration) {
+        let average_us = self.average_cost_us.load(Ordering::Relaxed);
+        // A single command during which the process was stalled says little about the next ones.
+        let cost_us = (took.as_micros() as u64).min(MAX_COST_MULTIPLE * average_us + COST_ALLOWANCE_US);
+        self.average_cost_us.store(
+            (average_us * (COST_AVERAGE_DIVISOR - 1) + cost_us) / COST_AVERAGE_DIVISOR,
+            Ordering::Relaxed,
+        );
+        self.oldest_sent_at.fetch_max(sent_at, Ordering::Relaxed);
         self.waiting.fetch_sub(1, Ordering::Relaxed);
     }
 
-    /// How many commands wait.
-    pub(crate) fn waiting(&self) -> usize {
+    /// How many commands wait, the one in progress included.
+    pub(crate) fn waiting_count(&self) -> usize {
         self.waiting.load(Ordering::Relaxed)
     }
 
     /// How long a command that is sent now is likely to wait.
     pub(crate) fn expected_wait(&self) -> Micros {
-        (self.waiting() as u64).saturating_mul(self.cost.load(Ordering::Relaxed))
+        (self.waiting_count() as u64).saturating_mul(self.average_cost_us.load(Ordering::Relaxed))
     }
 
-    /// The age of the oldest command that waits, or of one that was taken just before it.
-    pub(crate) fn age(&self, now: Micros) -> Micros {
-        match self.waiting() {
+    /// The age of the oldest waiting command, or of one that was taken shortly before it.
+    pub(crate) fn oldest_age(&self, now: Micros) -> Micros {
+        match self.waiting_count() {
             0 => 0,
-            _ => now.saturating_sub(self.oldest.load(Ordering::Relaxed)),
+            _ => now.saturating_sub(self.oldest_sent_at.load(Ordering::Relaxed)),
         }
     }
 }
 
-/// Sends commands. The dispatcher runs for as long as there is a sender.
+/// Sends commands. The dispatcher runs for as long as a sender exists.
 #[derive(Clone, Debug)]
 pub(crate) struct CommandSender {
-    urgent: mpsc::UnboundedSender<Queued>,
-    new: mpsc::UnboundedSender<Queued>,
+    urgent: mpsc::UnboundedSender<QueuedCommand>,
+    new: mpsc::UnboundedSender<QueuedCommand>,
     backlog: Arc<Backlog>,
     clock: Clock,
 }
 
-/// Sends commands as long as the dispatcher runs for others.
+/// Sends commands without keeping the dispatcher running.
 #[derive(Clone, Debug)]
 pub(crate) struct WeakCommandSender {
-    urgent: mpsc::WeakUnboundedSender<Queued>,
-    new: mpsc::WeakUnboundedSender<Queued>,
+    urgent: mpsc::WeakUnboundedSender<QueuedCommand>,
+    new: mpsc::WeakUnboundedSender<QueuedCommand>,
     backlog: Arc<Backlog>,
     clock: Clock,
 }
 
-/// The dispatcher's end.
+/// The dispatcher's end of the queue.
 #[derive(Debug)]
 pub(crate) struct CommandReceiver {
-    urgent: mpsc::UnboundedReceiver<Queued>,
-    new: mpsc::UnboundedReceiver<Queued>,
+    urgent: mpsc::UnboundedReceiver<QueuedCommand>,
+    new: mpsc::UnboundedReceiver<QueuedCommand>,
     urgent_in_a_row: u32,
     backlog: Arc<Backlog>,
 }
 
-/// A command that is worked on; its end is noted as it is dropped.
+/// A command that is being handled. It counts as waiting until [`CommandInProgress::finish`].
 #[derive(Debug)]
-pub(crate) struct Taken {
+pub(crate) struct CommandInProgress {
     sent_at: Micros,
     backlog: Arc<Backlog>,
 }
 
-impl Taken {
-    /// When it was sent.
+impl CommandInProgress {
+    /// When the command was sent.
     pub(crate) fn sent_at(&self) -> Micros {
         self.sent_at
     }
 
-    /// It is done, and took so long.
-    pub(crate) fn done(self, took: Duration) {
-        self.backlog.done(self.sent_at, took);
+    /// Records that the command is done and how long it took.
+    pub(crate) fn finish(self, took: Duration) {
+        self.backlog.record_done(self.sent_at, took);
     }
 }
 
-/// A queue that is empty.
-pub(crate) fn commands(clock: Clock) -> (CommandSender, CommandReceiver) {
+/// Creates an empty queue.
+pub(crate) fn command_queue(clock: Clock) -> (CommandSender, CommandReceiver) {
     let (urgent_sender, urgent) = mpsc::unbounded_channel();
     let (new_sender, new) = mpsc::unbounded_channel();
     let backlog = Arc::new(Backlog::default());
@@ -129,13 +131,13 @@
 }
 
 impl CommandSender {
-    /// Sends a command. One that comes after the dispatcher's end is dropped.
+    /// Sends a command. It is dropped if the dispatcher has ended.
     pub(crate) fn send(&self, command: Command) {
-        let at = self.clock.now();
-        self.backlog.added(at);
-        let lane = if matches!(command, Command::Open(_)) { &self.new } else { &self.urgent };
-        // The dispatcher runs for as long as there is a sender, and this is one.
-        let _ = lane.send(Queued { command, at });
+        let sent_at = self.clock.now();
+        self.backlog.record_sent(sent_at);
+        let queue = if matches!(command, Command::Submit(_)) { &self.new } else { &self.urgent };
+        // Can't fail: the dispatcher runs for as long as a sender exists, and this is one.
+        let _ = queue.send(QueuedCommand { command, sent_at });
     }
 
     /// How far the dispatcher is behind.
@@ -150,7 +152,7 @@
 }
 
 impl WeakCommandSender {
-    /// `None` once the dispatcher has no other sender.
+    /// `None` once no other sender exists.
     pub(crate) fn upgrade(&self) -> Option<CommandSender> {
         let (backlog, clock) = (self.backlog.clone(), self.clock);
         Some(CommandSender { urgent: self.urgent.upgrade()?, new: self.new.upgrade()?, backlog, clock })
@@ -163,13 +165,13 @@
         self.backlog.clone()
     }
 
-    /// The next command; `None` once there is no sender. What has become of open requests, news and signals
-    /// go ahead of new requests, but not for ever.
-    pub(crate) async fn recv(&mut self) -> Option<(Command, Taken)> {
-        if self.urgent_in_a_row >= URGENT_IN_A_ROW {
+    /// The next command; `None` once no sender exists. Commands of open requests, list updates and control
+    /// commands go ahead of new requests, but only [`MAX_URGENT_IN_A_ROW`] at a time.
+    pub(crate) async fn recv(&mut self) -> Option<(Command, CommandInProgress)> {
+        if self.urgent_in_a_row >= MAX_URGENT_IN_A_ROW {
             self.urgent_in_a_row = 0;
             if let Ok(queued) = self.new.try_recv() {
-                return Some(self.taken(queued));
+                return Some(self.begin(queued));
             }
         }
         let queued = tokio::select! {
@@ -183,11 +185,11 @@
                 queued
             }
         };
-        Some(self.taken(queued))
+        Some(self.begin(queued))
     }
 
-    fn taken(&self, Queued { command, at }: Queued) -> (Command, Taken) {
-        (command, Taken { sent_at: at, backlog: self.backlog.clone() })
+    fn begin(&self, QueuedCommand { command, sent_at }: QueuedCommand) -> (Command, CommandInProgress) {
+        (command, CommandInProgress { sent_at, backlog: self.backlog.clone() })
     }
 }
 
--- a/core/src/exclusion.rs
+++ b/core/src/exclusion.rs
@@ -1,24 +1,23 @@
-//! Instances that operators have taken out of use: a state beside what discovery says, kept without I/O.
+//! Instances that operators have excluded, kept apart from what discovery reports and without I/O.
 //!
-//! The decisions are told of an excluded instance as one that drains, whatever the list says of it. One that
-//! is put back counts as started at that moment unless the list names a later start: operators restart an
-//! instance while it is out, and discovery may tell of the start seconds after.
+//! The decisions see an excluded instance as a draining one, whatever the list says of it. An instance that
+//! is included again counts as started at that moment, unless the list names a later start: operators
+//! restart an instance while it is excluded, and discovery may report the restart seconds later.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use frosttrail::{Health, Id, ListUpdateKind, Micros, ServerEntry};
 
-/// So many instances may be excluded at a time.
-const EXCLUDED_MAX: usize = 4_096;
+const MAX_EXCLUDED: usize = 4_096;
 
-/// Why an instance can't be taken out or put back.
+/// Why an instance can't be excluded or included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ExclusionError {
-    /// No instance of that id is listed or excluded.
+    /// No instance with this id is listed or excluded.
     #[error("no such instance; take the id from discovery's list")]
     Unknown,
-    /// The bound on excluded instances is reached.
-    #[error("{EXCLUDED_MAX} instances are excluded; include some that have gone")]
+    /// The limit on excluded instances is reached.
+    #[error("{MAX_EXCLUDED} instances are excluded; include some that have gone")]
     TooMany,
 }
 
@@ -27,52 +26,57 @@
 pub struct Exclusions {
     listed: BTreeMap<Id, ServerEntry>,
     excluded: BTreeSet<Id>,
-    /// When an instance was put back, for as long as it counts as started then.
-    included: BTreeMap<Id, Micros>,
-    /// How long an instance takes to warm up.
-    warm_within: Micros,
+    /// When an instance was included again, for as long as that counts as its start.
+    included_at: BTreeMap<Id, Micros>,
+    /// How long an instance is in slow start.
+    slow_start_duration: Micros,
 }
 
 impl Exclusions {
-    /// Nothing is listed yet; these are excluded from before.
-    pub fn new(excluded: impl IntoIterator<Item = Id>, warm_within: Micros) -> Self {
-        let excluded = excluded.into_iter().take(EXCLUDED_MAX).collect();
-        Exclusions { excluded, warm_within, ..Exclusions::default() }
+    /// Starts with an empty list and the instances that were excluded before.
+    pub fn new(excluded: impl IntoIterator<Item = Id>, slow_start_duration: Micros) -> Self {
+        let excluded = excluded.into_iter().take(MAX_EXCLUDED).collect();
+        Exclusions { excluded, slow_start_duration, ..Exclusions::default() }
     }
 
-    /// Instances that were put back a while ago and still count as started then, and how long ago that was.
-    pub fn included_before(&self, now: Micros) -> Vec<(Id, Micros)> {
-        self.included.iter().map(|(id, at)| (id.clone(), now.saturating_sub(*at))).collect()
+    /// Instances whose inclusion still counts as their start, and how long ago each was included.
+    pub fn inclusion_ages(&self, now: Micros) -> Vec<(Id, Micros)> {
+        self.included_at.iter().map(|(id, at)| (id.clone(), now.saturating_sub(*at))).collect()
     }
 
-    /// The same as another process has it.
-    pub fn set_included_before(&mut self, now: Micros, included: Vec<(Id, Micros)>) {
-        let at = included.into_iter().map(|(id, before)| (id, now.saturating_sub(before)));
-        self.included.extend(at.take(EXCLUDED_MAX));
+    /// Takes over the inclusions of another process, with their ages as of `now`.
+    pub fn restore_inclusions(&mut self, now: Micros, included: Vec<(Id, Micros)>) {
+        let included_at = included.into_iter().map(|(id, age)| (id, now.saturating_sub(age)));
+        self.included_at.extend(included_at.take(MAX_EXCLUDED));
     }
 
-    /// Makes the excluded instances these, and gives those that changed: whatever another process was told.
-    pub fn replace(&mut self, now: Micros, excluded: BTreeSet<Id>) -> Vec<Id> {
+    /// Replaces the excluded instances by those of another process, and returns the ones that changed.
+    pub fn replace_excluded(&mut self, now: Micros, excluded: BTreeSet<Id>) -> Vec<Id> {
         let changed: Vec<Id> = self.excluded.symmetric_difference(&excluded).cloned().collect();
         for id in &changed {
             match excluded.contains(id) {
-                true => self.included.remove(id),
-                false => self.included.insert(id.clone(), now),
+                true => self.included_at.remove(id),
+                false => self.included_at.insert(id.clone(), now),
             };
         }
         self.excluded = excluded;
         changed
     }
 
-    /// How long an instance takes to warm up, as new settings say.
-    pub fn set_warm_within(&mut self, warm_within: Micros) {
-        self.warm_within = warm_within;
+    /// Sets how long an instance is in slow start, from new settings.
+    pub fn set_slow_start_duration(&mut self, slow_start_duration: Micros) {
+        self.slow_start_duration = slow_start_duration;
     }
 
-    /// News of the list; gives the entries as the decisions should have them.
-    pub fn news(&mut self, now: Micros, form: ListUpdateKind, entries: &[ServerEntry]) -> Vec<ServerEntry> {
-        self.included.retain(|_, at| now < *at + self.warm_within);
-        if matches!(form, ListUpdateKind::Full | ListUpdateKind::StaleCopy) {
+    /// Applies an update of the list, and returns its entries as the decisions should see them.
+    pub fn apply_update(
+        &mut self,
+        now: Micros,
+        kind: ListUpdateKind,
+        entries: &[ServerEntry],
+    ) -> Vec<ServerEntry> {
+        self.included_at.retain(|_, at| now < *at + self.slow_start_duration);
+        if matches!(kind, ListUpdateKind::Full | ListUpdateKind::StaleCopy) {
             self.listed.clear();
         }
         for entry in entries {
@@ -81,40 +85,40 @@
                 Health::Up | Health::Draining => self.listed.insert(entry.server.clone(), entry.clone()),
             };
         }
-        entries.iter().map(|entry| self.effective(entry)).collect()
+        entries.iter().map(|entry| self.apply_overrides(entry)).collect()
     }
 
-    /// Takes an instance out.
+    /// Excludes an instance.
     pub fn exclude(&mut self, id: &Id) -> Result<(), ExclusionError> {
         self.check_known(id)?;
-        if !self.excluded.contains(id) && self.excluded.len() >= EXCLUDED_MAX {
+        if !self.excluded.contains(id) && self.excluded.len() >= MAX_EXCLUDED {
             return Err(ExclusionError::TooMany);
         }
         self.excluded.insert(id.clone());
-        self.included.remove(id);
+        self.included_at.remove(id);
         Ok(())
     }
 
-    /// Puts an instance back; one that is not out stays as it is.
+    /// Includes an instance again; one that is not excluded stays as it is.
     pub fn include(&mut self, now: Micros, id: &Id) -> Result<(), ExclusionError> {
         self.check_known(id)?;
         if self.excluded.remove(id) {
-            self.included.insert(id.clone(), now);
+            self.included_at.insert(id.clone(), now);
         }
         Ok(())
     }
 
-    /// A listed instance as the decisions should have it.
-    pub fn entry(&self, id: &Id) -> Option<ServerEntry> {
-        self.listed.get(id).map(|entry| self.effective(entry))
+    /// A listed instance as the decisions should see it.
+    pub fn effective_entry(&self, id: &Id) -> Option<ServerEntry> {
+        self.listed.get(id).map(|entry| self.apply_overrides(entry))
     }
 
-    /// Whether an instance is excluded.
+    /// Whether operators have excluded an instance.
     pub fn is_excluded(&self, id: &Id) -> bool {
         self.excluded.contains(id)
     }
 
-    /// Fails for an id that is neither listed nor excluded.
+    /// Returns an error for an id that is neither listed nor excluded.
     pub fn check_known(&self, id: &Id) -> Result<(), ExclusionError> {
         match self.listed.contains_key(id) || self.excluded.contains(id) {
             true => Ok(()),
@@ -122,13 +126,13 @@
         }
     }
 
-    fn effective(&self, entry: &ServerEntry) -> ServerEntry {
+    fn apply_overrides(&self, entry: &ServerEntry) -> ServerEntry {
         let mut entry = entry.clone();
         if entry.health == Health::Up && self.excluded.contains(&entry.server) {
             entry.health = Health::Draining;
         }
-        if let Some(included) = self.included.get(&entry.server) {
-            entry.started = entry.started.max(*included);
+        if let Some(included_at) = self.included_at.get(&entry.server) {
+            entry.started = entry.started.max(*included_at);
         }
         entry
     }
--- a/core/tests/support/mod.rs
+++ b/core/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of the core share: a list that is told once, a request, and paused time.
+//! Shared helpers for the core's tests: sources of members, a request, and paused time.
 #![allow(dead_code)]
 
 use std::future::Future;
@@ -10,28 +10,28 @@
 use frosttrail_core::{EventStream, MembershipSource, MembershipUpdate, StreamStep};
 use tokio::sync::mpsc;
 
-/// One list, and no news after it.
-pub struct Fixed(pub Option<MembershipUpdate>);
+/// One list, and no update after it.
+pub struct SingleUpdate(pub Option<MembershipUpdate>);
 
-impl MembershipSource for Fixed {
+impl MembershipSource for SingleUpdate {
     async fn next(&mut self) -> Option<MembershipUpdate> {
         match self.0.take() {
-            Some(news) => Some(news),
+            Some(update) => Some(update),
             None => std::future::pending().await,
         }
     }
 }
 
-/// News as the test tells them.
-pub struct Told(pub mpsc::UnboundedReceiver<MembershipUpdate>);
+/// Updates that the test sends.
+pub struct ChannelSource(pub mpsc::UnboundedReceiver<MembershipUpdate>);
 
-impl MembershipSource for Told {
+impl MembershipSource for ChannelSource {
     async fn next(&mut self) -> Option<MembershipUpdate> {
         self.0.recv().await
     }
 }
 
-/// An answer that is over as it begins.
+/// An answer that ends as it begins.
 pub struct NoEvents;
 
 impl EventStream for NoEvents {
@@ -40,15 +40,16 @@
     }
 }
 
-/// A line of the list.
+/// An entry of the list.
 pub fn entry(name: &str, kind: usize, health: Health) -> ServerEntry {
     ServerEntry { server: name.into(), rack: 0, kind, zone: 0, started: 0, health }
 }
 
-/// One that may be repeated, and one that may not.
+/// A class whose requests may be repeated, and one whose requests may not.
 pub fn classes() -> [Arc<RequestClass>; 2] {
-    let book = RequestClass { name: "book".into(), effect: Effect::Unsafe, ..RequestClass::example() };
-    [RequestClass::example(), book].map(Arc::new)
+    let unsafe_class =
+        RequestClass { name: "book".into(), effect: Effect::Unsafe, ..RequestClass::example() };
+    [RequestClass::example(), unsafe_class].map(Arc::new)
 }
 
 /// A request of one of [`classes`].
@@ -68,7 +69,7 @@
     }
 }
 
-pub fn paused<T>(test: impl Future<Output = T>) -> T {
+pub fn run_paused<T>(test: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
     runtime.unwrap().block_on(test)
 }
