--- a/membership/src/gossip.rs
+++ b/membership/src/gossip.rs
@@ -1,6 +1,6 @@
 //! Discovery of instances by SWIM gossip, on a library (foca) that uses no sockets either. It does not affect
-//! quota shares: it shows operators which instances run, and tells instances each other's roles
-//! and addresses.
+//! quota shares: it shows operators which instances run, and tells instances each other's roles and
+//! addresses.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
