--- a/transfer/benches/transfer.rs
+++ b/transfer/benches/transfer.rs
@@ -160,7 +160,7 @@
     });
     println!("checksums by themselves, one core, MiB/s: CRC32C {crc:.0}");
     for chunk in [4 << 10, 16 << 10, 64 << 10, 256 << 10, 1 << 20] {
-        let rate = time(&|| drop(std::hint::black_box(Proof::of(&state, chunk).unwrap())));
+        let rate = time(&|| drop(std::hint::black_box(Proof::compute(&state, chunk).unwrap())));
         println!("  BLAKE3 tree, chunks of {} KiB: {rate:.0}", chunk >> 10);
     }
 }
--- a/transfer/src/cause.rs
+++ b/transfer/src/cause.rs
@@ -6,13 +6,13 @@
 pub enum Cause {
     /// No such state here: never read, freed, or read by an earlier process.
     #[error("no such state here")]
-    Gone = 1,
+    NotFound = 1,
     /// Another taker has come for it since.
     #[error("a later taker has come for it")]
     Superseded = 2,
     /// It has been handed over to another taker.
     #[error("it belongs to another taker")]
-    Taken = 3,
+    OwnedElsewhere = 3,
     /// Released by whoever conducts the request.
     #[error("released")]
     Released = 4,
@@ -30,13 +30,13 @@
     Expired = 8,
     /// The other end was not heard of for too long.
     #[error("the other end was not heard of")]
-    Lost = 9,
+    PeerLost = 9,
     /// The taker no longer wants it.
     #[error("no longer wanted")]
     Unwanted = 10,
     /// No room for another state or move.
     #[error("no room")]
-    Full = 11,
+    NoCapacity = 11,
     /// A state of that name is already here.
     #[error("a state of that name is already here")]
     Duplicate = 12,
@@ -47,9 +47,19 @@
     pub fn from_wire(number: u8) -> Option<Self> {
         use Cause::*;
         let all = [
-            Gone, Superseded, Taken, Released, Drained, Corrupt, TooLarge, Expired, Lost, Unwanted, Full,
+            NotFound,
+            Superseded,
+            OwnedElsewhere,
+            Released,
+            Drained,
+            Corrupt,
+            TooLarge,
+            Expired,
+            PeerLost,
+            Unwanted,
+            NoCapacity,
             Duplicate,
         ];
-        all.into_iter().find(|c| *c as u8 == number)
+        all.into_iter().find(|cause| *cause as u8 == number)
     }
 }
--- a/transfer/src/lib.rs
+++ b/transfer/src/lib.rs
@@ -25,10 +25,10 @@
 pub type Incarnation = u64;
 
 /// Names a connection within this process; never used twice.
-pub type Conn = u64;
+pub type ConnectionId = u64;
 
 /// Names one taker's move within the taker's process; never used twice.
-pub type Token = u64;
+pub type TransferToken = u64;
 
 /// How long things may last, in microseconds. Both ends of a link should be set alike.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/transfer/src/memory.rs
+++ b/transfer/src/memory.rs
@@ -3,73 +3,74 @@
 
 use std::collections::BTreeMap;
 
-use crate::{Micros, Token};
+use crate::{Micros, TransferToken};
 
 /// What became of a wish for room.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Room {
+pub enum Reservation {
     /// It is there, and set aside.
-    Now,
+    Granted,
     /// It comes once others have ended.
-    Later,
+    Queued,
     /// There will never be so much.
-    Never,
+    Impossible,
 }
 
 /// Memory for states, in bytes.
 #[derive(Debug)]
-pub struct Memory {
-    most: u64,
-    used: u64,
-    waiting: BTreeMap<(Micros, Token), u64>,
+pub struct MemoryBudget {
+    max_bytes: u64,
+    reserved_bytes: u64,
+    queue: BTreeMap<(Micros, TransferToken), u64>,
 }
 
-impl Memory {
+impl MemoryBudget {
     /// So much in all.
-    pub fn new(most: u64) -> Self {
-        Memory { most, used: 0, waiting: BTreeMap::new() }
+    pub fn new(max_bytes: u64) -> Self {
+        MemoryBudget { max_bytes, reserved_bytes: 0, queue: BTreeMap::new() }
     }
 
-    /// Wants room by `due`. Those due first get it first, then those that came first; a smaller one does
+    /// Wants room by `deadline`. Those due first get it first, then those that came first; a smaller one does
     /// not pass a larger one, which might wait for ever.
-    pub fn want(&mut self, token: Token, bytes: u64, due: Micros) -> Room {
-        if bytes > self.most {
-            return Room::Never;
+    pub fn reserve(&mut self, token: TransferToken, bytes: u64, deadline: Micros) -> Reservation {
+        if bytes > self.max_bytes {
+            return Reservation::Impossible;
         }
-        let first = self.waiting.first_key_value().is_none_or(|(k, _)| (due, token) < *k);
-        if first && self.used + bytes <= self.most {
-            self.used += bytes;
-            return Room::Now;
+        let is_first = self.queue.first_key_value().is_none_or(|(key, _)| (deadline, token) < *key);
+        if is_first && self.reserved_bytes + bytes <= self.max_bytes {
+            self.reserved_bytes += bytes;
+            return Reservation::Granted;
         }
-        self.waiting.insert((due, token), bytes);
-        Room::Later
+        self.queue.insert((deadline, token), bytes);
+        Reservation::Queued
     }
 
     /// No longer waits.
-    pub fn leave(&mut self, token: Token, due: Micros) {
-        self.waiting.remove(&(due, token));
+    pub fn cancel(&mut self, token: TransferToken, deadline: Micros) {
+        self.queue.remove(&(deadline, token));
     }
 
     /// So much is free again.
-    pub fn give_back(&mut self, bytes: u64) {
-        self.used -= bytes;
+    pub fn release(&mut self, bytes: u64) {
+        self.reserved_bytes -= bytes;
     }
 
     /// The next one that waited and has its room now.
-    pub fn admit(&mut self) -> Option<Token> {
-        let first = self.waiting.first_entry().filter(|e| self.used + e.get() <= self.most)?;
+    pub fn admit_next(&mut self) -> Option<TransferToken> {
+        let first =
+            self.queue.first_entry().filter(|entry| self.reserved_bytes + entry.get() <= self.max_bytes)?;
         let (_, token) = *first.key();
-        self.used += first.remove();
+        self.reserved_bytes += first.remove();
         Some(token)
     }
 
     /// Bytes set aside.
-    pub fn used(&self) -> u64 {
-        self.used
+    pub fn reserved_bytes(&self) -> u64 {
+        self.reserved_bytes
     }
 
     /// How many wait.
-    pub fn waiting(&self) -> usize {
-        self.waiting.len()
+    pub fn queued_count(&self) -> usize {
+        self.queue.len()
     }
 }
--- a/transfer/src/receiver.rs
+++ b/transfer/src/receiver.rs
@@ -9,14 +9,14 @@
 use roaring::RoaringBitmap;
 
 use crate::cause::Cause;
-use crate::memory::{Memory, Room};
+use crate::memory::{MemoryBudget, Reservation};
 use crate::proof::Proof;
-use crate::sender::Fault;
+use crate::sender::ProtocolError;
 use crate::wire::{Frame, Offer, RequestId, Want};
-use crate::{Conn, Micros, Timeouts, Token};
+use crate::{ConnectionId, Micros, Timeouts, TransferToken};
 
 /// Names a holder that can be connected to; the shell knows its address.
-pub type Route = u64;
+pub type RouteId = u64;
 
 /// Limits of a taker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -47,26 +47,27 @@
 
 /// What is to be done.
 #[derive(Debug)]
-pub enum Out {
+pub enum Action {
     /// Say this.
-    Say(Conn, Frame),
+    Send(ConnectionId, Frame),
     /// See to a connection there; it is wanted until no move needs it.
-    Connect(Route),
-    /// Prove this chunk and tell with [`Receiver::proved`].
-    Prove(Chunk),
-    /// The state is here and is this process's own. Its memory is given back with [`Receiver::give_back`].
-    Done(Token, RequestId, State),
+    Connect(RouteId),
+    /// Prove this chunk and tell with [`Receiver::handle_verification`].
+    VerifyChunk(ReceivedChunk),
+    /// The state is here and is this process's own. Its memory is given back with
+    /// [`Receiver::release_memory`].
+    Completed(TransferToken, RequestId, KvCache),
     /// It will not come.
-    Failed(Token, Cause),
+    Failed(TransferToken, Cause),
 }
 
 /// A chunk that has come and is to be proven.
 #[derive(Debug)]
-pub struct Chunk {
+pub struct ReceivedChunk {
     /// Where it came from.
-    pub conn: Conn,
+    pub conn: ConnectionId,
     /// Which move.
-    pub token: Token,
+    pub token: TransferToken,
     /// Which chunk.
     pub index: u32,
     /// Its bytes.
@@ -77,7 +78,7 @@
 
 /// A whole state, in chunks.
 #[derive(Clone, Debug)]
-pub struct State {
+pub struct KvCache {
     /// The chunks in their order.
     pub chunks: Vec<Bytes>,
     /// Bytes in all.
@@ -88,51 +89,51 @@
 
 /// A move whose chunks come.
 #[derive(Debug)]
-struct Parts {
+struct PartialCache {
     chunks: Vec<Bytes>,
     /// Proven and kept.
-    have: RoaringBitmap,
+    verified: RoaringBitmap,
     /// With whoever proves.
-    proving: RoaringBitmap,
+    verifying: RoaringBitmap,
     /// Asked for on this connection and not yet come.
-    asked: RoaringBitmap,
-    tries: HashMap<u32, u8>,
+    requested: RoaringBitmap,
+    failed_attempts: HashMap<u32, u8>,
 }
 
 #[derive(Debug)]
 enum Stage {
     /// No offer yet.
-    Sought,
+    AwaitingOffer,
     /// Offered; waits for memory.
-    Waits,
+    AwaitingMemory,
     /// Chunks come.
-    Moves(Parts),
+    Receiving(PartialCache),
     /// All is here and proven; the holder's word is missing.
-    Whole(Vec<Bytes>),
+    AwaitingGrant(Vec<Bytes>),
 }
 
 #[derive(Debug)]
 struct Fetch {
     id: RequestId,
-    route: Route,
-    conn: Option<Conn>,
-    due: Option<Micros>,
+    route: RouteId,
+    conn: Option<ConnectionId>,
+    deadline: Option<Micros>,
     /// When the holder was last heard of, or the fetch began.
-    contact: Micros,
+    last_contact: Micros,
     /// The last moment, by the holder's limit or ours.
-    end: Micros,
+    expires_at: Micros,
     offer: Option<Offer>,
-    cuts: u8,
+    connection_losses: u8,
     stage: Stage,
 }
 
 #[derive(Debug)]
 struct Peer {
-    route: Option<Route>,
-    heard: Micros,
+    route: Option<RouteId>,
+    last_activity: Micros,
     /// Bytes that may still come before more credit is given.
-    may_come: u64,
-    moves: Vec<Token>,
+    remaining_window_bytes: u64,
+    transfers: Vec<TransferToken>,
 }
 
 /// The taker's side of a process.
@@ -140,11 +141,11 @@
 pub struct Receiver {
     timeouts: Timeouts,
     limits: Limits,
-    memory: Memory,
-    fetches: BTreeMap<Token, Fetch>,
-    peers: HashMap<Conn, Peer>,
-    serial: Token,
-    out: VecDeque<Out>,
+    memory: MemoryBudget,
+    fetches: BTreeMap<TransferToken, Fetch>,
+    peers: HashMap<ConnectionId, Peer>,
+    last_token: TransferToken,
+    actions: VecDeque<Action>,
 }
 
 impl Receiver {
@@ -153,11 +154,11 @@
         Receiver {
             timeouts,
             limits,
-            memory: Memory::new(limits.max_memory_bytes),
+            memory: MemoryBudget::new(limits.max_memory_bytes),
             fetches: BTreeMap::new(),
             peers: HashMap::new(),
-            serial: 0,
-            out: VecDeque::new(),
+            last_token: 0,
+            actions: VecDeque::new(),
         }
     }
 
@@ -166,172 +167,192 @@
         &mut self,
         now: Micros,
         id: RequestId,
-        route: Route,
-        due: Option<Micros>,
-    ) -> Result<Token, Cause> {
+        route: RouteId,
+        deadline: Option<Micros>,
+    ) -> Result<TransferToken, Cause> {
         if self.fetches.len() >= self.limits.max_transfers {
-            return Err(Cause::Full);
+            return Err(Cause::NoCapacity);
         }
-        self.serial += 1;
-        let token = self.serial;
-        let conn = self.peers.iter().find(|(_, p)| p.route == Some(route)).map(|(conn, _)| *conn);
+        self.last_token += 1;
+        let token = self.last_token;
+        let conn = self.peers.iter().find(|(_, peer)| peer.route == Some(route)).map(|(conn, _)| *conn);
         let fetch = Fetch {
             id,
             route,
             conn: None,
-            due,
-            contact: now,
-            end: now + self.timeouts.transfer_timeout,
+            deadline,
+            last_contact: now,
+            expires_at: now + self.timeouts.transfer_timeout,
             offer: None,
-            cuts: 0,
-            stage: Stage::Sought,
+            connection_losses: 0,
+            stage: Stage::AwaitingOffer,
         };
         self.fetches.insert(token, fetch);
         match conn {
-            Some(conn) => self.attach(now, token, conn),
-            None => self.out.push_back(Out::Connect(route)),
+            Some(conn) => self.send_want(now, token, conn),
+            None => self.actions.push_back(Action::Connect(route)),
         }
         Ok(token)
     }
 
     /// The greeting's window.
-    pub fn window(&self) -> u32 {
+    pub fn window_bytes(&self) -> u32 {
         self.limits.window_bytes
     }
 
     /// A connection is there, greetings exchanged. `route`: whose it is, where it was opened from here.
-    pub fn up(&mut self, now: Micros, conn: Conn, route: Option<Route>) {
-        let may_come = u64::from(self.limits.window_bytes);
-        self.peers.insert(conn, Peer { route, heard: now, may_come, moves: Vec::new() });
+    pub fn add_connection(&mut self, now: Micros, conn: ConnectionId, route: Option<RouteId>) {
+        let remaining_window_bytes = u64::from(self.limits.window_bytes);
+        self.peers
+            .insert(conn, Peer { route, last_activity: now, remaining_window_bytes, transfers: Vec::new() });
         let Some(route) = route else { return };
-        let waiting = self.fetches.iter().filter(|(_, f)| f.route == route && f.conn.is_none());
-        let waiting: Vec<Token> = waiting.map(|(token, _)| *token).collect();
+        let waiting = self.fetches.iter().filter(|(_, fetch)| fetch.route == route && fetch.conn.is_none());
+        let waiting: Vec<TransferToken> = waiting.map(|(token, _)| *token).collect();
         for token in waiting {
-            self.attach(now, token, conn);
+            self.send_want(now, token, conn);
         }
     }
 
-    fn attach(&mut self, now: Micros, token: Token, conn: Conn) {
+    fn send_want(&mut self, now: Micros, token: TransferToken, conn: ConnectionId) {
         let (Some(fetch), Some(peer)) = (self.fetches.get_mut(&token), self.peers.get_mut(&conn)) else {
             return;
         };
         fetch.conn = Some(conn);
-        peer.moves.push(token);
-        let resume = fetch.offer.as_ref().map_or(0, |o| o.incarnation);
+        peer.transfers.push(token);
+        let resume_incarnation = fetch.offer.as_ref().map_or(0, |offer| offer.incarnation);
         // At least a millisecond: 0 would mean no certain time.
-        let due_ms = fetch.due.map_or(0, |due| (due.saturating_sub(now) / 1_000).max(1));
-        let due_ms = u32::try_from(due_ms).unwrap_or(u32::MAX);
-        let want = Want { token, id: fetch.id.clone(), due_ms, resume };
-        self.out.push_back(Out::Say(conn, Frame::Want(want)));
+        let deadline_ms = fetch.deadline.map_or(0, |deadline| (deadline.saturating_sub(now) / 1_000).max(1));
+        let deadline_ms = u32::try_from(deadline_ms).unwrap_or(u32::MAX);
+        let want = Want { token, id: fetch.id.clone(), deadline_ms, resume_incarnation };
+        self.actions.push_back(Action::Send(conn, Frame::Want(want)));
     }
 
     /// Something came on a connection.
-    pub fn heard(&mut self, now: Micros, conn: Conn) {
+    pub fn record_activity(&mut self, now: Micros, conn: ConnectionId) {
         if let Some(peer) = self.peers.get_mut(&conn) {
-            peer.heard = now;
+            peer.last_activity = now;
         }
     }
 
     /// A connection is gone. Its moves go on over the next one, if there is one in time.
-    pub fn down(&mut self, conn: Conn) {
+    pub fn remove_connection(&mut self, conn: ConnectionId) {
         let Some(peer) = self.peers.remove(&conn) else { return };
-        let mut hopeless = Vec::new();
-        for token in peer.moves {
+        let mut failed = Vec::new();
+        for token in peer.transfers {
             let Some(fetch) = self.fetches.get_mut(&token) else { continue };
             fetch.conn = None;
-            fetch.contact = peer.heard;
-            fetch.cuts += 1;
-            if let Stage::Moves(parts) = &mut fetch.stage {
-                parts.asked.clear();
+            fetch.last_contact = peer.last_activity;
+            fetch.connection_losses += 1;
+            if let Stage::Receiving(partial) = &mut fetch.stage {
+                partial.requested.clear();
             }
-            if fetch.cuts > self.limits.max_connection_losses {
-                hopeless.push(token);
+            if fetch.connection_losses > self.limits.max_connection_losses {
+                failed.push(token);
             } else {
-                self.out.push_back(Out::Connect(fetch.route));
+                self.actions.push_back(Action::Connect(fetch.route));
             }
         }
-        for token in hopeless {
-            self.fail(token, Cause::Lost);
+        for token in failed {
+            self.fail(token, Cause::PeerLost);
         }
     }
 
     /// The holder has it.
-    pub fn offer(&mut self, now: Micros, conn: Conn, offer: Offer) {
+    pub fn handle_offer(&mut self, now: Micros, conn: ConnectionId, offer: Offer) {
         let token = offer.token;
-        let Some(fetch) = self.attached(conn, token) else { return };
-        let shape = offer.proof.shape();
-        let before = fetch.offer.as_ref();
-        if before.is_some_and(|b| b.proof != offer.proof || b.incarnation != offer.incarnation) {
+        let Some(fetch) = self.fetch_on(conn, token) else { return };
+        let layout = offer.proof.layout();
+        let earlier = fetch.offer.as_ref();
+        if earlier
+            .is_some_and(|earlier| earlier.proof != offer.proof || earlier.incarnation != offer.incarnation)
+        {
             // Not the state that began to move: what is here of that one is of no use.
-            self.end(token, Cause::Gone);
+            self.give_up(token, Cause::NotFound);
             return;
         }
-        fetch.end = fetch.end.min(now + Micros::from(offer.limit_ms) * 1_000);
+        fetch.expires_at = fetch.expires_at.min(now + Micros::from(offer.limit_ms) * 1_000);
         fetch.offer = Some(offer);
-        let due = fetch.due.unwrap_or(Micros::MAX);
+        let deadline = fetch.deadline.unwrap_or(Micros::MAX);
         match fetch.stage {
-            Stage::Sought => {
-                fetch.stage = Stage::Waits;
-                let fits = u64::from(shape.chunk()) * 2 <= u64::from(self.limits.window_bytes);
-                match self.memory.want(token, shape.length(), due) {
-                    Room::Now if fits => self.begin(token),
-                    Room::Now => {
-                        self.memory.give_back(shape.length());
-                        self.end(token, Cause::TooLarge);
+            Stage::AwaitingOffer => {
+                fetch.stage = Stage::AwaitingMemory;
+                let fits_window = u64::from(layout.chunk_bytes()) * 2 <= u64::from(self.limits.window_bytes);
+                match self.memory.reserve(token, layout.length(), deadline) {
+                    Reservation::Granted if fits_window => self.start_receiving(token),
+                    Reservation::Granted => {
+                        self.memory.release(layout.length());
+                        self.give_up(token, Cause::TooLarge);
                     }
-                    Room::Later => {}
-                    Room::Never => self.end(token, Cause::TooLarge),
+                    Reservation::Queued => {}
+                    Reservation::Impossible => self.give_up(token, Cause::TooLarge),
                 }
             }
-            Stage::Waits => {}
-            Stage::Moves(_) => self.ask(token),
+            Stage::AwaitingMemory => {}
+            Stage::Receiving(_) => self.request_missing(token),
             // The holder has not heard that all of it is here.
-            Stage::Whole(_) => self.out.push_back(Out::Say(conn, Frame::Complete(token))),
+            Stage::AwaitingGrant(_) => self.actions.push_back(Action::Send(conn, Frame::Complete(token))),
         }
     }
 
-    fn begin(&mut self, token: Token) {
+    fn start_receiving(&mut self, token: TransferToken) {
         let Some(fetch) = self.fetches.get_mut(&token) else { return };
         let Some(offer) = &fetch.offer else { return };
-        fetch.stage = Stage::Moves(Parts {
-            chunks: vec![Bytes::new(); offer.proof.shape().chunks() as usize],
-            have: RoaringBitmap::new(),
-            proving: RoaringBitmap::new(),
-            asked: RoaringBitmap::new(),
-            tries: HashMap::new(),
+        fetch.stage = Stage::Receiving(PartialCache {
+            chunks: vec![Bytes::new(); offer.proof.layout().chunk_count() as usize],
+            verified: RoaringBitmap::new(),
+            verifying: RoaringBitmap::new(),
+            requested: RoaringBitmap::new(),
+            failed_attempts: HashMap::new(),
         });
-        self.ask(token);
+        self.request_missing(token);
     }
 
     /// Asks for all that is missing and not on its way.
-    fn ask(&mut self, token: Token) {
+    fn request_missing(&mut self, token: TransferToken) {
         let Some(fetch) = self.fetches.get_mut(&token) else { return };
-        let (Some(conn), Some(offer), Stage::Moves(parts)) = (fetch.conn, &fetch.offer, &mut fetch.stage)
+        let (Some(conn), Some(offer), Stage::Receiving(partial)) =
+            (fetch.conn, &fetch.offer, &mut fetch.stage)
         else {
             return;
         };
         let mut missing = RoaringBitmap::new();
-        missing.insert_range(0..offer.proof.shape().chunks());
-        missing -= &parts.have;
-        missing -= &parts.proving;
-        missing -= &parts.asked;
+        missing.insert_range(0..offer.proof.layout().chunk_count());
+        missing -= &partial.verified;
+        missing -= &partial.verifying;
+        missing -= &partial.requested;
         let ranges = ranges(&missing);
         if !ranges.is_empty() {
-            parts.asked |= missing;
-            self.out.push_back(Out::Say(conn, Frame::Ask(token, ranges)));
+            partial.requested |= missing;
+            self.actions.push_back(Action::Send(conn, Frame::Ask(token, ranges)));
         }
     }
 
     /// A chunk has come.
-    pub fn chunk(&mut self, conn: Conn, token: Token, index: u32, data: Bytes) -> Result<(), Fault> {
+    pub fn handle_chunk(
+        &mut self,
+        conn: ConnectionId,
+        token: TransferToken,
+        index: u32,
+        data: Bytes,
+    ) -> Result<(), ProtocolError> {
         let Some(peer) = self.peers.get_mut(&conn) else { return Ok(()) };
-        peer.may_come = peer.may_come.checked_sub(data.len() as u64).ok_or(Fault::Credit)?;
-        if let Some(Fetch { stage: Stage::Moves(parts), offer: Some(offer), .. }) = self.attached(conn, token)
+        peer.remaining_window_bytes = peer
+            .remaining_window_bytes
+            .checked_sub(data.len() as u64)
+            .ok_or(ProtocolError::WindowExceeded)?;
+        if let Some(Fetch { stage: Stage::Receiving(partial), offer: Some(offer), .. }) =
+            self.fetch_on(conn, token)
         {
-            if parts.asked.remove(index) {
-                parts.proving.insert(index);
+            if partial.requested.remove(index) {
+                partial.verifying.insert(index);
                 let proof = offer.proof.clone();
-                self.out.push_back(Out::Prove(Chunk { conn, token, index, data, proof }));
+                self.actions.push_back(Action::VerifyChunk(ReceivedChunk {
+                    conn,
+                    token,
+                    index,
+                    data,
+                    proof,
+                }));
                 return Ok(());
             }
         }
@@ -340,175 +361,187 @@
         Ok(())
     }
 
-    fn give_credit(&mut self, conn: Conn, bytes: usize) {
+    fn give_credit(&mut self, conn: ConnectionId, bytes: usize) {
         if let Some(peer) = self.peers.get_mut(&conn) {
-            peer.may_come += bytes as u64;
-            self.out.push_back(Out::Say(conn, Frame::Credit(bytes as u32)));
+            peer.remaining_window_bytes += bytes as u64;
+            self.actions.push_back(Action::Send(conn, Frame::Credit(bytes as u32)));
         }
     }
 
     /// Whether a chunk is what it should be.
-    pub fn proved(&mut self, chunk: Chunk, good: bool) {
-        let Chunk { conn, token, index, data, .. } = chunk;
+    pub fn handle_verification(&mut self, chunk: ReceivedChunk, is_valid: bool) {
+        let ReceivedChunk { conn, token, index, data, .. } = chunk;
         self.give_credit(conn, data.len());
-        let Some(Fetch { stage: Stage::Moves(parts), cuts, conn, .. }) = self.fetches.get_mut(&token) else {
+        let Some(Fetch { stage: Stage::Receiving(partial), connection_losses, conn, .. }) =
+            self.fetches.get_mut(&token)
+        else {
             return;
         };
-        parts.proving.remove(index);
-        if !good {
-            let tries = parts.tries.entry(index).or_default();
-            *tries += 1;
-            if *tries >= self.limits.max_chunk_attempts {
-                self.end(token, Cause::Corrupt);
+        partial.verifying.remove(index);
+        if !is_valid {
+            let failed_attempts = partial.failed_attempts.entry(index).or_default();
+            *failed_attempts += 1;
+            if *failed_attempts >= self.limits.max_chunk_attempts {
+                self.give_up(token, Cause::Corrupt);
             } else {
-                self.ask(token);
+                self.request_missing(token);
             }
             return;
         }
-        *cuts = 0;
-        parts.have.insert(index);
-        if let Some(slot) = parts.chunks.get_mut(index as usize) {
+        *connection_losses = 0;
+        partial.verified.insert(index);
+        if let Some(slot) = partial.chunks.get_mut(index as usize) {
             *slot = data;
         }
-        if parts.have.len() == parts.chunks.len() as u64 {
-            let (chunks, conn) = (std::mem::take(&mut parts.chunks), *conn);
+        if partial.verified.len() == partial.chunks.len() as u64 {
+            let (chunks, conn) = (std::mem::take(&mut partial.chunks), *conn);
             if let Some(fetch) = self.fetches.get_mut(&token) {
-                fetch.stage = Stage::Whole(chunks);
+                fetch.stage = Stage::AwaitingGrant(chunks);
             }
             if let Some(conn) = conn {
-                self.out.push_back(Out::Say(conn, Frame::Complete(token)));
+                self.actions.push_back(Action::Send(conn, Frame::Complete(token)));
             }
         }
     }
 
     /// The holder's word that the state is this process's.
-    pub fn grant(&mut self, conn: Conn, token: Token) {
-        if self.attached(conn, token).is_none_or(|f| !matches!(f.stage, Stage::Whole(_))) {
+    pub fn handle_grant(&mut self, conn: ConnectionId, token: TransferToken) {
+        if self.fetch_on(conn, token).is_none_or(|fetch| !matches!(fetch.stage, Stage::AwaitingGrant(_))) {
             return;
         }
-        if let Some(Fetch { id, stage: Stage::Whole(chunks), offer: Some(offer), .. }) = self.take(token) {
+        if let Some(Fetch { id, stage: Stage::AwaitingGrant(chunks), offer: Some(offer), .. }) =
+            self.remove_fetch(token)
+        {
             let Offer { proof, .. } = offer;
-            let length = proof.shape().length();
-            self.out.push_back(Out::Done(token, id, State { chunks, length, proof }));
+            let length = proof.layout().length();
+            self.actions.push_back(Action::Completed(token, id, KvCache { chunks, length, proof }));
         }
     }
 
     /// The holder has ended the move.
-    pub fn abort(&mut self, conn: Conn, token: Token, cause: Cause) {
-        if self.attached(conn, token).is_some() {
+    pub fn handle_abort(&mut self, conn: ConnectionId, token: TransferToken, cause: Cause) {
+        if self.fetch_on(conn, token).is_some() {
             self.fail(token, cause);
         }
     }
 
     /// Nobody here wants it any more.
-    pub fn unwanted(&mut self, token: Token) {
-        self.end(token, Cause::Unwanted);
+    pub fn cancel(&mut self, token: TransferToken) {
+        self.give_up(token, Cause::Unwanted);
     }
 
     /// Lets go of all moves for the request, and passes the word on to their holders.
     pub fn release(&mut self, id: &RequestId) {
-        let of = self.fetches.iter().filter(|(_, f)| f.id == *id);
-        let of: Vec<(Token, Option<Conn>)> = of.map(|(token, f)| (*token, f.conn)).collect();
-        for (token, conn) in of {
+        let matching = self.fetches.iter().filter(|(_, fetch)| fetch.id == *id);
+        let matching: Vec<(TransferToken, Option<ConnectionId>)> =
+            matching.map(|(token, fetch)| (*token, fetch.conn)).collect();
+        for (token, conn) in matching {
             if let Some(conn) = conn {
-                self.out.push_back(Out::Say(conn, Frame::Release(id.clone())));
+                self.actions.push_back(Action::Send(conn, Frame::Release(id.clone())));
             }
             self.fail(token, Cause::Released);
         }
     }
 
     /// A state that was handed out has been dropped.
-    pub fn give_back(&mut self, bytes: u64) {
-        self.memory.give_back(bytes);
-        self.admit();
+    pub fn release_memory(&mut self, bytes: u64) {
+        self.memory.release(bytes);
+        self.start_admitted();
     }
 
     /// Ends what is out of time. Returns when to call again, if anything is left.
-    pub fn tick(&mut self, now: Micros) -> Option<Micros> {
-        let hold = self.timeouts.hold_ttl;
-        let ends = |f: &Fetch| if f.conn.is_some() { f.end } else { f.end.min(f.contact + hold) };
-        let late = self.fetches.iter().filter(|(_, f)| ends(f) <= now);
-        let late: Vec<(Token, bool)> = late.map(|(token, f)| (*token, f.end <= now)).collect();
-        for (token, expired) in late {
-            self.end(token, if expired { Cause::Expired } else { Cause::Lost });
+    pub fn expire(&mut self, now: Micros) -> Option<Micros> {
+        let hold_ttl = self.timeouts.hold_ttl;
+        let expires_at = |fetch: &Fetch| {
+            if fetch.conn.is_some() {
+                fetch.expires_at
+            } else {
+                fetch.expires_at.min(fetch.last_contact + hold_ttl)
+            }
+        };
+        let expired = self.fetches.iter().filter(|(_, fetch)| expires_at(fetch) <= now);
+        let expired: Vec<(TransferToken, bool)> =
+            expired.map(|(token, fetch)| (*token, fetch.expires_at <= now)).collect();
+        for (token, is_expired) in expired {
+            self.give_up(token, if is_expired { Cause::Expired } else { Cause::PeerLost });
         }
-        self.fetches.values().map(ends).min()
+        self.fetches.values().map(expires_at).min()
     }
 
-    fn attached(&mut self, conn: Conn, token: Token) -> Option<&mut Fetch> {
-        self.fetches.get_mut(&token).filter(|f| f.conn == Some(conn))
+    fn fetch_on(&mut self, conn: ConnectionId, token: TransferToken) -> Option<&mut Fetch> {
+        self.fetches.get_mut(&token).filter(|fetch| fetch.conn == Some(conn))
     }
 
     /// Ends a move from here: its holder is told.
-    fn end(&mut self, token: Token, cause: Cause) {
-        if let Some(conn) = self.fetches.get(&token).and_then(|f| f.conn) {
-            self.out.push_back(Out::Say(conn, Frame::GiveUp(token, cause)));
+    fn give_up(&mut self, token: TransferToken, cause: Cause) {
+        if let Some(conn) = self.fetches.get(&token).and_then(|fetch| fetch.conn) {
+            self.actions.push_back(Action::Send(conn, Frame::GiveUp(token, cause)));
         }
         self.fail(token, cause);
     }
 
-    fn fail(&mut self, token: Token, cause: Cause) {
-        let Some(fetch) = self.take(token) else { return };
-        let length = fetch.offer.map_or(0, |o| o.proof.shape().length());
+    fn fail(&mut self, token: TransferToken, cause: Cause) {
+        let Some(fetch) = self.remove_fetch(token) else { return };
+        let length = fetch.offer.map_or(0, |offer| offer.proof.layout().length());
         match fetch.stage {
-            Stage::Sought => {}
-            Stage::Waits => self.memory.leave(token, fetch.due.unwrap_or(Micros::MAX)),
-            Stage::Moves(_) | Stage::Whole(_) => self.memory.give_back(length),
+            Stage::AwaitingOffer => {}
+            Stage::AwaitingMemory => self.memory.cancel(token, fetch.deadline.unwrap_or(Micros::MAX)),
+            Stage::Receiving(_) | Stage::AwaitingGrant(_) => self.memory.release(length),
         }
-        self.out.push_back(Out::Failed(token, cause));
-        self.admit();
+        self.actions.push_back(Action::Failed(token, cause));
+        self.start_admitted();
     }
 
-    fn take(&mut self, token: Token) -> Option<Fetch> {
+    fn remove_fetch(&mut self, token: TransferToken) -> Option<Fetch> {
         let fetch = self.fetches.remove(&token)?;
         if let Some(peer) = fetch.conn.and_then(|conn| self.peers.get_mut(&conn)) {
-            peer.moves.retain(|t| *t != token);
+            peer.transfers.retain(|other| *other != token);
         }
         Some(fetch)
     }
 
-    fn admit(&mut self) {
-        while let Some(token) = self.memory.admit() {
-            self.begin(token);
+    fn start_admitted(&mut self) {
+        while let Some(token) = self.memory.admit_next() {
+            self.start_receiving(token);
         }
     }
 
     /// What is to be done next.
-    pub fn poll(&mut self) -> Option<Out> {
-        self.out.pop_front()
+    pub fn next_action(&mut self) -> Option<Action> {
+        self.actions.pop_front()
     }
 
     /// Whether moves are under way on a connection.
-    pub fn busy(&self, conn: Conn) -> bool {
-        self.peers.get(&conn).is_some_and(|p| !p.moves.is_empty())
+    pub fn has_transfers(&self, conn: ConnectionId) -> bool {
+        self.peers.get(&conn).is_some_and(|peer| !peer.transfers.is_empty())
     }
 
     /// Whether moves need the route.
-    pub fn needs(&self, route: Route) -> bool {
-        self.fetches.values().any(|f| f.route == route)
+    pub fn needs_route(&self, route: RouteId) -> bool {
+        self.fetches.values().any(|fetch| fetch.route == route)
     }
 
     /// Whether a move for the request is under way.
-    pub fn seeks(&self, id: &RequestId) -> bool {
-        self.fetches.values().any(|f| f.id == *id)
+    pub fn is_fetching(&self, id: &RequestId) -> bool {
+        self.fetches.values().any(|fetch| fetch.id == *id)
     }
 
     /// Each move under way: whose, bytes that are here and proven, bytes in all once they are known.
     pub fn progress(&self) -> impl Iterator<Item = (&RequestId, u64, Option<u64>)> {
-        self.fetches.values().map(|f| {
-            let shape = f.offer.as_ref().map(|o| o.proof.shape());
-            let here = match (&f.stage, shape) {
-                (Stage::Moves(parts), _) => parts.chunks.iter().map(|c| c.len() as u64).sum(),
-                (Stage::Whole(_), Some(shape)) => shape.length(),
+        self.fetches.values().map(|fetch| {
+            let layout = fetch.offer.as_ref().map(|offer| offer.proof.layout());
+            let received_bytes = match (&fetch.stage, layout) {
+                (Stage::Receiving(partial), _) => partial.chunks.iter().map(|chunk| chunk.len() as u64).sum(),
+                (Stage::AwaitingGrant(_), Some(layout)) => layout.length(),
                 _ => 0,
             };
-            (&f.id, here, shape.map(|s| s.length()))
+            (&fetch.id, received_bytes, layout.map(|layout| layout.length()))
         })
     }
 
     /// Moves under way, how many of them wait for memory, and bytes set aside.
-    pub fn moves(&self) -> (usize, usize, u64) {
-        (self.fetches.len(), self.memory.waiting(), self.memory.used())
+    pub fn usage(&self) -> (usize, usize, u64) {
+        (self.fetches.len(), self.memory.queued_count(), self.memory.reserved_bytes())
     }
 }
 
--- a/transfer/src/sender.rs
+++ b/transfer/src/sender.rs
@@ -8,11 +8,11 @@
 use roaring::RoaringBitmap;
 
 use crate::cause::Cause;
-use crate::lease::{Claim, Lease, Taker};
-use crate::link::{Flow, Link};
+use crate::lease::{ClaimOutcome, Claimant, Lease};
+use crate::link::{FlowId, LinkScheduler};
 use crate::proof::Proof;
 use crate::wire::{Frame, Hello, Offer, RequestId, Want};
-use crate::{Conn, Incarnation, Micros, Timeouts, Token};
+use crate::{ConnectionId, Incarnation, Micros, Timeouts, TransferToken};
 
 /// Limits of a holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -40,56 +40,56 @@
 
 /// What the other end may not do. Its connection ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Fault {
+pub enum ProtocolError {
     /// A name of a move that is in use.
     #[error("it names two moves alike")]
-    Token,
+    DuplicateToken,
     /// Chunks that the state does not have.
     #[error("it asks for chunks that do not exist")]
-    Range,
+    InvalidRange,
     /// More than was allowed to come.
     #[error("it sends more than it was allowed to")]
-    Credit,
+    WindowExceeded,
 }
 
 /// What is to be done.
 #[derive(Debug)]
-pub enum Out {
+pub enum Action {
     /// Say this.
-    Say(Conn, Frame),
+    Send(ConnectionId, Frame),
     /// A state has gone from here for this reason. Where nobody else has it, its prompt must be read anew.
     Freed(RequestId, Cause),
     /// A state has gone from here as its taker owns it.
-    Given(RequestId),
+    HandedOver(RequestId),
 }
 
 /// A read that has begun. What it brings is freed at once if it is released meanwhile.
 #[derive(Debug, PartialEq, Eq, Hash, Clone, Copy, PartialOrd, Ord)]
-pub struct Ticket(u64);
+pub struct PrefillId(u64);
 
 #[derive(Debug)]
-struct Held {
+struct HeldCache {
     chunks: Vec<Bytes>,
     proof: Arc<Proof>,
     lease: Lease,
-    moving: Option<Flow>,
+    flow: Option<FlowId>,
     /// Released while a taker was at it: it goes once that gives it up.
-    released: bool,
+    is_released: bool,
 }
 
 #[derive(Debug)]
-struct Move {
+struct Transfer {
     id: RequestId,
-    taker: Taker,
-    conn: Conn,
-    todo: RoaringBitmap,
+    claimant: Claimant,
+    conn: ConnectionId,
+    pending_chunks: RoaringBitmap,
 }
 
 #[derive(Debug)]
 struct Peer {
-    process: Incarnation,
-    heard: Micros,
-    moves: BTreeMap<Token, Flow>,
+    incarnation: Incarnation,
+    last_activity: Micros,
+    transfers: BTreeMap<TransferToken, FlowId>,
 }
 
 /// The holder's side of a process.
@@ -97,350 +97,379 @@
 pub struct Sender {
     timeouts: Timeouts,
     limits: Limits,
-    process: Incarnation,
-    reading: BTreeMap<Ticket, RequestId>,
-    states: HashMap<RequestId, Held>,
-    bytes: u64,
-    peers: HashMap<Conn, Peer>,
-    moves: HashMap<Flow, Move>,
-    link: Link,
-    drained: Option<Micros>,
-    serial: u64,
-    out: VecDeque<Out>,
+    incarnation: Incarnation,
+    prefills: BTreeMap<PrefillId, RequestId>,
+    caches: HashMap<RequestId, HeldCache>,
+    held_bytes: u64,
+    peers: HashMap<ConnectionId, Peer>,
+    transfers: HashMap<FlowId, Transfer>,
+    scheduler: LinkScheduler,
+    drain_deadline: Option<Micros>,
+    last_id: u64,
+    actions: VecDeque<Action>,
 }
 
 impl Sender {
     /// A holder with nothing in it.
-    pub fn new(process: Incarnation, timeouts: Timeouts, limits: Limits) -> Self {
+    pub fn new(incarnation: Incarnation, timeouts: Timeouts, limits: Limits) -> Self {
         Sender {
             timeouts,
             limits,
-            process,
-            reading: BTreeMap::new(),
-            states: HashMap::new(),
-            bytes: 0,
+            incarnation,
+            prefills: BTreeMap::new(),
+            caches: HashMap::new(),
+            held_bytes: 0,
             peers: HashMap::new(),
-            moves: HashMap::new(),
-            link: Link::new(limits.max_in_flight_bytes),
-            drained: None,
-            serial: 0,
-            out: VecDeque::new(),
+            transfers: HashMap::new(),
+            scheduler: LinkScheduler::new(limits.max_in_flight_bytes),
+            drain_deadline: None,
+            last_id: 0,
+            actions: VecDeque::new(),
         }
     }
 
-    fn serial(&mut self) -> u64 {
-        self.serial += 1;
-        self.serial
+    fn next_id(&mut self) -> u64 {
+        self.last_id += 1;
+        self.last_id
     }
 
     /// A read begins here. None does after a drain.
-    pub fn begin(&mut self, id: RequestId) -> Result<Ticket, Cause> {
-        if self.drained.is_some() {
+    pub fn begin_prefill(&mut self, id: RequestId) -> Result<PrefillId, Cause> {
+        if self.drain_deadline.is_some() {
             return Err(Cause::Drained);
         }
-        if self.reading.len() >= self.limits.max_caches {
-            return Err(Cause::Full);
+        if self.prefills.len() >= self.limits.max_caches {
+            return Err(Cause::NoCapacity);
         }
-        let ticket = Ticket(self.serial());
-        self.reading.insert(ticket, id);
-        Ok(ticket)
+        let prefill = PrefillId(self.next_id());
+        self.prefills.insert(prefill, id);
+        Ok(prefill)
     }
 
     /// The read was given up.
-    pub fn cancel(&mut self, ticket: Ticket) {
-        self.reading.remove(&ticket);
+    pub fn cancel_prefill(&mut self, prefill: PrefillId) {
+        self.prefills.remove(&prefill);
     }
 
     /// The read has brought a state. It takes the place of an older one of the same request, of which this
     /// read shows that it is no longer of use.
-    pub fn put(&mut self, now: Micros, ticket: Ticket, state: Bytes, proof: Arc<Proof>) -> Result<(), Cause> {
-        let id = self.reading.remove(&ticket).ok_or(Cause::Released)?;
-        let shape = proof.shape();
-        let cut = |index: u32| {
-            let start = index as usize * shape.chunk() as usize;
-            state.slice(start..start + shape.len_of(index) as usize)
+    pub fn store_prefill(
+        &mut self,
+        now: Micros,
+        prefill: PrefillId,
+        cache: Bytes,
+        proof: Arc<Proof>,
+    ) -> Result<(), Cause> {
+        let id = self.prefills.remove(&prefill).ok_or(Cause::Released)?;
+        let layout = proof.layout();
+        let chunk_at = |index: u32| {
+            let start = index as usize * layout.chunk_bytes() as usize;
+            cache.slice(start..start + layout.chunk_length(index) as usize)
         };
-        self.hold(now, id, (0..shape.chunks()).map(cut).collect(), proof)
+        self.store(now, id, (0..layout.chunk_count()).map(chunk_at).collect(), proof)
     }
 
     /// Holds a state that has come from elsewhere, whole and proven.
-    pub fn hold(
+    pub fn store(
         &mut self,
         now: Micros,
         id: RequestId,
         chunks: Vec<Bytes>,
         proof: Arc<Proof>,
     ) -> Result<(), Cause> {
-        if self.drained.is_some() {
+        if self.drain_deadline.is_some() {
             return Err(Cause::Drained);
         }
         self.free(&id, Cause::Superseded);
-        let bytes = proof.shape().length();
-        if !self.room(bytes) {
-            return Err(Cause::Full);
+        let bytes = proof.layout().length();
+        if !self.has_room(bytes) {
+            return Err(Cause::NoCapacity);
         }
-        self.bytes += bytes;
-        self.states.insert(id, Held { chunks, proof, lease: Lease::new(now), moving: None, released: false });
+        self.held_bytes += bytes;
+        self.caches
+            .insert(id, HeldCache { chunks, proof, lease: Lease::new(now), flow: None, is_released: false });
         Ok(())
     }
 
     /// Whether one more state of so many bytes may be held.
-    pub fn room(&self, bytes: u64) -> bool {
-        self.states.len() < self.limits.max_caches && self.bytes + bytes <= self.limits.max_bytes
+    pub fn has_room(&self, bytes: u64) -> bool {
+        self.caches.len() < self.limits.max_caches && self.held_bytes + bytes <= self.limits.max_bytes
     }
 
     /// A connection is there, greetings exchanged.
-    pub fn up(&mut self, now: Micros, conn: Conn, hello: Hello) {
-        let peer = Peer { process: hello.incarnation, heard: now, moves: BTreeMap::new() };
+    pub fn add_connection(&mut self, now: Micros, conn: ConnectionId, hello: Hello) {
+        let peer = Peer { incarnation: hello.incarnation, last_activity: now, transfers: BTreeMap::new() };
         self.peers.insert(conn, peer);
-        self.link.up(conn, u64::from(hello.window));
-        if let Some(end) = self.drained {
-            self.out.push_back(Out::Say(conn, Frame::Drain(millis(end.saturating_sub(now)))));
+        self.scheduler.add_peer(conn, u64::from(hello.window_bytes));
+        if let Some(end) = self.drain_deadline {
+            self.actions.push_back(Action::Send(conn, Frame::Drain(millis(end.saturating_sub(now)))));
         }
     }
 
     /// Something came on a connection.
-    pub fn heard(&mut self, now: Micros, conn: Conn) {
+    pub fn record_activity(&mut self, now: Micros, conn: ConnectionId) {
         if let Some(peer) = self.peers.get_mut(&conn) {
-            peer.heard = now;
+            peer.last_activity = now;
         }
     }
 
     /// A connection is gone. Its moves wait for their takers to come back.
-    pub fn down(&mut self, conn: Conn) {
+    pub fn remove_connection(&mut self, conn: ConnectionId) {
         let Some(peer) = self.peers.remove(&conn) else { return };
-        self.link.down(conn);
-        for flow in peer.moves.into_values() {
-            let Some(moving) = self.moves.remove(&flow) else { continue };
-            if let Some(held) = self.states.get_mut(&moving.id) {
-                held.lease.cut(moving.taker, peer.heard);
-                held.moving = None;
+        self.scheduler.remove_peer(conn);
+        for flow in peer.transfers.into_values() {
+            let Some(transfer) = self.transfers.remove(&flow) else { continue };
+            if let Some(held) = self.caches.get_mut(&transfer.id) {
+                held.lease.disconnect(transfer.claimant, peer.last_activity);
+                held.flow = None;
             }
         }
     }
 
     /// A taker comes for a state, for the first time or back after a cut.
-    pub fn want(&mut self, now: Micros, conn: Conn, want: Want) -> Result<(), Fault> {
+    pub fn handle_want(&mut self, now: Micros, conn: ConnectionId, want: Want) -> Result<(), ProtocolError> {
         let Some(peer) = self.peers.get(&conn) else { return Ok(()) };
-        let Want { token, id, due_ms, resume } = want;
-        if peer.moves.contains_key(&token) {
-            return Err(Fault::Token);
+        let Want { token, id, deadline_ms, resume_incarnation } = want;
+        if peer.transfers.contains_key(&token) {
+            return Err(ProtocolError::DuplicateToken);
         }
-        let full = peer.moves.len() >= self.limits.max_transfers_per_connection;
-        let taker = Taker { process: peer.process, token };
-        let claim = match self.states.get_mut(&id) {
-            _ if resume != 0 && resume != self.process => Err(Cause::Gone),
-            None if self.drained.is_some() => Err(Cause::Drained),
-            None => Err(Cause::Gone),
-            Some(_) if full => Err(Cause::Full),
-            Some(held) => held.lease.claim(now, taker, resume != 0),
+        let is_full = peer.transfers.len() >= self.limits.max_transfers_per_connection;
+        let claimant = Claimant { incarnation: peer.incarnation, token };
+        let claim = match self.caches.get_mut(&id) {
+            _ if resume_incarnation != 0 && resume_incarnation != self.incarnation => Err(Cause::NotFound),
+            None if self.drain_deadline.is_some() => Err(Cause::Drained),
+            None => Err(Cause::NotFound),
+            Some(_) if is_full => Err(Cause::NoCapacity),
+            Some(held) => held.lease.claim(now, claimant, resume_incarnation != 0),
         };
         let frame = match claim {
             Err(cause) => Frame::Abort(token, cause),
-            Ok(Claim::Owner) => Frame::Grant(token),
-            Ok(Claim::New { .. } | Claim::Again) => {
-                let due = (due_ms > 0).then(|| now + Micros::from(due_ms) * 1_000);
+            Ok(ClaimOutcome::AlreadyOwner) => Frame::Grant(token),
+            Ok(ClaimOutcome::New { .. } | ClaimOutcome::Unchanged) => {
+                let deadline = (deadline_ms > 0).then(|| now + Micros::from(deadline_ms) * 1_000);
                 return {
-                    self.take_up(now, conn, taker, id, due);
+                    self.start_transfer(now, conn, claimant, id, deadline);
                     Ok(())
                 };
             }
         };
-        self.out.push_back(Out::Say(conn, frame));
+        self.actions.push_back(Action::Send(conn, frame));
         Ok(())
     }
 
-    fn take_up(&mut self, now: Micros, conn: Conn, taker: Taker, id: RequestId, due: Option<Micros>) {
-        let flow = self.serial();
-        let Some(held) = self.states.get_mut(&id) else { return };
-        let before = held.moving.replace(flow);
-        let (proof, ends) = (held.proof.clone(), held.lease.ends(&self.timeouts));
-        if let Some(old) = before.and_then(|f| self.end_move(f)) {
-            // Where it is the same taker, on a connection that is not yet known to have gone, it has heard.
-            if old.taker != taker {
-                let frame = Frame::Abort(old.taker.token, Cause::Superseded);
-                self.out.push_back(Out::Say(old.conn, frame));
+    fn start_transfer(
+        &mut self,
+        now: Micros,
+        conn: ConnectionId,
+        claimant: Claimant,
+        id: RequestId,
+        deadline: Option<Micros>,
+    ) {
+        let flow = self.next_id();
+        let Some(held) = self.caches.get_mut(&id) else { return };
+        let previous_flow = held.flow.replace(flow);
+        let (proof, expires_at) = (held.proof.clone(), held.lease.expires_at(&self.timeouts));
+        if let Some(old) = previous_flow.and_then(|flow| self.end_transfer(flow)) {
+            // The same claimant, back on another connection, knows already.
+            if old.claimant != claimant {
+                let frame = Frame::Abort(old.claimant.token, Cause::Superseded);
+                self.actions.push_back(Action::Send(old.conn, frame));
             }
         }
-        let limit_ms = millis(ends.min(self.drained.unwrap_or(Micros::MAX)).saturating_sub(now));
-        let offer = Offer { token: taker.token, incarnation: self.process, limit_ms, proof };
-        self.out.push_back(Out::Say(conn, Frame::Offer(offer)));
-        self.link.add(flow, conn, due);
-        self.moves.insert(flow, Move { id, taker, conn, todo: RoaringBitmap::new() });
+        let limit_ms = millis(expires_at.min(self.drain_deadline.unwrap_or(Micros::MAX)).saturating_sub(now));
+        let offer = Offer { token: claimant.token, incarnation: self.incarnation, limit_ms, proof };
+        self.actions.push_back(Action::Send(conn, Frame::Offer(offer)));
+        self.scheduler.add_flow(flow, conn, deadline);
+        self.transfers.insert(flow, Transfer { id, claimant, conn, pending_chunks: RoaringBitmap::new() });
         if let Some(peer) = self.peers.get_mut(&conn) {
-            peer.moves.insert(taker.token, flow);
+            peer.transfers.insert(claimant.token, flow);
         }
     }
 
-    fn end_move(&mut self, flow: Flow) -> Option<Move> {
-        let moving = self.moves.remove(&flow)?;
-        self.link.remove(flow);
-        if let Some(peer) = self.peers.get_mut(&moving.conn) {
-            peer.moves.remove(&moving.taker.token);
+    fn end_transfer(&mut self, flow: FlowId) -> Option<Transfer> {
+        let transfer = self.transfers.remove(&flow)?;
+        self.scheduler.remove_flow(flow);
+        if let Some(peer) = self.peers.get_mut(&transfer.conn) {
+            peer.transfers.remove(&transfer.claimant.token);
         }
-        Some(moving)
+        Some(transfer)
     }
 
     /// The taker has room for these chunks and wants them.
-    pub fn ask(&mut self, conn: Conn, token: Token, ranges: &[std::ops::Range<u32>]) -> Result<(), Fault> {
-        let Some((flow, moving)) = self.moving(conn, token) else { return Ok(()) };
-        let id = moving.id.clone();
-        let Some(shape) = self.states.get(&id).map(|h| h.proof.shape()) else { return Ok(()) };
-        if ranges.iter().any(|r| r.start >= r.end || r.end > shape.chunks()) {
-            return Err(Fault::Range);
+    pub fn handle_ask(
+        &mut self,
+        conn: ConnectionId,
+        token: TransferToken,
+        ranges: &[std::ops::Range<u32>],
+    ) -> Result<(), ProtocolError> {
+        let Some((flow, transfer)) = self.transfer_on(conn, token) else { return Ok(()) };
+        let id = transfer.id.clone();
+        let Some(layout) = self.caches.get(&id).map(|held| held.proof.layout()) else { return Ok(()) };
+        if ranges.iter().any(|range| range.start >= range.end || range.end > layout.chunk_count()) {
+            return Err(ProtocolError::InvalidRange);
         }
-        if let Some(moving) = self.moves.get_mut(&flow) {
+        if let Some(transfer) = self.transfers.get_mut(&flow) {
             for range in ranges {
-                moving.todo.insert_range(range.clone());
+                transfer.pending_chunks.insert_range(range.clone());
             }
-            self.link.ready(flow, moving.todo.min().map_or(0, |i| shape.len_of(i)));
+            self.scheduler.set_next_chunk(
+                flow,
+                transfer.pending_chunks.min().map_or(0, |index| layout.chunk_length(index)),
+            );
         }
         Ok(())
     }
 
     /// The taker has dealt with so many bytes of chunks.
-    pub fn credit(&mut self, conn: Conn, bytes: u32) {
-        self.link.credit(conn, u64::from(bytes));
+    pub fn handle_credit(&mut self, conn: ConnectionId, bytes: u32) {
+        self.scheduler.add_credit(conn, u64::from(bytes));
     }
 
     /// The taker has the whole, proven. The copy here goes.
-    pub fn complete(&mut self, now: Micros, conn: Conn, token: Token) {
-        let Some((flow, moving)) = self.moving(conn, token) else { return };
-        let (id, taker) = (moving.id.clone(), moving.taker);
-        let given = match self.states.get_mut(&id) {
-            Some(held) => held.lease.give(now, taker),
-            None => Err(Cause::Gone),
+    pub fn handle_complete(&mut self, now: Micros, conn: ConnectionId, token: TransferToken) {
+        let Some((flow, transfer)) = self.transfer_on(conn, token) else { return };
+        let (id, claimant) = (transfer.id.clone(), transfer.claimant);
+        let handed_over = match self.caches.get_mut(&id) {
+            Some(held) => held.lease.hand_over(now, claimant),
+            None => Err(Cause::NotFound),
         };
-        self.end_move(flow);
-        let frame = match given {
+        self.end_transfer(flow);
+        let frame = match handed_over {
             Ok(()) => {
-                if let Some(held) = self.states.get_mut(&id) {
-                    held.moving = None;
+                if let Some(held) = self.caches.get_mut(&id) {
+                    held.flow = None;
                     held.chunks = Vec::new();
-                    self.bytes -= held.proof.shape().length();
+                    self.held_bytes -= held.proof.layout().length();
                 }
-                self.out.push_back(Out::Given(id));
+                self.actions.push_back(Action::HandedOver(id));
                 Frame::Grant(token)
             }
             Err(cause) => Frame::Abort(token, cause),
         };
-        self.out.push_back(Out::Say(conn, frame));
+        self.actions.push_back(Action::Send(conn, frame));
     }
 
     /// The taker has given the move up. The state waits for another, unless it can't be proven anywhere.
-    pub fn abort(&mut self, now: Micros, conn: Conn, token: Token, cause: Cause) {
-        let Some((flow, _)) = self.moving(conn, token) else { return };
-        let Some(moving) = self.end_move(flow) else { return };
-        if let Some(held) = self.states.get_mut(&moving.id) {
-            held.moving = None;
-            held.lease.let_go(now, moving.taker);
+    pub fn handle_give_up(&mut self, now: Micros, conn: ConnectionId, token: TransferToken, cause: Cause) {
+        let Some((flow, _)) = self.transfer_on(conn, token) else { return };
+        let Some(transfer) = self.end_transfer(flow) else { return };
+        if let Some(held) = self.caches.get_mut(&transfer.id) {
+            held.flow = None;
+            held.lease.unclaim(now, transfer.claimant);
         }
-        let released = self.states.get(&moving.id).is_some_and(|held| held.released);
+        let released = self.caches.get(&transfer.id).is_some_and(|held| held.is_released);
         if cause == Cause::Corrupt {
-            self.free(&moving.id, cause);
+            self.free(&transfer.id, cause);
         } else if released {
-            self.free(&moving.id, Cause::Released);
+            self.free(&transfer.id, Cause::Released);
         }
     }
 
-    fn moving(&self, conn: Conn, token: Token) -> Option<(Flow, &Move)> {
-        let flow = *self.peers.get(&conn)?.moves.get(&token)?;
-        Some((flow, self.moves.get(&flow)?))
+    fn transfer_on(&self, conn: ConnectionId, token: TransferToken) -> Option<(FlowId, &Transfer)> {
+        let flow = *self.peers.get(&conn)?.transfers.get(&token)?;
+        Some((flow, self.transfers.get(&flow)?))
     }
 
     /// Lets go of all that is held for the request, and of what a read that is under way will bring.
     pub fn release(&mut self, id: &RequestId) {
-        self.reading.retain(|_, reading| reading != id);
+        self.prefills.retain(|_, reading| reading != id);
         self.free(id, Cause::Released);
     }
 
     /// Lets go of what is held for the request and no attempt waits for: a read that is under way goes on,
     /// and a state that a taker is at goes once that gives it up. A taker that asks for it on its own
     /// connection, `by`, gives it up with that.
-    pub fn release_unclaimed(&mut self, id: &RequestId, by: Option<Conn>) {
-        let Some(held) = self.states.get_mut(id) else { return };
-        let taken_by = held.moving.and_then(|flow| self.moves.get(&flow)).map(|moving| moving.conn);
-        if held.lease.is_claimed() && (by.is_none() || taken_by != by) {
-            held.released = true;
+    pub fn release_unclaimed(&mut self, id: &RequestId, by: Option<ConnectionId>) {
+        let Some(held) = self.caches.get_mut(id) else { return };
+        let claimed_by = held.flow.and_then(|flow| self.transfers.get(&flow)).map(|transfer| transfer.conn);
+        if held.lease.is_claimed() && (by.is_none() || claimed_by != by) {
+            held.is_released = true;
         } else {
             self.free(id, Cause::Released);
         }
     }
 
     fn free(&mut self, id: &RequestId, cause: Cause) {
-        let Some(held) = self.states.remove(id) else { return };
-        if let Some(moving) = held.moving.and_then(|flow| self.end_move(flow)) {
-            self.out.push_back(Out::Say(moving.conn, Frame::Abort(moving.taker.token, cause)));
+        let Some(held) = self.caches.remove(id) else { return };
+        if let Some(transfer) = held.flow.and_then(|flow| self.end_transfer(flow)) {
+            self.actions.push_back(Action::Send(transfer.conn, Frame::Abort(transfer.claimant.token, cause)));
         }
-        if held.lease.holds() {
-            self.bytes -= held.proof.shape().length();
-            self.out.push_back(Out::Freed(id.clone(), cause));
+        if held.lease.is_held_here() {
+            self.held_bytes -= held.proof.layout().length();
+            self.actions.push_back(Action::Freed(id.clone(), cause));
         }
     }
 
     /// Nothing new is read here; what is held may be taken until `end`, and is freed then.
     pub fn drain(&mut self, now: Micros, end: Micros) {
-        let end = self.drained.map_or(end, |earlier| earlier.min(end));
-        self.drained = Some(end);
+        let end = self.drain_deadline.map_or(end, |earlier| earlier.min(end));
+        self.drain_deadline = Some(end);
         for conn in self.peers.keys() {
-            self.out.push_back(Out::Say(*conn, Frame::Drain(millis(end.saturating_sub(now)))));
+            self.actions.push_back(Action::Send(*conn, Frame::Drain(millis(end.saturating_sub(now)))));
         }
     }
 
     /// Ends what is out of time. Returns when to call again, if anything is left.
-    pub fn tick(&mut self, now: Micros) -> Option<Micros> {
-        let over = self.drained.is_some_and(|end| end <= now);
-        let ended = |h: &Held| h.lease.ends(&self.timeouts) <= now;
-        let ended: Vec<RequestId> =
-            self.states.iter().filter(|(_, h)| over || ended(h)).map(|(id, _)| id.clone()).collect();
-        for id in ended {
-            self.free(&id, if over { Cause::Drained } else { Cause::Expired });
+    pub fn expire(&mut self, now: Micros) -> Option<Micros> {
+        let is_drain_over = self.drain_deadline.is_some_and(|end| end <= now);
+        let is_expired = |held: &HeldCache| held.lease.expires_at(&self.timeouts) <= now;
+        let expired: Vec<RequestId> = self
+            .caches
+            .iter()
+            .filter(|(_, held)| is_drain_over || is_expired(held))
+            .map(|(id, _)| id.clone())
+            .collect();
+        for id in expired {
+            self.free(&id, if is_drain_over { Cause::Drained } else { Cause::Expired });
         }
-        let leases = self.states.values().map(|h| h.lease.ends(&self.timeouts));
-        leases.chain(self.drained.filter(|_| !self.states.is_empty())).min()
+        let leases = self.caches.values().map(|held| held.lease.expires_at(&self.timeouts));
+        leases.chain(self.drain_deadline.filter(|_| !self.caches.is_empty())).min()
     }
 
     /// The next chunk that goes out.
-    pub fn next_chunk(&mut self, now: Micros) -> Option<(Conn, Token, u32, Bytes)> {
-        let flow = self.link.next(now)?;
-        let moving = self.moves.get_mut(&flow)?;
-        let held = self.states.get(&moving.id)?;
-        let shape = held.proof.shape();
-        let index = moving.todo.min()?;
-        moving.todo.remove(index);
-        self.link.ready(flow, moving.todo.min().map_or(0, |i| shape.len_of(i)));
+    pub fn next_chunk(&mut self, now: Micros) -> Option<(ConnectionId, TransferToken, u32, Bytes)> {
+        let flow = self.scheduler.pick_next(now)?;
+        let transfer = self.transfers.get_mut(&flow)?;
+        let held = self.caches.get(&transfer.id)?;
+        let layout = held.proof.layout();
+        let index = transfer.pending_chunks.min()?;
+        transfer.pending_chunks.remove(index);
+        self.scheduler.set_next_chunk(
+            flow,
+            transfer.pending_chunks.min().map_or(0, |index| layout.chunk_length(index)),
+        );
         let data = held.chunks.get(index as usize)?.clone();
-        Some((moving.conn, moving.taker.token, index, data))
+        Some((transfer.conn, transfer.claimant.token, index, data))
     }
 
     /// What is to be done next.
-    pub fn poll(&mut self) -> Option<Out> {
-        self.out.pop_front()
+    pub fn next_action(&mut self) -> Option<Action> {
+        self.actions.pop_front()
     }
 
     /// Whether moves are under way on a connection.
-    pub fn busy(&self, conn: Conn) -> bool {
-        self.peers.get(&conn).is_some_and(|p| !p.moves.is_empty())
+    pub fn has_transfers(&self, conn: ConnectionId) -> bool {
+        self.peers.get(&conn).is_some_and(|peer| !peer.transfers.is_empty())
     }
 
     /// Whether a state of this name is here.
     pub fn holds(&self, id: &RequestId) -> bool {
-        self.states.get(id).is_some_and(|h| h.lease.holds())
+        self.caches.get(id).is_some_and(|held| held.lease.is_held_here())
     }
 
     /// States held here, and their bytes.
     pub fn held(&self) -> (usize, u64) {
-        (self.states.values().filter(|h| h.lease.holds()).count(), self.bytes)
+        (self.caches.values().filter(|held| held.lease.is_held_here()).count(), self.held_bytes)
     }
 
     /// Moves under way, and bytes on their way.
-    pub fn moves(&self) -> (usize, u64) {
-        (self.moves.len(), self.link.in_flight())
+    pub fn transfers(&self) -> (usize, u64) {
+        (self.transfers.len(), self.scheduler.in_flight_bytes())
     }
 
     /// Whether it has been told to drain.
-    pub fn draining(&self) -> bool {
-        self.drained.is_some()
+    pub fn is_draining(&self) -> bool {
+        self.drain_deadline.is_some()
     }
 }
 
--- a/transfer/src/service/ear.rs
+++ b/transfer/src/service/activity.rs
@@ -24,46 +24,46 @@
         self.0.elapsed().as_micros() as Micros
     }
 
-    pub(crate) fn at(&self, time: Micros) -> Instant {
+    pub(crate) fn instant(&self, time: Micros) -> Instant {
         self.0 + std::time::Duration::from_micros(time)
     }
 }
 
 /// The moment at which bytes last came.
 #[derive(Clone, Debug)]
-pub(crate) struct Heard(Arc<AtomicU64>);
+pub(crate) struct LastActivity(Arc<AtomicU64>);
 
-impl Heard {
-    pub(crate) fn at(&self) -> Micros {
+impl LastActivity {
+    pub(crate) fn micros(&self) -> Micros {
         self.0.load(Ordering::Relaxed)
     }
 }
 
 /// A reader that notes it.
 #[derive(Debug)]
-pub(crate) struct Ear<R> {
+pub(crate) struct ActivityReader<R> {
     inner: R,
     clock: Clock,
-    heard: Heard,
+    last_activity: LastActivity,
 }
 
-impl<R> Ear<R> {
-    pub(crate) fn new(inner: R, clock: Clock) -> (Self, Heard) {
-        let heard = Heard(Arc::new(AtomicU64::new(clock.now())));
-        (Ear { inner, clock, heard: heard.clone() }, heard)
+impl<R> ActivityReader<R> {
+    pub(crate) fn new(inner: R, clock: Clock) -> (Self, LastActivity) {
+        let last_activity = LastActivity(Arc::new(AtomicU64::new(clock.now())));
+        (ActivityReader { inner, clock, last_activity: last_activity.clone() }, last_activity)
     }
 }
 
-impl<R: AsyncRead + Unpin> AsyncRead for Ear<R> {
+impl<R: AsyncRead + Unpin> AsyncRead for ActivityReader<R> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let before = buf.filled().len();
+        let filled_before = buf.filled().len();
         let read = Pin::new(&mut self.inner).poll_read(cx, buf);
-        if buf.filled().len() > before {
-            self.heard.0.store(self.clock.now(), Ordering::Relaxed);
+        if buf.filled().len() > filled_before {
+            self.last_activity.0.store(self.clock.now(), Ordering::Relaxed);
         }
         read
     }
--- a/transfer/src/service/connection.rs
+++ b/transfer/src/service/connection.rs
@@ -15,193 +15,201 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::AbortOnDropHandle;
 
-use super::ear::{Ear, Heard};
-use super::hub::{weight, Hub, Item, Up};
-use crate::receiver::Route;
-use crate::sender::Fault;
+use super::activity::{ActivityReader, LastActivity};
+use super::hub::{queued_size, OpenConnection, SessionManager, WriteItem};
+use crate::receiver::RouteId;
+use crate::sender::ProtocolError;
 use crate::wire::{chunk_header, Codec, Frame, Hello, WireError, VERSION};
-use crate::Conn;
+use crate::ConnectionId;
 
 /// Room for what is read at first. Buffers are never made smaller than this, and a chunk keeps the one that
 /// it was read to: larger, and small chunks would hold much more memory than they have bytes.
-const READ: usize = 4 << 10;
+const READ_BUFFER_BYTES: usize = 4 << 10;
 /// A write that gets nowhere for so long ends the connection: the other end lives and takes nothing.
-const STALL: Duration = Duration::from_secs(5);
+const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Why a connection ended.
 #[derive(Debug, thiserror::Error)]
-enum End {
+enum CloseReason {
     #[error("{0}")]
     Wire(#[from] WireError),
     #[error("{0}")]
-    Fault(#[from] Fault),
+    Protocol(#[from] ProtocolError),
     #[error("no greeting in time")]
-    Greeting,
+    HandshakeTimeout,
     #[error("it fell silent")]
-    Silent,
+    Silence,
     #[error("it asks for much and reads nothing")]
-    Greedy,
+    QueueOverflow,
     #[error("nothing more to do")]
     Idle,
     #[error("closed")]
     Closed,
 }
 
-impl End {
+impl CloseReason {
     /// Whether the other end did what it may not do.
-    fn fault(&self) -> bool {
+    fn is_fault(&self) -> bool {
         match self {
-            End::Wire(e) => !matches!(e, WireError::Io(_) | WireError::Torn),
-            End::Fault(_) | End::Greeting | End::Greedy => true,
-            End::Silent | End::Idle | End::Closed => false,
+            CloseReason::Wire(e) => !matches!(e, WireError::Io(_) | WireError::Truncated),
+            CloseReason::Protocol(_) | CloseReason::HandshakeTimeout | CloseReason::QueueOverflow => true,
+            CloseReason::Silence | CloseReason::Idle | CloseReason::Closed => false,
         }
     }
 }
 
 /// Serves a connection until it ends. True if greetings were exchanged.
-pub(crate) async fn serve(hub: Arc<Hub>, stream: TcpStream, peer: SocketAddr, route: Option<Route>) -> bool {
-    let log = hub.log.new(o!("peer" => peer));
+pub(crate) async fn serve(
+    manager: Arc<SessionManager>,
+    stream: TcpStream,
+    peer: SocketAddr,
+    route: Option<RouteId>,
+) -> bool {
+    let log = manager.log.new(o!("peer" => peer));
     // Small frames are answers that others wait for.
     let _ = stream.set_nodelay(true);
-    let (read, mut write) = stream.into_split();
-    let (ear, heard) = Ear::new(read, hub.clock);
-    let mut frames = FramedRead::with_capacity(ear, Codec::default(), READ);
-    let hello = match timeout(hub.config.handshake_timeout, greet(&hub, &mut frames, &mut write)).await {
-        Ok(Ok(hello)) => hello,
-        Ok(Err(e)) => {
-            note(&log, &End::Wire(e));
-            return false;
-        }
-        Err(_) => {
-            note(&log, &End::Greeting);
-            return false;
-        }
-    };
-    let Up { conn, items, ended, changed } = hub.up(hello, route);
-    let gone = CancellationToken::new();
-    let writer = writing(hub.clone(), conn, items, write, gone.clone());
-    let _writer = AbortOnDropHandle::new(tokio::spawn(writer));
-    let reading = async {
+    let (read_half, mut write_half) = stream.into_split();
+    let (reader, last_activity) = ActivityReader::new(read_half, manager.clock);
+    let mut frames = FramedRead::with_capacity(reader, Codec::default(), READ_BUFFER_BYTES);
+    let hello =
+        match timeout(manager.config.handshake_timeout, handshake(&manager, &mut frames, &mut write_half))
+            .await
+        {
+            Ok(Ok(hello)) => hello,
+            Ok(Err(e)) => {
+                log_close(&log, &CloseReason::Wire(e));
+                return false;
+            }
+            Err(_) => {
+                log_close(&log, &CloseReason::HandshakeTimeout);
+                return false;
+            }
+        };
+    let OpenConnection { conn, items, overflowed, changed } = manager.connection_opened(hello, route);
+    let write_failed = CancellationToken::new();
+    let write_task = write_frames(manager.clone(), conn, items, write_half, write_failed.clone());
+    let _write_task = AbortOnDropHandle::new(tokio::spawn(write_task));
+    let read_loop = async {
         loop {
-            let busy = hub.busy(conn);
-            let most = if busy {
-                Duration::from_micros(hub.config.timeouts.silence_timeout)
+            let has_transfers = manager.has_transfers(conn);
+            let max_silence = if has_transfers {
+                Duration::from_micros(manager.config.timeouts.silence_timeout)
             } else {
-                hub.config.idle_timeout
+                manager.config.idle_timeout
             };
-            let silent = silence(&hub, &heard, most);
+            let silence = wait_for_silence(&manager, &last_activity, max_silence);
             tokio::select! {
                 frame = frames.next() => match frame {
-                    Some(Ok(frame)) => hub.frame(conn, frame)?,
-                    Some(Err(e)) => return Err(End::Wire(e)),
-                    None => return Err(End::Closed),
+                    Some(Ok(frame)) => manager.handle_frame(conn, frame)?,
+                    Some(Err(e)) => return Err(CloseReason::Wire(e)),
+                    None => return Err(CloseReason::Closed),
                 },
-                () = silent => return Err(if busy { End::Silent } else { End::Idle }),
+                () = silence => return Err(if has_transfers { CloseReason::Silence } else { CloseReason::Idle }),
                 () = changed.notified() => {}
-                () = ended.cancelled() => return Err(End::Greedy),
-                () = gone.cancelled() => return Err(End::Closed),
-                () = hub.closing.cancelled() => return Err(End::Closed),
+                () = overflowed.cancelled() => return Err(CloseReason::QueueOverflow),
+                () = write_failed.cancelled() => return Err(CloseReason::Closed),
+                () = manager.closing.cancelled() => return Err(CloseReason::Closed),
             }
         }
     };
-    let end: Result<(), End> = reading.await;
-    if let Err(end) = end {
-        note(&log, &end);
-        hub.down(conn, heard.at(), end.fault());
+    let result: Result<(), CloseReason> = read_loop.await;
+    if let Err(reason) = result {
+        log_close(&log, &reason);
+        manager.connection_closed(conn, last_activity.micros(), reason.is_fault());
     }
     true
 }
 
 /// One line for what was wrong, none in the usual log for what was not.
-fn note(log: &Logger, end: &End) {
-    if end.fault() {
-        info!(log, "a connection was ended"; "why" => %end);
+fn log_close(log: &Logger, reason: &CloseReason) {
+    if reason.is_fault() {
+        info!(log, "a connection was ended"; "why" => %reason);
     } else {
-        debug!(log, "a connection has ended"; "why" => %end);
+        debug!(log, "a connection has ended"; "why" => %reason);
     }
 }
 
-async fn greet<R: tokio::io::AsyncRead + Unpin>(
-    hub: &Hub,
+async fn handshake<R: tokio::io::AsyncRead + Unpin>(
+    manager: &SessionManager,
     frames: &mut FramedRead<R, Codec>,
-    write: &mut (impl AsyncWrite + Unpin),
+    writer: &mut (impl AsyncWrite + Unpin),
 ) -> Result<Hello, WireError> {
-    let (incarnation, window) = (hub.process, hub.config.receiver.window_bytes);
-    let hello = Frame::Hello(Hello { version: VERSION, features: 0, incarnation, window });
+    let (incarnation, window_bytes) = (manager.incarnation, manager.config.receiver.window_bytes);
+    let hello = Frame::Hello(Hello { version: VERSION, features: 0, incarnation, window_bytes });
     let mut bytes = BytesMut::new();
     Codec::default().encode(&hello, &mut bytes)?;
-    write.write_all(&bytes).await?;
+    writer.write_all(&bytes).await?;
     match frames.next().await {
         Some(Ok(Frame::Hello(hello))) => Ok(hello),
-        Some(Ok(_)) => Err(WireError::Greeting),
+        Some(Ok(_)) => Err(WireError::UnexpectedHello),
         Some(Err(e)) => Err(e),
-        None => Err(WireError::Torn),
+        None => Err(WireError::Truncated),
     }
 }
 
 /// Resolves once no byte has come for so long.
-async fn silence(hub: &Hub, heard: &Heard, most: Duration) {
+async fn wait_for_silence(manager: &SessionManager, last_activity: &LastActivity, max_silence: Duration) {
     loop {
-        let end = hub.clock.at(heard.at()) + most;
-        if end <= Instant::now() {
+        let deadline = manager.clock.instant(last_activity.micros()) + max_silence;
+        if deadline <= Instant::now() {
             return;
         }
-        sleep_until(end).await;
+        sleep_until(deadline).await;
     }
 }
 
-/// Writes what there is to say; `gone` tells the reader that it can't.
-async fn writing(
-    hub: Arc<Hub>,
-    conn: Conn,
-    mut items: mpsc::UnboundedReceiver<Item>,
-    mut write: impl AsyncWrite + Unpin,
-    gone: CancellationToken,
+/// Writes what there is to say; `write_failed` tells the reader that it can't.
+async fn write_frames(
+    manager: Arc<SessionManager>,
+    conn: ConnectionId,
+    mut items: mpsc::UnboundedReceiver<WriteItem>,
+    mut writer: impl AsyncWrite + Unpin,
+    write_failed: CancellationToken,
 ) {
-    let _gone = gone.drop_guard();
-    let beat = Duration::from_micros(hub.config.timeouts.heartbeat_interval);
+    let _write_failed = write_failed.drop_guard();
+    let heartbeat_interval = Duration::from_micros(manager.config.timeouts.heartbeat_interval);
     let mut codec = Codec::default();
     let mut bytes = BytesMut::new();
     loop {
-        let first = if hub.busy(conn) {
-            match timeout(beat, items.recv()).await {
+        let first = if manager.has_transfers(conn) {
+            match timeout(heartbeat_interval, items.recv()).await {
                 Ok(item) => item,
-                Err(_) => Some(Item::Frame(Frame::Beat)),
+                Err(_) => Some(WriteItem::Frame(Frame::Beat)),
             }
         } else {
             items.recv().await
         };
-        let mut next = first;
-        while let Some(item) = next.take() {
-            let written = match item {
-                Item::Frame(frame) => {
-                    hub.written(conn, weight(&frame));
+        let mut next_item = first;
+        while let Some(item) = next_item.take() {
+            let result = match item {
+                WriteItem::Frame(frame) => {
+                    manager.frame_dequeued(conn, queued_size(&frame));
                     let Ok(()) = codec.encode(&frame, &mut bytes) else { return };
                     Ok(())
                 }
-                Item::Chunk(token, index, data) => {
+                WriteItem::Chunk(token, index, data) => {
                     bytes.extend_from_slice(&chunk_header(token, index, data.len()));
-                    send(&mut write, &mut bytes.split().chain(data)).await
+                    send_all(&mut writer, &mut bytes.split().chain(data)).await
                 }
             };
-            if written.is_err() {
+            if result.is_err() {
                 return;
             }
-            next = items.try_recv().ok();
+            next_item = items.try_recv().ok();
         }
         if items.is_closed() && items.is_empty() && bytes.is_empty() {
             return;
         }
-        if send(&mut write, &mut bytes.split()).await.is_err() {
+        if send_all(&mut writer, &mut bytes.split()).await.is_err() {
             return;
         }
     }
 }
 
 /// Writes all of it, as long as it gets somewhere.
-async fn send(write: &mut (impl AsyncWrite + Unpin), bytes: &mut impl Buf) -> std::io::Result<()> {
+async fn send_all(writer: &mut (impl AsyncWrite + Unpin), bytes: &mut impl Buf) -> std::io::Result<()> {
     while bytes.has_remaining() {
-        match timeout(STALL, write.write_buf(bytes)).await {
+        match timeout(WRITE_STALL_TIMEOUT, writer.write_buf(bytes)).await {
             Ok(Ok(0)) => return Err(std::io::ErrorKind::WriteZero.into()),
             Ok(written) => written?,
             Err(_) => return Err(std::io::ErrorKind::TimedOut.into()),
--- a/transfer/src/service/dial.rs
+++ b/transfer/src/service/dial.rs
@@ -9,24 +9,25 @@
 use tokio::time::{sleep, timeout};
 
 use super::connection::serve;
-use super::hub::Hub;
-use crate::receiver::Route;
+use super::hub::SessionManager;
+use crate::receiver::RouteId;
 
 /// Between tries, at first and at most: a state waits for under a second.
-const PAUSE: (Duration, Duration) = (Duration::from_millis(5), Duration::from_millis(100));
+const RECONNECT_DELAYS: (Duration, Duration) = (Duration::from_millis(5), Duration::from_millis(100));
 
-pub(crate) async fn keep(hub: Arc<Hub>, route: Route, to: SocketAddr) {
-    let mut pause = PAUSE.0;
-    while !hub.closing.is_cancelled() && hub.still_needed(route) {
-        let greeted = match timeout(hub.config.handshake_timeout, TcpStream::connect(to)).await {
-            Ok(Ok(stream)) => serve(hub.clone(), stream, to, Some(route)).await,
-            Ok(Err(e)) => {
-                debug!(hub.log, "no connection"; "to" => to, "why" => %e);
-                false
-            }
-            Err(_) => false,
-        };
-        pause = if greeted { PAUSE.0 } else { (pause * 2).min(PAUSE.1) };
-        sleep(pause).await;
+pub(crate) async fn keep_connected(manager: Arc<SessionManager>, route: RouteId, address: SocketAddr) {
+    let mut delay = RECONNECT_DELAYS.0;
+    while !manager.closing.is_cancelled() && manager.keep_dialing(route) {
+        let is_established =
+            match timeout(manager.config.handshake_timeout, TcpStream::connect(address)).await {
+                Ok(Ok(stream)) => serve(manager.clone(), stream, address, Some(route)).await,
+                Ok(Err(e)) => {
+                    debug!(manager.log, "no connection"; "to" => address, "why" => %e);
+                    false
+                }
+                Err(_) => false,
+            };
+        delay = if is_established { RECONNECT_DELAYS.0 } else { (delay * 2).min(RECONNECT_DELAYS.1) };
+        sleep(delay).await;
     }
 }
--- a/transfer/src/service/hub.rs
+++ b/transfer/src/service/hub.rs
@@ -12,103 +12,103 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::AbortOnDropHandle;
 
-use super::ear::Clock;
+use super::activity::Clock;
 use super::node::{PushedCache, ReceivedCache};
 use super::status::{Status, Totals};
 use super::{Config, PushPolicy};
 use crate::cause::Cause;
-use crate::receiver::{self, Chunk, Receiver, Route, State};
-use crate::sender::{self, Fault, Sender, Ticket};
+use crate::receiver::{self, KvCache, ReceivedChunk, Receiver, RouteId};
+use crate::sender::{self, PrefillId, ProtocolError, Sender};
 use crate::wire::{Frame, Hello, RequestId};
-use crate::{Conn, Incarnation, Micros, Token};
+use crate::{ConnectionId, Incarnation, Micros, TransferToken};
 
 /// Chunks of at least this size are proven beside the connections' own work.
-const PROVE_BESIDE: usize = 64 << 10;
+const MIN_BLOCKING_VERIFY_BYTES: usize = 64 << 10;
 /// Bytes of frames other than chunks that may wait to be written on one connection. Who asks for much and
 /// reads nothing gets no further.
-const MOST_QUEUED: usize = 8 << 20;
+const MAX_QUEUED_BYTES: usize = 8 << 20;
 
 /// What a connection's writer gets.
 #[derive(Debug)]
-pub(crate) enum Item {
+pub(crate) enum WriteItem {
     Frame(Frame),
-    Chunk(Token, u32, Bytes),
+    Chunk(TransferToken, u32, Bytes),
 }
 
-/// A connection, as the hub has it.
-struct Line {
-    items: mpsc::UnboundedSender<Item>,
+/// A connection, as the manager has it.
+struct Connection {
+    outgoing: mpsc::UnboundedSender<WriteItem>,
     /// Bytes of frames, chunks not counted, that the writer has not yet taken.
-    queued: usize,
-    /// Ended by the hub.
-    ended: CancellationToken,
+    queued_bytes: usize,
+    /// Ended by the manager.
+    overflowed: CancellationToken,
     /// Something about its moves has changed.
     changed: Arc<Notify>,
-    route: Route,
+    route: RouteId,
 }
 
 /// Who waits for a push to end.
-type Pushed = oneshot::Sender<Result<(), Cause>>;
+type PushWaiter = oneshot::Sender<Result<(), Cause>>;
 
 struct Inner {
     sender: Sender,
     receiver: Receiver,
-    lines: HashMap<Conn, Line>,
-    serial: u64,
+    connections: HashMap<ConnectionId, Connection>,
+    last_id: u64,
     /// Where routes lead to that can be dialled,
-    addresses: HashMap<SocketAddr, Route>,
+    routes_by_address: HashMap<SocketAddr, RouteId>,
     /// and the processes that have dialled us.
-    processes: HashMap<Incarnation, Route>,
-    dialers: HashMap<Route, AbortOnDropHandle<()>>,
-    fetches: HashMap<Token, oneshot::Sender<Result<ReceivedCache, Cause>>>,
+    routes_by_incarnation: HashMap<Incarnation, RouteId>,
+    dialers: HashMap<RouteId, AbortOnDropHandle<()>>,
+    fetch_waiters: HashMap<TransferToken, oneshot::Sender<Result<ReceivedCache, Cause>>>,
     /// Moves that others have announced.
-    announced: HashSet<Token>,
-    pushes: HashMap<RequestId, (Route, Pushed)>,
-    inbox: Option<mpsc::UnboundedSender<PushedCache>>,
-    reports: Option<mpsc::Sender<(RequestId, Cause)>>,
+    pushed_transfers: HashSet<TransferToken>,
+    pushes: HashMap<RequestId, (RouteId, PushWaiter)>,
+    pushed_caches: Option<mpsc::UnboundedSender<PushedCache>>,
+    freed_reports: Option<mpsc::Sender<(RequestId, Cause)>>,
     totals: Totals,
 }
 
 /// Shared by all of a node's tasks.
-pub(crate) struct Hub {
+pub(crate) struct SessionManager {
     inner: Mutex<Inner>,
     pub(crate) config: Config,
     pub(crate) clock: Clock,
-    pub(crate) process: Incarnation,
+    pub(crate) incarnation: Incarnation,
     pub(crate) log: Logger,
-    wake: Notify,
+    deadlines_changed: Notify,
     /// Ends all connections.
     pub(crate) closing: CancellationToken,
     /// Told whenever a state or a move has ended.
-    pub(crate) ended: Notify,
+    pub(crate) transfer_ended: Notify,
 }
 
-impl Hub {
-    pub(crate) fn new(config: Config, process: Incarnation, log: Logger) -> Self {
+impl SessionManager {
+    pub(crate) fn new(config: Config, incarnation: Incarnation, log: Logger) -> Self {
         let inner = Inner {
-            sender: Sender::new(process, config.timeouts, config.sender),
+            sender: Sender::new(incarnation, config.timeouts, config.sender),
             receiver: Receiver::new(config.timeouts, config.receiver),
-            lines: HashMap::new(),
-            serial: 0,
-            addresses: HashMap::new(),
-            processes: HashMap::new(),
+            connections: HashMap::new(),
+            last_id: 0,
+            routes_by_address: HashMap::new(),
+            routes_by_incarnation: HashMap::new(),
             dialers: HashMap::new(),
-            fetches: HashMap::new(),
-            announced: HashSet::new(),
+            fetch_waiters: HashMap::new(),
+            pushed_transfers: HashSet::new(),
             pushes: HashMap::new(),
-            inbox: None,
-            reports: None,
+            pushed_caches: None,
+            freed_reports: None,
             totals: Totals::default(),
         };
-        Hub {
+        SessionManager {
             inner: Mutex::new(inner),
             config,
             clock: Clock::new(),
-            process,
+            incarnation,
             log,
-            wake: Notify::new(),
+            deadlines_changed: Notify::new(),
             closing: CancellationToken::new(),
-            ended: Notify::new(),
+            transfer_ended: Notify::new(),
         }
     }
 
@@ -118,203 +118,236 @@
     }
 
     /// Feeds the machines and carries out what they say.
-    fn feed<T>(self: &Arc<Self>, feed: impl FnOnce(&mut Inner, Micros) -> T) -> T {
-        let fed = self.feed_in_time(feed);
-        self.wake.notify_one();
-        fed
+    fn update<T>(self: &Arc<Self>, apply: impl FnOnce(&mut Inner, Micros) -> T) -> T {
+        let result = self.update_without_wake(apply);
+        self.deadlines_changed.notify_one();
+        result
     }
 
     /// The same for whoever keeps the time, which need not be told that something has changed.
-    fn feed_in_time<T>(self: &Arc<Self>, feed: impl FnOnce(&mut Inner, Micros) -> T) -> T {
+    fn update_without_wake<T>(self: &Arc<Self>, apply: impl FnOnce(&mut Inner, Micros) -> T) -> T {
         let mut chunks = Vec::new();
-        let fed = {
+        let result = {
             let mut inner = self.lock();
-            let fed = feed(&mut inner, self.clock.now());
-            self.carry_out(&mut inner, &mut chunks);
-            fed
+            let result = apply(&mut inner, self.clock.now());
+            self.run_actions(&mut inner, &mut chunks);
+            result
         };
         for chunk in chunks {
-            self.prove(chunk);
+            self.verify(chunk);
         }
-        fed
+        result
     }
 
-    fn prove(self: &Arc<Self>, chunk: Chunk) {
-        let (hub, beside) = (self.clone(), chunk.data.len() >= PROVE_BESIDE);
-        let prove = move || {
-            let good = chunk.proof.proves(chunk.index, &chunk.data);
-            if !good {
-                info!(hub.log, "a chunk is not what it should be"; "index" => chunk.index);
+    fn verify(self: &Arc<Self>, chunk: ReceivedChunk) {
+        let (manager, is_large) = (self.clone(), chunk.data.len() >= MIN_BLOCKING_VERIFY_BYTES);
+        let verify = move || {
+            let is_valid = chunk.proof.verifies(chunk.index, &chunk.data);
+            if !is_valid {
+                info!(manager.log, "a chunk is not what it should be"; "index" => chunk.index);
             }
-            hub.feed(|inner, _| {
-                inner.totals.chunks_bad += u64::from(!good);
-                inner.receiver.proved(chunk, good);
+            manager.update(|inner, _| {
+                inner.totals.chunks_bad += u64::from(!is_valid);
+                inner.receiver.handle_verification(chunk, is_valid);
             });
         };
-        if beside {
+        if is_large {
             // It ends by itself; what it finds out of a move that has ended is dropped.
-            tokio::task::spawn_blocking(prove);
+            tokio::task::spawn_blocking(verify);
         } else {
-            prove();
+            verify();
         }
     }
 
-    fn carry_out(self: &Arc<Self>, inner: &mut Inner, chunks: &mut Vec<Chunk>) {
-        while let Some(out) = inner.receiver.poll() {
-            match out {
-                receiver::Out::Say(conn, frame) => inner.say(conn, frame),
-                receiver::Out::Connect(route) => self.dial(inner, route),
-                receiver::Out::Prove(chunk) => chunks.push(chunk),
-                receiver::Out::Done(token, id, state) => self.done(inner, token, id, state),
-                receiver::Out::Failed(token, cause) => {
+    fn run_actions(self: &Arc<Self>, inner: &mut Inner, chunks: &mut Vec<ReceivedChunk>) {
+        while let Some(action) = inner.receiver.next_action() {
+            match action {
+                receiver::Action::Send(conn, frame) => inner.send(conn, frame),
+                receiver::Action::Connect(route) => self.connect(inner, route),
+                receiver::Action::VerifyChunk(chunk) => chunks.push(chunk),
+                receiver::Action::Completed(token, id, cache) => self.finish_fetch(inner, token, id, cache),
+                receiver::Action::Failed(token, cause) => {
                     inner.totals.failed += 1;
-                    inner.announced.remove(&token);
-                    if let Some(waits) = inner.fetches.remove(&token) {
-                        let _ = waits.send(Err(cause));
+                    inner.pushed_transfers.remove(&token);
+                    if let Some(waiter) = inner.fetch_waiters.remove(&token) {
+                        let _ = waiter.send(Err(cause));
                     }
                     debug!(self.log, "a fetch has failed"; "move" => token, "why" => %cause);
-                    self.ended.notify_waiters();
+                    self.transfer_ended.notify_waiters();
                 }
             }
         }
-        while let Some(out) = inner.sender.poll() {
-            match out {
-                sender::Out::Say(conn, frame) => inner.say(conn, frame),
-                sender::Out::Given(id) => {
+        while let Some(action) = inner.sender.next_action() {
+            match action {
+                sender::Action::Send(conn, frame) => inner.send(conn, frame),
+                sender::Action::HandedOver(id) => {
                     inner.totals.given += 1;
-                    inner.push_ends(&id, Ok(()));
-                    self.ended.notify_waiters();
+                    inner.finish_push(&id, Ok(()));
+                    self.transfer_ended.notify_waiters();
                 }
-                sender::Out::Freed(id, cause) => {
+                sender::Action::Freed(id, cause) => {
                     inner.totals.freed += 1;
                     info!(self.log, "a state was freed"; "request" => %id, "why" => %cause);
-                    inner.push_ends(&id, Err(cause));
-                    if let Some(reports) = &inner.reports {
+                    inner.finish_push(&id, Err(cause));
+                    if let Some(freed_reports) = &inner.freed_reports {
                         // Whoever does not listen is not waited for.
-                        let _ = reports.try_send((id, cause));
+                        let _ = freed_reports.try_send((id, cause));
                     }
-                    self.ended.notify_waiters();
+                    self.transfer_ended.notify_waiters();
                 }
             }
         }
         while let Some((conn, token, index, data)) = inner.sender.next_chunk(self.clock.now()) {
             inner.totals.chunks_sent += 1;
             inner.totals.bytes_sent += data.len() as u64;
-            if let Some(line) = inner.lines.get(&conn) {
-                let _ = line.items.send(Item::Chunk(token, index, data));
+            if let Some(connection) = inner.connections.get(&conn) {
+                let _ = connection.outgoing.send(WriteItem::Chunk(token, index, data));
             }
         }
     }
 
-    fn done(self: &Arc<Self>, inner: &mut Inner, token: Token, id: RequestId, state: State) {
+    fn finish_fetch(
+        self: &Arc<Self>,
+        inner: &mut Inner,
+        token: TransferToken,
+        id: RequestId,
+        cache: KvCache,
+    ) {
         inner.totals.arrived += 1;
-        if inner.announced.remove(&token) && self.config.push_policy == PushPolicy::Store {
+        if inner.pushed_transfers.remove(&token) && self.config.push_policy == PushPolicy::Store {
             // In one step: whoever comes for it next finds it.
-            let State { chunks, length, proof } = state;
-            inner.receiver.give_back(length);
-            match inner.sender.hold(self.clock.now(), id.clone(), chunks, proof) {
+            let KvCache { chunks, length, proof } = cache;
+            inner.receiver.release_memory(length);
+            match inner.sender.store(self.clock.now(), id.clone(), chunks, proof) {
                 Ok(()) => info!(self.log, "held"; "request" => %id, "bytes" => length),
                 Err(cause) => warn!(self.log, "lost"; "request" => %id, "why" => %cause),
             }
             return;
         }
-        let whole = ReceivedCache::new(state, self.clone());
-        let unclaimed = match (inner.fetches.remove(&token), &inner.inbox) {
-            (Some(waits), _) => waits.send(Ok(whole)).err().and_then(Result::ok),
-            (None, Some(inbox)) => inbox.send(PushedCache { id, cache: whole }).err().map(|e| e.0.cache),
-            (None, None) => Some(whole),
+        let received = ReceivedCache::new(cache, self.clone());
+        let undelivered = match (inner.fetch_waiters.remove(&token), &inner.pushed_caches) {
+            (Some(waiter), _) => waiter.send(Ok(received)).err().and_then(Result::ok),
+            (None, Some(inbox)) => inbox.send(PushedCache { id, cache: received }).err().map(|e| e.0.cache),
+            (None, None) => Some(received),
         };
-        if let Some(whole) = unclaimed {
+        if let Some(received) = undelivered {
             // Its memory goes back here, as the lock that its drop would take is held.
-            inner.receiver.give_back(whole.disown());
+            inner.receiver.release_memory(received.disown());
         }
-        self.ended.notify_waiters();
+        self.transfer_ended.notify_waiters();
     }
 
-    fn dial(self: &Arc<Self>, inner: &mut Inner, route: Route) {
-        let address = inner.addresses.iter().find(|(_, r)| **r == route).map(|(a, _)| *a);
+    fn connect(self: &Arc<Self>, inner: &mut Inner, route: RouteId) {
+        let address = inner.routes_by_address.iter().find(|(_, r)| **r == route).map(|(address, _)| *address);
         let Some(address) = address else { return };
-        if inner.dialers.contains_key(&route) || inner.lines.values().any(|l| l.route == route) {
+        if inner.dialers.contains_key(&route)
+            || inner.connections.values().any(|connection| connection.route == route)
+        {
             return;
         }
-        let dialer = super::dial::keep(self.clone(), route, address);
+        let dialer = super::dial::keep_connected(self.clone(), route, address);
         inner.dialers.insert(route, AbortOnDropHandle::new(tokio::spawn(dialer)));
     }
 
     /// Whether the dialer of a route goes on. Where it does not, it is forgotten in the same moment, so that
     /// whoever needs the route next starts another.
-    pub(crate) fn still_needed(&self, route: Route) -> bool {
+    pub(crate) fn keep_dialing(&self, route: RouteId) -> bool {
         let mut inner = self.lock();
-        let needed = inner.needs(route);
+        let needed = inner.needs_route(route);
         if !needed {
             // Dropping the handle ends the task that asks, which is about to end.
             inner.dialers.remove(&route);
-            inner.addresses.retain(|_, r| *r != route);
+            inner.routes_by_address.retain(|_, r| *r != route);
         }
         needed
     }
 
     /// A connection's greetings have been exchanged. `route`: the one that was dialled.
-    pub(crate) fn up(self: &Arc<Self>, hello: Hello, route: Option<Route>) -> Up {
-        let (items, rest) = mpsc::unbounded_channel();
-        let (ended, changed) = (CancellationToken::new(), Arc::new(Notify::new()));
-        let conn = self.feed(|inner, now| {
-            let conn = inner.serial();
-            let route = route.unwrap_or_else(|| inner.route_of(hello.incarnation));
-            let line = Line { items, queued: 0, ended: ended.clone(), changed: changed.clone(), route };
-            inner.lines.insert(conn, line);
-            inner.sender.up(now, conn, hello);
-            inner.receiver.up(now, conn, Some(route));
-            let announces = inner.pushes.iter().filter(|(_, (r, _))| *r == route);
-            for id in announces.map(|(id, _)| id.clone()).collect::<Vec<_>>() {
-                inner.say(conn, Frame::Announce(id));
+    pub(crate) fn connection_opened(
+        self: &Arc<Self>,
+        hello: Hello,
+        route: Option<RouteId>,
+    ) -> OpenConnection {
+        let (outgoing, items) = mpsc::unbounded_channel();
+        let (overflowed, changed) = (CancellationToken::new(), Arc::new(Notify::new()));
+        let conn = self.update(|inner, now| {
+            let conn = inner.next_id();
+            let route = route.unwrap_or_else(|| inner.route_to_incarnation(hello.incarnation));
+            let connection = Connection {
+                outgoing,
+                queued_bytes: 0,
+                overflowed: overflowed.clone(),
+                changed: changed.clone(),
+                route,
+            };
+            inner.connections.insert(conn, connection);
+            inner.sender.add_connection(now, conn, hello);
+            inner.receiver.add_connection(now, conn, Some(route));
+            let announcements = inner.pushes.iter().filter(|(_, (r, _))| *r == route);
+            for id in announcements.map(|(id, _)| id.clone()).collect::<Vec<_>>() {
+                inner.send(conn, Frame::Announce(id));
             }
             conn
         });
-        Up { conn, items: rest, ended, changed }
+        OpenConnection { conn, items, overflowed, changed }
     }
 
     /// A connection is gone; bytes last came on it at `heard`.
-    pub(crate) fn down(self: &Arc<Self>, conn: Conn, heard: Micros, fault: bool) {
-        self.feed(|inner, _| {
-            inner.totals.cuts += u64::from(inner.busy(conn));
-            inner.totals.faults += u64::from(fault);
-            let line = inner.lines.remove(&conn);
-            inner.sender.heard(heard, conn);
-            inner.sender.down(conn);
-            inner.receiver.heard(heard, conn);
-            inner.receiver.down(conn);
-            if let Some(line) = line {
-                let (route, used) = (line.route, inner.needs(line.route));
-                let more = inner.lines.values().any(|l| l.route == route);
-                inner.processes.retain(|_, r| *r != route || used || more);
+    pub(crate) fn connection_closed(
+        self: &Arc<Self>,
+        conn: ConnectionId,
+        last_activity: Micros,
+        is_fault: bool,
+    ) {
+        self.update(|inner, _| {
+            inner.totals.cuts += u64::from(inner.has_transfers(conn));
+            inner.totals.faults += u64::from(is_fault);
+            let connection = inner.connections.remove(&conn);
+            inner.sender.record_activity(last_activity, conn);
+            inner.sender.remove_connection(conn);
+            inner.receiver.record_activity(last_activity, conn);
+            inner.receiver.remove_connection(conn);
+            if let Some(connection) = connection {
+                let (route, is_needed) = (connection.route, inner.needs_route(connection.route));
+                let has_more = inner.connections.values().any(|connection| connection.route == route);
+                inner.routes_by_incarnation.retain(|_, r| *r != route || is_needed || has_more);
             }
         });
     }
 
     /// A frame has come. An error ends the connection.
-    pub(crate) fn frame(self: &Arc<Self>, conn: Conn, frame: Frame) -> Result<(), Fault> {
-        self.feed(|inner, now| self.take(inner, now, conn, frame))
-    }
-
-    fn take(&self, inner: &mut Inner, now: Micros, conn: Conn, frame: Frame) -> Result<(), Fault> {
+    pub(crate) fn handle_frame(
+        self: &Arc<Self>,
+        conn: ConnectionId,
+        frame: Frame,
+    ) -> Result<(), ProtocolError> {
+        self.update(|inner, now| self.dispatch(inner, now, conn, frame))
+    }
+
+    fn dispatch(
+        &self,
+        inner: &mut Inner,
+        now: Micros,
+        conn: ConnectionId,
+        frame: Frame,
+    ) -> Result<(), ProtocolError> {
         match frame {
-            Frame::Want(want) => inner.sender.want(now, conn, want)?,
-            Frame::Ask(token, ranges) => inner.sender.ask(conn, token, &ranges)?,
-            Frame::Chunk(token, index, data) => inner.receiver.chunk(conn, token, index, data)?,
-            Frame::Offer(offer) => inner.receiver.offer(now, conn, offer),
-            Frame::Credit(bytes) => inner.sender.credit(conn, bytes),
-            Frame::Complete(token) => inner.sender.complete(now, conn, token),
-            Frame::Grant(token) => inner.receiver.grant(conn, token),
-            Frame::GiveUp(token, cause) => inner.sender.abort(now, conn, token, cause),
-            Frame::Abort(token, cause) => inner.receiver.abort(conn, token, cause),
+            Frame::Want(want) => inner.sender.handle_want(now, conn, want)?,
+            Frame::Ask(token, ranges) => inner.sender.handle_ask(conn, token, &ranges)?,
+            Frame::Chunk(token, index, data) => inner.receiver.handle_chunk(conn, token, index, data)?,
+            Frame::Offer(offer) => inner.receiver.handle_offer(now, conn, offer),
+            Frame::Credit(bytes) => inner.sender.handle_credit(conn, bytes),
+            Frame::Complete(token) => inner.sender.handle_complete(now, conn, token),
+            Frame::Grant(token) => inner.receiver.handle_grant(conn, token),
+            Frame::GiveUp(token, cause) => inner.sender.handle_give_up(now, conn, token, cause),
+            Frame::Abort(token, cause) => inner.receiver.handle_abort(conn, token, cause),
             // What is fetched here is waited for.
             Frame::Release(id) => inner.sender.release_unclaimed(&id, Some(conn)),
-            Frame::Announce(id) => self.announce(inner, now, conn, id),
-            Frame::Refuse(id, cause) => inner.push_ends(&id, Err(cause)),
+            Frame::Announce(id) => self.handle_announce(inner, now, conn, id),
+            Frame::Refuse(id, cause) => inner.finish_push(&id, Err(cause)),
             Frame::StatusAsk => {
                 let text = serde_json::to_vec(&self.status_of(inner)).unwrap_or_default();
-                inner.say(conn, Frame::Status(text.into()));
+                inner.send(conn, Frame::Status(text.into()));
             }
             Frame::Drain(left_ms) => info!(self.log, "a holder drains"; "left_ms" => left_ms),
             Frame::Hello(_) | Frame::Beat | Frame::Status(_) => {}
@@ -322,61 +355,61 @@
         Ok(())
     }
 
-    fn announce(&self, inner: &mut Inner, now: Micros, conn: Conn, id: RequestId) {
-        let Some(route) = inner.lines.get(&conn).map(|l| l.route) else { return };
+    fn handle_announce(&self, inner: &mut Inner, now: Micros, conn: ConnectionId, id: RequestId) {
+        let Some(route) = inner.connections.get(&conn).map(|connection| connection.route) else { return };
         // Said again after a cut: the move is under way.
-        if inner.receiver.seeks(&id) {
+        if inner.receiver.is_fetching(&id) {
             return;
         }
-        let fetch = match self.config.push_policy {
+        let token = match self.config.push_policy {
             PushPolicy::Reject => Err(Cause::Unwanted),
-            _ if inner.sender.draining() => Err(Cause::Drained),
-            PushPolicy::Store if !inner.sender.room(inner.receiver.moves().2) => Err(Cause::Full),
+            _ if inner.sender.is_draining() => Err(Cause::Drained),
+            PushPolicy::Store if !inner.sender.has_room(inner.receiver.usage().2) => Err(Cause::NoCapacity),
             PushPolicy::Store | PushPolicy::Deliver => inner.receiver.fetch(now, id.clone(), route, None),
         };
-        match fetch {
+        match token {
             Ok(token) => {
-                inner.announced.insert(token);
+                inner.pushed_transfers.insert(token);
             }
-            Err(cause) => inner.say(conn, Frame::Refuse(id, cause)),
+            Err(cause) => inner.send(conn, Frame::Refuse(id, cause)),
         }
     }
 
-    pub(crate) fn begin(&self, id: RequestId) -> Result<Ticket, Cause> {
-        self.lock().sender.begin(id)
+    pub(crate) fn begin_prefill(&self, id: RequestId) -> Result<PrefillId, Cause> {
+        self.lock().sender.begin_prefill(id)
     }
 
-    pub(crate) fn cancel(&self, ticket: Ticket) {
-        self.lock().sender.cancel(ticket);
+    pub(crate) fn cancel_prefill(&self, prefill: PrefillId) {
+        self.lock().sender.cancel_prefill(prefill);
     }
 
-    pub(crate) fn put(
+    pub(crate) fn store_prefill(
         self: &Arc<Self>,
-        ticket: Ticket,
-        state: Bytes,
+        prefill: PrefillId,
+        cache: Bytes,
         proof: Arc<crate::proof::Proof>,
     ) -> Result<(), Cause> {
-        self.feed(|inner, now| inner.sender.put(now, ticket, state, proof))
+        self.update(|inner, now| inner.sender.store_prefill(now, prefill, cache, proof))
     }
 
     pub(crate) fn fetch(
         self: &Arc<Self>,
         id: RequestId,
         from: SocketAddr,
-        due: Option<Micros>,
-    ) -> Result<(Token, oneshot::Receiver<Result<ReceivedCache, Cause>>), Cause> {
-        let (tell, told) = oneshot::channel();
-        self.feed(|inner, now| {
-            let route = inner.route_to(from);
-            let token = inner.receiver.fetch(now, id, route, due)?;
-            inner.fetches.insert(token, tell);
-            inner.line_changes(route);
-            Ok((token, told))
+        deadline: Option<Micros>,
+    ) -> Result<(TransferToken, oneshot::Receiver<Result<ReceivedCache, Cause>>), Cause> {
+        let (waiter, result) = oneshot::channel();
+        self.update(|inner, now| {
+            let route = inner.route_to_address(from);
+            let token = inner.receiver.fetch(now, id, route, deadline)?;
+            inner.fetch_waiters.insert(token, waiter);
+            inner.notify_connections(route);
+            Ok((token, result))
         })
     }
 
-    pub(crate) fn unwanted(self: &Arc<Self>, token: Token) {
-        self.feed(|inner, _| inner.receiver.unwanted(token));
+    pub(crate) fn cancel_fetch(self: &Arc<Self>, token: TransferToken) {
+        self.update(|inner, _| inner.receiver.cancel(token));
     }
 
     /// Tells the node at an address of a state that is held here, until it has taken it.
@@ -385,30 +418,35 @@
         id: RequestId,
         to: SocketAddr,
     ) -> Result<oneshot::Receiver<Result<(), Cause>>, Cause> {
-        let (tell, told) = oneshot::channel();
-        self.feed(|inner, _| {
+        let (waiter, result) = oneshot::channel();
+        self.update(|inner, _| {
             if !inner.sender.holds(&id) {
-                return Err(Cause::Gone);
+                return Err(Cause::NotFound);
             }
-            let route = inner.route_to(to);
-            inner.pushes.insert(id.clone(), (route, tell));
-            match inner.lines.iter().find(|(_, l)| l.route == route).map(|(conn, _)| *conn) {
-                Some(conn) => inner.say(conn, Frame::Announce(id)),
-                None => self.dial(inner, route),
+            let route = inner.route_to_address(to);
+            inner.pushes.insert(id.clone(), (route, waiter));
+            match inner
+                .connections
+                .iter()
+                .find(|(_, connection)| connection.route == route)
+                .map(|(conn, _)| *conn)
+            {
+                Some(conn) => inner.send(conn, Frame::Announce(id)),
+                None => self.connect(inner, route),
             }
-            Ok(told)
+            Ok(result)
         })
     }
 
     /// Lets go of all that is held for the request, here and at the other end of its moves. What is not
     /// known here may be known to whom we are connected with.
     pub(crate) fn release(self: &Arc<Self>, id: &RequestId) {
-        self.feed(|inner, _| {
-            let known = inner.sender.holds(id) || inner.receiver.seeks(id);
+        self.update(|inner, _| {
+            let is_known = inner.sender.holds(id) || inner.receiver.is_fetching(id);
             inner.sender.release(id);
             inner.receiver.release(id);
-            if !known {
-                inner.pass_release_on(id);
+            if !is_known {
+                inner.forward_release(id);
             }
         });
     }
@@ -416,38 +454,38 @@
     /// Lets go of what is held for the request and no attempt waits for, here or at whom we are connected
     /// with.
     pub(crate) fn release_unclaimed(self: &Arc<Self>, id: &RequestId) {
-        self.feed(|inner, _| {
-            let known = inner.sender.holds(id) || inner.receiver.seeks(id);
+        self.update(|inner, _| {
+            let is_known = inner.sender.holds(id) || inner.receiver.is_fetching(id);
             inner.sender.release_unclaimed(id, None);
-            if !known {
-                inner.pass_release_on(id);
+            if !is_known {
+                inner.forward_release(id);
             }
         });
     }
 
     pub(crate) fn drain(self: &Arc<Self>, within: Micros) {
-        self.feed(|inner, now| inner.sender.drain(now, now + within));
+        self.update(|inner, now| inner.sender.drain(now, now + within));
     }
 
-    pub(crate) fn give_back(self: &Arc<Self>, bytes: u64) {
-        self.feed(|inner, _| inner.receiver.give_back(bytes));
+    pub(crate) fn release_memory(self: &Arc<Self>, bytes: u64) {
+        self.update(|inner, _| inner.receiver.release_memory(bytes));
     }
 
-    pub(crate) fn busy(&self, conn: Conn) -> bool {
-        self.lock().busy(conn)
+    pub(crate) fn has_transfers(&self, conn: ConnectionId) -> bool {
+        self.lock().has_transfers(conn)
     }
 
     /// The writer has taken a frame.
-    pub(crate) fn written(&self, conn: Conn, bytes: usize) {
-        if let Some(line) = self.lock().lines.get_mut(&conn) {
-            line.queued = line.queued.saturating_sub(bytes);
+    pub(crate) fn frame_dequeued(&self, conn: ConnectionId, bytes: usize) {
+        if let Some(connection) = self.lock().connections.get_mut(&conn) {
+            connection.queued_bytes = connection.queued_bytes.saturating_sub(bytes);
         }
     }
 
     /// Nothing held, nothing under way.
-    pub(crate) fn empty(&self) -> bool {
+    pub(crate) fn is_idle(&self) -> bool {
         let inner = self.lock();
-        inner.sender.held().0 == 0 && inner.receiver.moves().0 == 0
+        inner.sender.held().0 == 0 && inner.receiver.usage().0 == 0
     }
 
     /// The node is gone: all connections end, and nothing is dialled any more.
@@ -457,17 +495,17 @@
         drop(dialers);
     }
 
-    pub(crate) fn inbox(&self) -> mpsc::UnboundedReceiver<PushedCache> {
+    pub(crate) fn subscribe_pushed(&self) -> mpsc::UnboundedReceiver<PushedCache> {
         // Bounded by the taker's memory and number of moves.
-        let (tell, told) = mpsc::unbounded_channel();
-        self.lock().inbox = Some(tell);
-        told
+        let (sender, receiver) = mpsc::unbounded_channel();
+        self.lock().pushed_caches = Some(sender);
+        receiver
     }
 
-    pub(crate) fn reports(&self, room: usize) -> mpsc::Receiver<(RequestId, Cause)> {
-        let (tell, told) = mpsc::channel(room);
-        self.lock().reports = Some(tell);
-        told
+    pub(crate) fn subscribe_freed(&self, capacity: usize) -> mpsc::Receiver<(RequestId, Cause)> {
+        let (sender, receiver) = mpsc::channel(capacity);
+        self.lock().freed_reports = Some(sender);
+        receiver
     }
 
     pub(crate) fn status(&self) -> Status {
@@ -475,16 +513,20 @@
     }
 
     pub(crate) fn progress(&self) -> Vec<(RequestId, u64, Option<u64>)> {
-        self.lock().receiver.progress().map(|(id, here, length)| (id.clone(), here, length)).collect()
+        self.lock()
+            .receiver
+            .progress()
+            .map(|(id, received_bytes, length)| (id.clone(), received_bytes, length))
+            .collect()
     }
 
     fn status_of(&self, inner: &Inner) -> Status {
-        let ((states, state_bytes), (sending, in_flight)) = (inner.sender.held(), inner.sender.moves());
-        let (fetching, waiting, memory) = inner.receiver.moves();
+        let ((states, state_bytes), (sending, in_flight)) = (inner.sender.held(), inner.sender.transfers());
+        let (fetching, waiting, memory) = inner.receiver.usage();
         Status {
-            incarnation: self.process,
-            connections: inner.lines.len(),
-            draining: inner.sender.draining(),
+            incarnation: self.incarnation,
+            connections: inner.connections.len(),
+            draining: inner.sender.is_draining(),
             states,
             state_bytes,
             sending,
@@ -497,88 +539,91 @@
     }
 
     /// Ends what is out of time, for as long as there is a node.
-    pub(crate) async fn keep_time(self: Arc<Self>) {
+    pub(crate) async fn run_expiry(self: Arc<Self>) {
         loop {
-            let next = self.feed_in_time(|inner, now| {
-                let ends = [inner.sender.tick(now), inner.receiver.tick(now)];
-                ends.into_iter().flatten().min()
+            let next_deadline = self.update_without_wake(|inner, now| {
+                let deadlines = [inner.sender.expire(now), inner.receiver.expire(now)];
+                deadlines.into_iter().flatten().min()
             });
             // What is fed meanwhile ends a hold from then at the earliest, which is many beats away.
-            let beat = self.clock.now() + self.config.timeouts.heartbeat_interval;
-            match next {
-                Some(at) => sleep_until(self.clock.at(at.min(beat))).await,
-                None => self.wake.notified().await,
+            let next_heartbeat = self.clock.now() + self.config.timeouts.heartbeat_interval;
+            match next_deadline {
+                Some(deadline) => sleep_until(self.clock.instant(deadline.min(next_heartbeat))).await,
+                None => self.deadlines_changed.notified().await,
             }
         }
     }
 }
 
 /// A connection that is up.
-pub(crate) struct Up {
-    pub(crate) conn: Conn,
-    pub(crate) items: mpsc::UnboundedReceiver<Item>,
-    pub(crate) ended: CancellationToken,
+pub(crate) struct OpenConnection {
+    pub(crate) conn: ConnectionId,
+    pub(crate) items: mpsc::UnboundedReceiver<WriteItem>,
+    pub(crate) overflowed: CancellationToken,
     pub(crate) changed: Arc<Notify>,
 }
 
 impl Inner {
-    fn serial(&mut self) -> u64 {
-        self.serial += 1;
-        self.serial
+    fn next_id(&mut self) -> u64 {
+        self.last_id += 1;
+        self.last_id
     }
 
-    fn busy(&self, conn: Conn) -> bool {
-        self.sender.busy(conn) || self.receiver.busy(conn)
+    fn has_transfers(&self, conn: ConnectionId) -> bool {
+        self.sender.has_transfers(conn) || self.receiver.has_transfers(conn)
     }
 
-    fn needs(&self, route: Route) -> bool {
-        self.receiver.needs(route) || self.pushes.values().any(|(r, _)| *r == route)
+    fn needs_route(&self, route: RouteId) -> bool {
+        self.receiver.needs_route(route) || self.pushes.values().any(|(r, _)| *r == route)
     }
 
-    fn route_to(&mut self, address: SocketAddr) -> Route {
-        let fresh = self.serial();
-        *self.addresses.entry(address).or_insert(fresh)
+    fn route_to_address(&mut self, address: SocketAddr) -> RouteId {
+        let new_route = self.next_id();
+        *self.routes_by_address.entry(address).or_insert(new_route)
     }
 
-    fn route_of(&mut self, process: Incarnation) -> Route {
-        let fresh = self.serial();
-        *self.processes.entry(process).or_insert(fresh)
+    fn route_to_incarnation(&mut self, incarnation: Incarnation) -> RouteId {
+        let new_route = self.next_id();
+        *self.routes_by_incarnation.entry(incarnation).or_insert(new_route)
     }
 
-    fn line_changes(&self, route: Route) {
-        self.lines.values().filter(|l| l.route == route).for_each(|l| l.changed.notify_one());
+    fn notify_connections(&self, route: RouteId) {
+        self.connections
+            .values()
+            .filter(|connection| connection.route == route)
+            .for_each(|connection| connection.changed.notify_one());
     }
 
-    fn pass_release_on(&mut self, id: &RequestId) {
-        for conn in self.lines.keys().copied().collect::<Vec<_>>() {
-            self.say(conn, Frame::Release(id.clone()));
+    fn forward_release(&mut self, id: &RequestId) {
+        for conn in self.connections.keys().copied().collect::<Vec<_>>() {
+            self.send(conn, Frame::Release(id.clone()));
         }
     }
 
-    fn push_ends(&mut self, id: &RequestId, end: Result<(), Cause>) {
-        if let Some((_, tell)) = self.pushes.remove(id) {
-            let _ = tell.send(end);
+    fn finish_push(&mut self, id: &RequestId, result: Result<(), Cause>) {
+        if let Some((_, waiter)) = self.pushes.remove(id) {
+            let _ = waiter.send(result);
         }
     }
 
-    fn say(&mut self, conn: Conn, frame: Frame) {
-        let Some(line) = self.lines.get_mut(&conn) else { return };
-        line.queued += weight(&frame);
-        if line.queued > MOST_QUEUED {
-            line.ended.cancel();
+    fn send(&mut self, conn: ConnectionId, frame: Frame) {
+        let Some(connection) = self.connections.get_mut(&conn) else { return };
+        connection.queued_bytes += queued_size(&frame);
+        if connection.queued_bytes > MAX_QUEUED_BYTES {
+            connection.overflowed.cancel();
         } else {
-            let _ = line.items.send(Item::Frame(frame));
+            let _ = connection.outgoing.send(WriteItem::Frame(frame));
         }
     }
 }
 
 /// About the bytes that a waiting frame takes up.
-pub(crate) fn weight(frame: &Frame) -> usize {
-    let more = match frame {
-        Frame::Offer(offer) => offer.proof.leaves().len(),
+pub(crate) fn queued_size(frame: &Frame) -> usize {
+    let payload_bytes = match frame {
+        Frame::Offer(offer) => offer.proof.chunk_hashes().len(),
         Frame::Ask(_, ranges) => ranges.len() * 8,
         Frame::Status(text) => text.len(),
         _ => 0,
     };
-    64 + more
+    64 + payload_bytes
 }
--- a/transfer/src/service/mod.rs
+++ b/transfer/src/service/mod.rs
@@ -1,9 +1,9 @@
 //! The service: the machines on sockets. A [`Node`] is both sides at once; a server embeds one, or runs one
 //! beside itself.
 
+mod activity;
 mod connection;
 mod dial;
-mod ear;
 mod hub;
 mod node;
 mod status;
@@ -75,7 +75,7 @@
     pub fn check(&self) -> Result<(), ConfigError> {
         let (chunk, timeouts) = (self.chunk_bytes, &self.timeouts);
         let checks = [
-            (crate::proof::Shape::new(1, chunk).is_ok(), ConfigError::ChunkSize),
+            (crate::proof::ChunkLayout::new(1, chunk).is_ok(), ConfigError::ChunkSize),
             (self.receiver.window_bytes / 2 >= chunk, ConfigError::Window),
             (self.sender.max_in_flight_bytes >= u64::from(chunk), ConfigError::MaxInFlight),
             (
--- a/transfer/src/service/node.rs
+++ b/transfer/src/service/node.rs
@@ -16,27 +16,27 @@
 use tokio_util::task::AbortOnDropHandle;
 
 use super::connection::serve;
-use super::hub::Hub;
+use super::hub::SessionManager;
 use super::status::Status;
 use super::Config;
 use crate::cause::Cause;
-use crate::proof::{Proof, ShapeError};
-use crate::receiver::State;
-use crate::sender::Ticket;
+use crate::proof::{LayoutError, Proof};
+use crate::receiver::KvCache;
+use crate::sender::PrefillId;
 use crate::wire::RequestId;
-use crate::Token;
+use crate::TransferToken;
 
 /// After a failed accept, as with no descriptor left.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 /// Reports that may wait for whoever listens for them.
-const REPORTS: usize = 4_096;
+const MAX_QUEUED_FREED_REPORTS: usize = 4_096;
 
 /// Why a state could not be put.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StoreError {
     /// Its measures.
     #[error("{0}")]
-    Layout(#[from] ShapeError),
+    Layout(#[from] LayoutError),
     /// Released meanwhile, drained, or no room.
     #[error("{0}")]
     Refused(#[from] Cause),
@@ -64,64 +64,64 @@
 
 /// A state that is whole, proven and this process's own. Its memory is given back when it is dropped.
 pub struct ReceivedCache {
-    state: State,
-    hub: Option<Arc<Hub>>,
+    cache: KvCache,
+    manager: Option<Arc<SessionManager>>,
 }
 
 impl ReceivedCache {
-    pub(crate) fn new(state: State, hub: Arc<Hub>) -> Self {
-        ReceivedCache { state, hub: Some(hub) }
+    pub(crate) fn new(cache: KvCache, manager: Arc<SessionManager>) -> Self {
+        ReceivedCache { cache, manager: Some(manager) }
     }
 
     /// Its length, which whoever calls gives back.
     pub(crate) fn disown(mut self) -> u64 {
-        self.hub = None;
-        self.state.length
+        self.manager = None;
+        self.cache.length
     }
 
     /// The chunks in their order.
     pub fn chunks(&self) -> &[Bytes] {
-        &self.state.chunks
+        &self.cache.chunks
     }
 
     /// Bytes in all.
     pub fn length(&self) -> u64 {
-        self.state.length
+        self.cache.length
     }
 }
 
 impl std::fmt::Debug for ReceivedCache {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "ReceivedCache({} bytes)", self.state.length)
+        write!(f, "ReceivedCache({} bytes)", self.cache.length)
     }
 }
 
 impl Drop for ReceivedCache {
     fn drop(&mut self) {
-        if let Some(hub) = self.hub.take() {
-            hub.give_back(self.state.length);
+        if let Some(manager) = self.manager.take() {
+            manager.release_memory(self.cache.length);
         }
     }
 }
 
 /// A read that is under way. Dropping it gives the read up.
 pub struct ActivePrefill {
-    hub: Arc<Hub>,
-    ticket: Option<Ticket>,
+    manager: Arc<SessionManager>,
+    prefill: Option<PrefillId>,
 }
 
 impl ActivePrefill {
     /// The prompt is read: this is its state. It is held until it is taken, released, or out of time.
-    pub async fn store(mut self, state: Bytes) -> Result<(), StoreError> {
-        let chunk = self.hub.config.chunk_bytes;
-        let hashing = {
-            let state = state.clone();
-            tokio::task::spawn_blocking(move || Proof::of(&state, chunk))
+    pub async fn store(mut self, cache: Bytes) -> Result<(), StoreError> {
+        let chunk_bytes = self.manager.config.chunk_bytes;
+        let hash_task = {
+            let cache = cache.clone();
+            tokio::task::spawn_blocking(move || Proof::compute(&cache, chunk_bytes))
         };
         // Hashing neither panics nor is it cancelled while the runtime lives.
-        let proof = hashing.await.map_err(|_| Cause::Lost)??;
-        match self.ticket.take() {
-            Some(ticket) => Ok(self.hub.put(ticket, state, Arc::new(proof))?),
+        let proof = hash_task.await.map_err(|_| Cause::PeerLost)??;
+        match self.prefill.take() {
+            Some(prefill) => Ok(self.manager.store_prefill(prefill, cache, Arc::new(proof))?),
             None => Err(Cause::Released.into()),
         }
     }
@@ -129,57 +129,60 @@
 
 impl Drop for ActivePrefill {
     fn drop(&mut self) {
-        if let Some(ticket) = self.ticket.take() {
-            self.hub.cancel(ticket);
+        if let Some(prefill) = self.prefill.take() {
+            self.manager.cancel_prefill(prefill);
         }
     }
 }
 
 /// Ends a fetch that nobody waits for any more.
-struct Wanted(Arc<Hub>, Option<Token>);
+struct FetchGuard(Arc<SessionManager>, Option<TransferToken>);
 
-impl Drop for Wanted {
+impl Drop for FetchGuard {
     fn drop(&mut self) {
         if let Some(token) = self.1.take() {
-            self.0.unwanted(token);
+            self.0.cancel_fetch(token);
         }
     }
 }
 
 /// A holder and taker of states. Dropping it ends all that it does.
 pub struct Node {
-    hub: Arc<Hub>,
-    _time: AbortOnDropHandle<()>,
-    doors: std::sync::Mutex<Vec<AbortOnDropHandle<()>>>,
+    manager: Arc<SessionManager>,
+    _expiry_task: AbortOnDropHandle<()>,
+    accept_tasks: std::sync::Mutex<Vec<AbortOnDropHandle<()>>>,
 }
 
 impl Drop for Node {
     fn drop(&mut self) {
-        self.hub.close();
+        self.manager.close();
     }
 }
 
 impl Node {
     /// A node that nobody can reach yet. `incarnation` is drawn anew at each start, and is not 0.
     pub fn new(config: Config, incarnation: u64, log: Logger) -> Self {
-        let hub = Arc::new(Hub::new(config, incarnation.max(1), log));
-        let time = AbortOnDropHandle::new(tokio::spawn(hub.clone().keep_time()));
-        Node { hub, _time: time, doors: std::sync::Mutex::default() }
+        let manager = Arc::new(SessionManager::new(config, incarnation.max(1), log));
+        let expiry_task = AbortOnDropHandle::new(tokio::spawn(manager.clone().run_expiry()));
+        Node { manager, _expiry_task: expiry_task, accept_tasks: std::sync::Mutex::default() }
     }
 
     /// Takes connections there; a port of 0 is chosen by the system.
-    pub async fn listen(&self, at: SocketAddr) -> std::io::Result<SocketAddr> {
-        let listener = TcpListener::bind(at).await?;
-        let at = listener.local_addr()?;
-        let door = accept(self.hub.clone(), listener);
-        self.doors.lock().unwrap_or_else(|e| e.into_inner()).push(AbortOnDropHandle::new(tokio::spawn(door)));
-        Ok(at)
+    pub async fn listen(&self, address: SocketAddr) -> std::io::Result<SocketAddr> {
+        let listener = TcpListener::bind(address).await?;
+        let address = listener.local_addr()?;
+        let accept_task = accept_connections(self.manager.clone(), listener);
+        self.accept_tasks
+            .lock()
+            .unwrap_or_else(|e| e.into_inner())
+            .push(AbortOnDropHandle::new(tokio::spawn(accept_task)));
+        Ok(address)
     }
 
     /// A read begins here.
     pub fn begin_prefill(&self, id: RequestId) -> Result<ActivePrefill, Cause> {
-        let ticket = self.hub.begin(id)?;
-        Ok(ActivePrefill { hub: self.hub.clone(), ticket: Some(ticket) })
+        let prefill = self.manager.begin_prefill(id)?;
+        Ok(ActivePrefill { manager: self.manager.clone(), prefill: Some(prefill) })
     }
 
     /// Fetches a state from whichever of these holders has it. Dropping the future gives it up.
@@ -187,114 +190,116 @@
         &self,
         id: &RequestId,
         from: &[SocketAddr],
-        due: Option<Duration>,
+        deadline: Option<Duration>,
     ) -> Result<ReceivedCache, FetchError> {
-        let mut tries: FuturesUnordered<_> =
-            from.iter().map(|at| self.fetch_from(id.clone(), *at, due)).collect();
-        let mut failed = None;
-        while let Some(end) = tries.next().await {
-            match end {
-                Ok(whole) => return Ok(whole),
+        let mut attempts: FuturesUnordered<_> =
+            from.iter().map(|address| self.fetch_from(id.clone(), *address, deadline)).collect();
+        let mut failure = None;
+        while let Some(result) = attempts.next().await {
+            match result {
+                Ok(cache) => return Ok(cache),
                 // A holder that is not there tells less than one that had it and can't give it.
-                Err(cause) if failed.is_none_or(|f| f == Cause::Gone) => failed = Some(cause),
+                Err(cause) if failure.is_none_or(|earlier| earlier == Cause::NotFound) => {
+                    failure = Some(cause)
+                }
                 Err(_) => {}
             }
         }
-        Err(failed.map_or(FetchError::NoSender, FetchError::Failed))
+        Err(failure.map_or(FetchError::NoSender, FetchError::Failed))
     }
 
     fn fetch_from(
         &self,
         id: RequestId,
         from: SocketAddr,
-        due: Option<Duration>,
+        deadline: Option<Duration>,
     ) -> impl Future<Output = Result<ReceivedCache, Cause>> + use<> {
-        let hub = self.hub.clone();
+        let manager = self.manager.clone();
         async move {
-            let due = due.map(|d| hub.clock.now() + d.as_micros() as u64);
-            let (token, told) = hub.fetch(id, from, due)?;
-            let mut wanted = Wanted(hub, Some(token));
-            let end = told.await.unwrap_or(Err(Cause::Lost));
-            wanted.1 = None;
-            end
+            let deadline = deadline.map(|within| manager.clock.now() + within.as_micros() as u64);
+            let (token, result) = manager.fetch(id, from, deadline)?;
+            let mut guard = FetchGuard(manager, Some(token));
+            let result = result.await.unwrap_or(Err(Cause::PeerLost));
+            guard.1 = None;
+            result
         }
     }
 
     /// Announces a state that is held here to the node at an address; resolves once that owns it.
     pub async fn push(&self, id: &RequestId, to: SocketAddr) -> Result<(), Cause> {
-        self.hub.push(id.clone(), to)?.await.unwrap_or(Err(Cause::Lost))
+        self.manager.push(id.clone(), to)?.await.unwrap_or(Err(Cause::PeerLost))
     }
 
     /// Lets go of all that is held for the request, at both ends of its moves, and of what a read brings.
     /// For a request that has ended.
     pub fn release(&self, id: &RequestId) {
-        self.hub.release(id);
+        self.manager.release(id);
     }
 
     /// Lets go of what is held for the request and no attempt waits for: a read that is under way goes on,
     /// and so does a move until its taker gives it up. What `DELETE /state/{id}` of the platform's protocol
     /// means, as the request's next attempt may be under way beside it.
     pub fn release_unclaimed(&self, id: &RequestId) {
-        self.hub.release_unclaimed(id);
+        self.manager.release_unclaimed(id);
     }
 
     /// Reads nothing more here. What is held may be taken for so long, and is freed then.
     pub fn drain(&self, within: Duration) {
-        info!(self.hub.log, "draining"; "within_ms" => within.as_millis() as u64);
-        self.hub.drain(within.as_micros() as u64);
+        info!(self.manager.log, "draining"; "within_ms" => within.as_millis() as u64);
+        self.manager.drain(within.as_micros() as u64);
     }
 
     /// Resolves once nothing is held and nothing moves.
     pub async fn wait_until_idle(&self) {
         loop {
-            let ended = self.hub.ended.notified();
-            if self.hub.empty() {
+            let transfer_ended = self.manager.transfer_ended.notified();
+            if self.manager.is_idle() {
                 return;
             }
-            ended.await;
+            transfer_ended.await;
         }
     }
 
     /// The states that others have announced, once they are here. One caller gets them: the last.
     pub fn subscribe_pushed(&self) -> mpsc::UnboundedReceiver<PushedCache> {
-        self.hub.inbox()
+        self.manager.subscribe_pushed()
     }
 
     /// The states that were freed here without a taker, and why: their prompts are to be read anew, if they
     /// are still wanted. One caller gets them: the last. What finds no room is not waited for.
     pub fn subscribe_freed(&self) -> mpsc::Receiver<(RequestId, Cause)> {
-        self.hub.reports(REPORTS)
+        self.manager.subscribe_freed(MAX_QUEUED_FREED_REPORTS)
     }
 
     /// Each move to here: whose, bytes that are here and proven, bytes in all once they are known.
     pub fn progress(&self) -> Vec<(RequestId, u64, Option<u64>)> {
-        self.hub.progress()
+        self.manager.progress()
     }
 
     /// What it holds and has done.
     pub fn status(&self) -> Status {
-        self.hub.status()
+        self.manager.status()
     }
 }
 
-async fn accept(hub: Arc<Hub>, listener: TcpListener) {
-    let room = Arc::new(Semaphore::new(hub.config.max_connections));
+async fn accept_connections(manager: Arc<SessionManager>, listener: TcpListener) {
+    let connection_permits = Arc::new(Semaphore::new(manager.config.max_connections));
     loop {
         match listener.accept().await {
-            Ok((stream, peer)) => match room.clone().try_acquire_owned() {
-                Ok(place) => {
-                    let hub = hub.clone();
+            Ok((stream, peer)) => match connection_permits.clone().try_acquire_owned() {
+                Ok(permit) => {
+                    let manager = manager.clone();
                     // It ends with its connection, or with the node.
                     tokio::spawn(async move {
-                        serve(hub, stream, peer, None).await;
-                        drop(place);
+                        serve(manager, stream, peer, None).await;
+                        drop(permit);
                     });
                 }
-                Err(_) => info!(hub.log, "a connection was turned down: too many"; "peer" => peer),
+                Err(_) => info!(manager.log, "a connection was turned down: too many"; "peer" => peer),
             },
             Err(e) => {
-                warn!(hub.log, "no connection could be taken"; "why" => %e);
-                sleep(ACCEPT_PAUSE).await;
+                warn!(manager.log, "no connection could be taken"; "why" => %e);
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
--- a/transfer/src/service/status.rs
+++ b/transfer/src/service/status.rs
@@ -77,11 +77,11 @@
 }
 
 /// Asks the node at an address.
-pub async fn query_status(at: SocketAddr, within: Duration) -> Result<Status, StatusError> {
-    let asking = async {
-        let stream = TcpStream::connect(at).await.map_err(WireError::Io)?;
+pub async fn query_status(address: SocketAddr, within: Duration) -> Result<Status, StatusError> {
+    let query = async {
+        let stream = TcpStream::connect(address).await.map_err(WireError::Io)?;
         let mut frames = Framed::new(stream, Codec::default());
-        let hello = Hello { version: VERSION, features: 0, incarnation: 0, window: 0 };
+        let hello = Hello { version: VERSION, features: 0, incarnation: 0, window_bytes: 0 };
         frames.send(&Frame::Hello(hello)).await?;
         frames.send(&Frame::StatusAsk).await?;
         loop {
@@ -89,9 +89,9 @@
                 Some(Ok(Frame::Status(text))) => return Ok(serde_json::from_slice(&text)?),
                 Some(Ok(_)) => {}
                 Some(Err(e)) => return Err(e.into()),
-                None => return Err(WireError::Torn.into()),
+                None => return Err(WireError::Truncated.into()),
             }
         }
     };
-    timeout(within, asking).await.unwrap_or(Err(StatusError::TimedOut))
+    timeout(within, query).await.unwrap_or(Err(StatusError::TimedOut))
 }
--- a/transfer/src/wire/codec.rs
+++ b/transfer/src/wire/codec.rs
@@ -7,18 +7,18 @@
 use tokio_util::codec::{Decoder, Encoder};
 
 use super::frame::{
-    Frame, Hello, Offer, RequestId, Want, MAX_RANGES, MAX_REQUEST_ID_BYTES, MAX_STATUS, VERSION,
+    Frame, Hello, Offer, RequestId, Want, MAX_RANGES, MAX_REQUEST_ID_BYTES, MAX_STATUS_BYTES, VERSION,
 };
 use crate::cause::Cause;
-use crate::proof::{Proof, Shape, ShapeError, MAX_CHUNK, MAX_CHUNKS};
+use crate::proof::{ChunkLayout, LayoutError, Proof, MAX_CHUNKS, MAX_CHUNK_BYTES};
 
 /// Bytes of a header: length 4, kind 1, three of zero, token 8, index 4, checksum 4.
-pub const HEADER: usize = 24;
-const CHECKED: usize = HEADER - 4;
+pub const HEADER_BYTES: usize = 24;
+const CHECKSUMMED_HEADER_BYTES: usize = HEADER_BYTES - 4;
 /// What a greeting begins with.
 const MAGIC: &[u8; 8] = b"FTXFER\r\n";
 /// Up to this size a buffer is given room for a frame before the frame is there.
-const RESERVE: usize = MAX_CHUNK as usize + HEADER;
+const MAX_RESERVE_BYTES: usize = MAX_CHUNK_BYTES as usize + HEADER_BYTES;
 
 /// Why bytes are no frame. The connection can't be used any further.
 #[derive(Debug, thiserror::Error)]
@@ -28,44 +28,44 @@
     Io(#[from] std::io::Error),
     /// The header's checksum is wrong: no length can be believed.
     #[error("a header's checksum does not fit")]
-    Header,
+    HeaderChecksum,
     /// The body's checksum is wrong.
     #[error("a body's checksum does not fit, in a frame of kind {0}")]
-    Body(u8),
+    BodyChecksum(u8),
     /// An unknown kind of frame.
     #[error("a frame of unknown kind {0}")]
-    Kind(u8),
+    UnknownKind(u8),
     /// Too long for its kind.
-    #[error("a frame of kind {kind} with {length} bytes; {most} are allowed")]
+    #[error("a frame of kind {kind} with {length} bytes; {max_bytes} are allowed")]
     TooLong {
         /// The kind.
         kind: u8,
         /// Its length.
         length: u32,
         /// The bound.
-        most: usize,
+        max_bytes: usize,
     },
     /// The body is not what the kind wants.
     #[error("a frame of kind {0} whose body is malformed")]
     Malformed(u8),
     /// The state's measures are out of bounds.
     #[error("an offer: {0}")]
-    Shape(#[from] ShapeError),
+    Layout(#[from] LayoutError),
     /// The hash over the offer's hashes is not the one it claims.
     #[error("an offer whose hashes do not belong together")]
-    Unproven,
+    HashMismatch,
     /// Another protocol, or none.
     #[error("not this protocol")]
-    Magic,
+    NotThisProtocol,
     /// Another version.
     #[error("version {0} is spoken there, {VERSION} here")]
-    Version(u16),
+    UnsupportedVersion(u16),
     /// Something else than a greeting came first, or a second greeting.
     #[error("a greeting out of place")]
-    Greeting,
+    UnexpectedHello,
     /// The connection ended in the midst of a frame.
     #[error("it ended in the midst of a frame")]
-    Torn,
+    Truncated,
 }
 
 /// Kinds on the wire.
@@ -89,22 +89,22 @@
     pub const GIVE_UP: u8 = 17;
 }
 
-const OFFER_FIXED: usize = 8 + 4 + 8 + 4 + 32;
+const OFFER_FIXED_BYTES: usize = 8 + 4 + 8 + 4 + 32;
 
 /// The longest body of a kind, its checksum not counted.
-fn most(kind: u8) -> Option<usize> {
+fn max_body_bytes(kind: u8) -> Option<usize> {
     Some(match kind {
         kind::HELLO => 8 + 2 + 4 + 8 + 4,
         kind::WANT => 4 + 8 + MAX_REQUEST_ID_BYTES,
-        kind::OFFER => OFFER_FIXED + 32 * MAX_CHUNKS as usize,
+        kind::OFFER => OFFER_FIXED_BYTES + 32 * MAX_CHUNKS as usize,
         kind::ASK => 8 * MAX_RANGES,
-        kind::CHUNK => MAX_CHUNK as usize,
+        kind::CHUNK => MAX_CHUNK_BYTES as usize,
         kind::RELEASE | kind::ANNOUNCE => MAX_REQUEST_ID_BYTES,
         kind::REFUSE => 1 + MAX_REQUEST_ID_BYTES,
         kind::ABORT | kind::GIVE_UP => 1,
         kind::CREDIT | kind::DRAIN => 4,
         kind::COMPLETE | kind::GRANT | kind::BEAT | kind::STATUS_ASK => 0,
-        kind::STATUS => MAX_STATUS,
+        kind::STATUS => MAX_STATUS_BYTES,
         _ => return None,
     })
 }
@@ -120,33 +120,33 @@
 /// Reads and writes frames. The first frame each way is the greeting, and only the first.
 #[derive(Debug, Default)]
 pub struct Codec {
-    greeted: bool,
+    has_hello: bool,
 }
 
 impl Codec {
     fn header(&self, mut bytes: &[u8]) -> Result<Header, WireError> {
-        let sum = crc32c::crc32c(&bytes[..CHECKED]);
+        let checksum = crc32c::crc32c(&bytes[..CHECKSUMMED_HEADER_BYTES]);
         let length = bytes.get_u32();
         let kind = bytes.get_u8();
         bytes.advance(3);
         let (token, index, claimed) = (bytes.get_u64(), bytes.get_u32(), bytes.get_u32());
-        if claimed != sum {
+        if claimed != checksum {
             // Noise from the start is another protocol, and said so.
-            return Err(if self.greeted { WireError::Header } else { WireError::Magic });
+            return Err(if self.has_hello { WireError::HeaderChecksum } else { WireError::NotThisProtocol });
         }
-        let most = most(kind).ok_or(WireError::Kind(kind))?;
-        if length as usize > most {
-            return Err(WireError::TooLong { kind, length, most });
+        let max_bytes = max_body_bytes(kind).ok_or(WireError::UnknownKind(kind))?;
+        if length as usize > max_bytes {
+            return Err(WireError::TooLong { kind, length, max_bytes });
         }
-        if (kind == kind::HELLO) == self.greeted {
-            return Err(WireError::Greeting);
+        if (kind == kind::HELLO) == self.has_hello {
+            return Err(WireError::UnexpectedHello);
         }
         Ok(Header { length: length as usize, kind, token, index })
     }
 }
 
 /// Chunks are proven by their hashes; every other body has a checksum behind it.
-fn tail(kind: u8) -> usize {
+fn checksum_bytes(kind: u8) -> usize {
     if kind == kind::CHUNK {
         0
     } else {
@@ -159,59 +159,64 @@
     type Error = WireError;
 
     fn decode(&mut self, src: &mut BytesMut) -> Result<Option<Frame>, WireError> {
-        let Some(bytes) = src.get(..HEADER) else { return Ok(None) };
+        let Some(bytes) = src.get(..HEADER_BYTES) else { return Ok(None) };
         let header = self.header(bytes)?;
-        let whole = HEADER + header.length + tail(header.kind);
-        if src.len() < whole {
-            src.reserve((whole - src.len()).min(RESERVE));
+        let frame_bytes = HEADER_BYTES + header.length + checksum_bytes(header.kind);
+        if src.len() < frame_bytes {
+            src.reserve((frame_bytes - src.len()).min(MAX_RESERVE_BYTES));
             return Ok(None);
         }
-        let mut body = src.split_to(whole).freeze();
-        if header.kind == kind::CHUNK && src.capacity() < whole {
+        let mut body = src.split_to(frame_bytes).freeze();
+        if header.kind == kind::CHUNK && src.capacity() < frame_bytes {
             // Another such chunk is likely next: it is read to where it stays, without a copy.
-            src.reserve(whole - src.len());
+            src.reserve(frame_bytes - src.len());
         }
-        body.advance(HEADER);
+        body.advance(HEADER_BYTES);
         if header.kind != kind::CHUNK {
             let claimed = body.split_off(header.length).get_u32();
             if crc32c::crc32c(&body) != claimed {
-                return Err(WireError::Body(header.kind));
+                return Err(WireError::BodyChecksum(header.kind));
             }
         }
-        let frame = read(header, body)?;
-        self.greeted = true;
+        let frame = decode_body(header, body)?;
+        self.has_hello = true;
         Ok(Some(frame))
     }
 
     fn decode_eof(&mut self, src: &mut BytesMut) -> Result<Option<Frame>, WireError> {
         match self.decode(src)? {
-            None if !src.is_empty() => Err(WireError::Torn),
+            None if !src.is_empty() => Err(WireError::Truncated),
             frame => Ok(frame),
         }
     }
 }
 
-fn read(header: Header, mut body: Bytes) -> Result<Frame, WireError> {
+fn decode_body(header: Header, mut body: Bytes) -> Result<Frame, WireError> {
     let Header { kind, token, index, .. } = header;
     let malformed = WireError::Malformed(kind);
-    let fixed = match kind {
+    let min_bytes = match kind {
         kind::HELLO => 26,
         kind::WANT => 12,
-        kind::OFFER => OFFER_FIXED,
+        kind::OFFER => OFFER_FIXED_BYTES,
         kind::CREDIT | kind::DRAIN => 4,
         kind::ABORT | kind::GIVE_UP | kind::REFUSE => 1,
         _ => 0,
     };
-    if body.len() < fixed {
+    if body.len() < min_bytes {
         return Err(malformed);
     }
     let frame = match kind {
-        kind::HELLO => Frame::Hello(hello(&mut body)?),
+        kind::HELLO => Frame::Hello(decode_hello(&mut body)?),
         kind::WANT => {
-            let (due_ms, resume) = (body.get_u32(), body.get_u64());
-            Frame::Want(Want { token, id: id(kind, &mut body)?, due_ms, resume })
+            let (deadline_ms, resume_incarnation) = (body.get_u32(), body.get_u64());
+            Frame::Want(Want {
+                token,
+                id: decode_request_id(kind, &mut body)?,
+                deadline_ms,
+                resume_incarnation,
+            })
         }
-        kind::OFFER => Frame::Offer(offer(token, &mut body)?),
+        kind::OFFER => Frame::Offer(decode_offer(token, &mut body)?),
         kind::ASK => {
             if body.len() % 8 != 0 {
                 return Err(malformed);
@@ -226,19 +231,19 @@
         kind::CREDIT => Frame::Credit(body.get_u32()),
         kind::COMPLETE => Frame::Complete(token),
         kind::GRANT => Frame::Grant(token),
-        kind::ABORT => Frame::Abort(token, cause(kind, &mut body)?),
-        kind::GIVE_UP => Frame::GiveUp(token, cause(kind, &mut body)?),
+        kind::ABORT => Frame::Abort(token, decode_cause(kind, &mut body)?),
+        kind::GIVE_UP => Frame::GiveUp(token, decode_cause(kind, &mut body)?),
         kind::DRAIN => Frame::Drain(body.get_u32()),
-        kind::RELEASE => Frame::Release(id(kind, &mut body)?),
-        kind::ANNOUNCE => Frame::Announce(id(kind, &mut body)?),
+        kind::RELEASE => Frame::Release(decode_request_id(kind, &mut body)?),
+        kind::ANNOUNCE => Frame::Announce(decode_request_id(kind, &mut body)?),
         kind::REFUSE => {
-            let cause = cause(kind, &mut body)?;
-            Frame::Refuse(id(kind, &mut body)?, cause)
+            let cause = decode_cause(kind, &mut body)?;
+            Frame::Refuse(decode_request_id(kind, &mut body)?, cause)
         }
         kind::BEAT => Frame::Beat,
         kind::STATUS_ASK => Frame::StatusAsk,
         kind::STATUS => Frame::Status(std::mem::take(&mut body)),
-        _ => return Err(WireError::Kind(kind)),
+        _ => return Err(WireError::UnknownKind(kind)),
     };
     if body.has_remaining() {
         return Err(malformed);
@@ -246,44 +251,44 @@
     Ok(frame)
 }
 
-fn hello(body: &mut Bytes) -> Result<Hello, WireError> {
+fn decode_hello(body: &mut Bytes) -> Result<Hello, WireError> {
     if body.split_to(MAGIC.len())[..] != MAGIC[..] {
-        return Err(WireError::Magic);
+        return Err(WireError::NotThisProtocol);
     }
     let hello = Hello {
         version: body.get_u16(),
         features: body.get_u32(),
         incarnation: body.get_u64(),
-        window: body.get_u32(),
+        window_bytes: body.get_u32(),
     };
     match hello.version {
         VERSION => Ok(hello),
-        other => Err(WireError::Version(other)),
+        other => Err(WireError::UnsupportedVersion(other)),
     }
 }
 
-fn offer(token: u64, body: &mut Bytes) -> Result<Offer, WireError> {
+fn decode_offer(token: u64, body: &mut Bytes) -> Result<Offer, WireError> {
     let (incarnation, limit_ms) = (body.get_u64(), body.get_u32());
-    let shape = Shape::new(body.get_u64(), body.get_u32())?;
+    let layout = ChunkLayout::new(body.get_u64(), body.get_u32())?;
     let mut root = [0; 32];
     body.copy_to_slice(&mut root);
-    let proof = Proof::check(shape, root, std::mem::take(body)).ok_or(WireError::Unproven)?;
+    let proof = Proof::from_parts(layout, root, std::mem::take(body)).ok_or(WireError::HashMismatch)?;
     Ok(Offer { token, incarnation, limit_ms, proof: Arc::new(proof) })
 }
 
-fn id(kind: u8, body: &mut Bytes) -> Result<RequestId, WireError> {
+fn decode_request_id(kind: u8, body: &mut Bytes) -> Result<RequestId, WireError> {
     let text = std::mem::take(body);
     let text = std::str::from_utf8(&text).map_err(|_| WireError::Malformed(kind))?;
     RequestId::new(text).map_err(|_| WireError::Malformed(kind))
 }
 
-fn cause(kind: u8, body: &mut Bytes) -> Result<Cause, WireError> {
+fn decode_cause(kind: u8, body: &mut Bytes) -> Result<Cause, WireError> {
     Cause::from_wire(body.get_u8()).ok_or(WireError::Malformed(kind))
 }
 
 /// The header of a chunk's frame, for a writer that sends the chunk itself without a copy.
 pub(crate) fn chunk_header(token: u64, index: u32, length: usize) -> Bytes {
-    let mut header = BytesMut::with_capacity(HEADER);
+    let mut header = BytesMut::with_capacity(HEADER_BYTES);
     put_header(&mut header, length, kind::CHUNK, token, index);
     header.freeze()
 }
@@ -295,36 +300,36 @@
     dst.put_slice(&[0; 3]);
     dst.put_u64(token);
     dst.put_u32(index);
-    let sum = crc32c::crc32c(&dst[start..]);
-    dst.put_u32(sum);
+    let checksum = crc32c::crc32c(&dst[start..]);
+    dst.put_u32(checksum);
 }
 
 /// A body, its kind and its token.
-fn write(frame: &Frame) -> (u8, u64, BytesMut) {
+fn encode_body(frame: &Frame) -> (u8, u64, BytesMut) {
     let mut body = BytesMut::new();
     let (kind, token) = match frame {
-        Frame::Hello(h) => {
+        Frame::Hello(hello) => {
             body.put_slice(MAGIC);
-            body.put_u16(h.version);
-            body.put_u32(h.features);
-            body.put_u64(h.incarnation);
-            body.put_u32(h.window);
+            body.put_u16(hello.version);
+            body.put_u32(hello.features);
+            body.put_u64(hello.incarnation);
+            body.put_u32(hello.window_bytes);
             (kind::HELLO, 0)
         }
-        Frame::Want(w) => {
-            body.put_u32(w.due_ms);
-            body.put_u64(w.resume);
-            body.put_slice(w.id.as_str().as_bytes());
-            (kind::WANT, w.token)
+        Frame::Want(want) => {
+            body.put_u32(want.deadline_ms);
+            body.put_u64(want.resume_incarnation);
+            body.put_slice(want.id.as_str().as_bytes());
+            (kind::WANT, want.token)
         }
-        Frame::Offer(o) => {
-            body.put_u64(o.incarnation);
-            body.put_u32(o.limit_ms);
-            body.put_u64(o.proof.shape().length());
-            body.put_u32(o.proof.shape().chunk());
-            body.put_slice(o.proof.root());
-            body.put_slice(o.proof.leaves());
-            (kind::OFFER, o.token)
+        Frame::Offer(offer) => {
+            body.put_u64(offer.incarnation);
+            body.put_u32(offer.limit_ms);
+            body.put_u64(offer.proof.layout().length());
+            body.put_u32(offer.proof.layout().chunk_bytes());
+            body.put_slice(offer.proof.root());
+            body.put_slice(offer.proof.chunk_hashes());
+            (kind::OFFER, offer.token)
         }
         Frame::Ask(token, ranges) => {
             for range in ranges {
@@ -382,11 +387,11 @@
     type Error = WireError;
 
     fn encode(&mut self, frame: &Frame, dst: &mut BytesMut) -> Result<(), WireError> {
-        let (kind, token, body) = write(frame);
+        let (kind, token, body) = encode_body(frame);
         let index = if let Frame::Chunk(_, index, _) = frame { *index } else { 0 };
         put_header(dst, body.len(), kind, token, index);
         dst.put_slice(&body);
-        if tail(kind) > 0 {
+        if checksum_bytes(kind) > 0 {
             dst.put_u32(crc32c::crc32c(&body));
         }
         Ok(())
--- a/transfer/src/wire/frame.rs
+++ b/transfer/src/wire/frame.rs
@@ -7,7 +7,7 @@
 
 use crate::cause::Cause;
 use crate::proof::Proof;
-use crate::{Incarnation, Token};
+use crate::{Incarnation, TransferToken};
 
 /// The version spoken here.
 pub const VERSION: u16 = 1;
@@ -16,7 +16,7 @@
 /// The most ranges in one frame: every other chunk of the largest state.
 pub const MAX_RANGES: usize = 1 << 15;
 /// The longest status text, in bytes.
-pub const MAX_STATUS: usize = 1 << 20;
+pub const MAX_STATUS_BYTES: usize = 1 << 20;
 
 /// A request's id: the name of its state.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -57,27 +57,27 @@
     /// Its process.
     pub incarnation: Incarnation,
     /// Bytes of chunks that may be on their way to it before it has given credit.
-    pub window: u32,
+    pub window_bytes: u32,
 }
 
 /// A taker comes for a state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Want {
     /// The taker's name for the move.
-    pub token: Token,
+    pub token: TransferToken,
     /// Whose state.
     pub id: RequestId,
     /// How soon it is needed, in milliseconds from now; 0: at no certain time.
-    pub due_ms: u32,
+    pub deadline_ms: u32,
     /// The holder's process, where the move has begun before; 0 for a new one.
-    pub resume: Incarnation,
+    pub resume_incarnation: Incarnation,
 }
 
 /// The holder has it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Offer {
     /// The taker's name for the move.
-    pub token: Token,
+    pub token: TransferToken,
     /// The holder's process.
     pub incarnation: Incarnation,
     /// The longest that the move may take from here, in milliseconds.
@@ -96,19 +96,19 @@
     /// Holder to taker: here it is.
     Offer(Offer),
     /// Taker to holder: send these chunks; there is room for them.
-    Ask(Token, Vec<Range<u32>>),
+    Ask(TransferToken, Vec<Range<u32>>),
     /// Holder to taker: one chunk, not yet proven.
-    Chunk(Token, u32, Bytes),
+    Chunk(TransferToken, u32, Bytes),
     /// Taker to holder: so many more bytes of chunks may be sent.
     Credit(u32),
     /// Taker to holder: the whole is here and proven.
-    Complete(Token),
+    Complete(TransferToken),
     /// Holder to taker: it is yours; the holder's copy has gone.
-    Grant(Token),
+    Grant(TransferToken),
     /// Holder to taker: the move is over.
-    Abort(Token, Cause),
+    Abort(TransferToken, Cause),
     /// Taker to holder: the move is over. Apart from the other, as either side names its own moves.
-    GiveUp(Token, Cause),
+    GiveUp(TransferToken, Cause),
     /// Holder to taker: what has not moved within so many milliseconds is freed.
     Drain(u32),
     /// Either way: let go of all that is held for the request.
--- a/transfer/tests/hard_cases.rs
+++ b/transfer/tests/hard_cases.rs
@@ -3,269 +3,270 @@
 mod support;
 
 use frosttrail_transfer::cause::Cause;
-use frosttrail_transfer::memory::{Memory, Room};
+use frosttrail_transfer::memory::{MemoryBudget, Reservation};
 use frosttrail_transfer::proof::Proof;
 use frosttrail_transfer::wire::{Offer, Want};
 use frosttrail_transfer::{receiver, sender};
 use support::*;
 
-const LENGTH: usize = 20 * CHUNK as usize;
+const LENGTH: usize = 20 * CHUNK_BYTES as usize;
 
-fn world(takers: usize) -> World {
-    let sender = sender::Limits { max_in_flight_bytes: 16 * u64::from(CHUNK), ..Default::default() };
+fn sim(receivers: usize) -> Simulation {
+    let sender = sender::Limits { max_in_flight_bytes: 16 * u64::from(CHUNK_BYTES), ..Default::default() };
     let receiver =
-        receiver::Limits { max_memory_bytes: 1 << 20, window_bytes: 4 * CHUNK, ..Default::default() };
-    World::new(takers, sender, receiver)
+        receiver::Limits { max_memory_bytes: 1 << 20, window_bytes: 4 * CHUNK_BYTES, ..Default::default() };
+    Simulation::new(receivers, sender, receiver)
 }
 
-/// A world in which taker 0 fetches `r1`, and so many frames have passed each way.
-fn under_way(frames: usize) -> (World, u64) {
-    let mut world = world(2);
-    world.put(1, LENGTH).unwrap();
-    let token = world.fetch(0, 1, None).unwrap();
-    world.frames(frames);
-    (world, token)
+/// A sim in which taker 0 fetches `r1`, and so many frames have passed each way.
+fn under_way(frames: usize) -> (Simulation, u64) {
+    let mut sim = sim(2);
+    sim.store(1, LENGTH).unwrap();
+    let token = sim.fetch(0, 1, None).unwrap();
+    sim.deliver_frames(frames);
+    (sim, token)
 }
 
 /// How a fetch ended; `None` while it goes on.
-fn end(world: &World, taker: usize, token: u64) -> Option<Result<(), Cause>> {
-    world.takers[taker].ends.get(&token).map(|e| e.as_ref().map(|_| ()).map_err(|c| *c))
+fn fetch_result(sim: &Simulation, receiver: usize, token: u64) -> Option<Result<(), Cause>> {
+    sim.receivers[receiver].results.get(&token).map(|e| e.as_ref().map(|_| ()).map_err(|c| *c))
 }
 
-fn resent(world: &World) -> u32 {
-    world.sent.values().map(|n| n - 1).sum()
+fn chunks_resent(sim: &Simulation) -> u32 {
+    sim.times_sent.values().map(|n| n - 1).sum()
 }
 
 #[test]
 fn a_cut_at_any_frame_costs_at_most_what_was_on_its_way() {
     for frames in 0..60 {
-        let (mut world, token) = under_way(frames);
-        let before = world.takers[0].ends.contains_key(&token);
-        world.dark = true;
-        world.cut_all();
-        world.advance(500_000);
-        assert!(before || end(&world, 0, token).is_none(), "given up early, cut at {frames}");
-        world.dark = false;
-        world.advance(100_000);
-        assert_eq!(end(&world, 0, token), Some(Ok(())), "cut at {frames}");
-        assert!(resent(&world) <= 4, "{} chunks sent again, cut at {frames}", resent(&world));
-        assert_eq!(world.holder.held(), (0, 0));
+        let (mut sim, token) = under_way(frames);
+        let before = sim.receivers[0].results.contains_key(&token);
+        sim.is_offline = true;
+        sim.close_connections();
+        sim.advance(500_000);
+        assert!(before || fetch_result(&sim, 0, token).is_none(), "given up early, cut at {frames}");
+        sim.is_offline = false;
+        sim.advance(100_000);
+        assert_eq!(fetch_result(&sim, 0, token), Some(Ok(())), "cut at {frames}");
+        assert!(chunks_resent(&sim) <= 4, "{} chunks sent again, cut at {frames}", chunks_resent(&sim));
+        assert_eq!(sim.sender.held(), (0, 0));
     }
 }
 
 #[test]
 fn a_link_that_is_back_after_five_seconds_finds_both_ends_free() {
     for frames in 0..60 {
-        let (mut world, token) = under_way(frames);
-        world.dark = true;
-        world.cut_all();
-        world.advance(RULE);
-        assert!(world.takers[0].ends.contains_key(&token));
-        assert_eq!(world.holder.held(), (0, 0), "cut at {frames}");
-        world.drop_states();
-        assert_eq!(world.takers[0].machine.moves(), (0, 0, 0));
-        world.advance(4_000_000);
-        world.dark = false;
-        let again = world.fetch(0, 1, None).unwrap();
-        world.advance(100_000);
-        assert_eq!(end(&world, 0, again), Some(Err(Cause::Gone)));
+        let (mut sim, token) = under_way(frames);
+        sim.is_offline = true;
+        sim.close_connections();
+        sim.advance(MAX_IDLE_HOLD);
+        assert!(sim.receivers[0].results.contains_key(&token));
+        assert_eq!(sim.sender.held(), (0, 0), "cut at {frames}");
+        sim.drop_received();
+        assert_eq!(sim.receivers[0].machine.usage(), (0, 0, 0));
+        sim.advance(4_000_000);
+        sim.is_offline = false;
+        let again = sim.fetch(0, 1, None).unwrap();
+        sim.advance(100_000);
+        assert_eq!(fetch_result(&sim, 0, again), Some(Err(Cause::NotFound)));
     }
 }
 
 #[test]
 fn a_link_that_stalls_without_closing_is_cut_and_the_move_goes_on_over_another() {
-    let (mut world, token) = under_way(6);
-    world.dark = true;
-    world.advance(500_000);
-    world.dark = false;
-    world.advance(100_000);
-    assert_eq!(end(&world, 0, token), Some(Ok(())));
-    let (mut world, token) = under_way(6);
-    world.dark = true;
-    world.advance(RULE);
-    assert_eq!(end(&world, 0, token), Some(Err(Cause::Lost)));
-    assert_eq!(world.holder.held(), (0, 0));
+    let (mut sim, token) = under_way(6);
+    sim.is_offline = true;
+    sim.advance(500_000);
+    sim.is_offline = false;
+    sim.advance(100_000);
+    assert_eq!(fetch_result(&sim, 0, token), Some(Ok(())));
+    let (mut sim, token) = under_way(6);
+    sim.is_offline = true;
+    sim.advance(MAX_IDLE_HOLD);
+    assert_eq!(fetch_result(&sim, 0, token), Some(Err(Cause::PeerLost)));
+    assert_eq!(sim.sender.held(), (0, 0));
 }
 
 #[test]
 fn a_chunk_is_asked_for_again_so_many_times_and_no_more() {
     let tries = u32::from(receiver::Limits::default().max_chunk_attempts);
     for flips in [1, tries - 1] {
-        let mut world = world(1);
-        world.put(1, CHUNK as usize).unwrap();
-        world.flips = flips;
-        let token = world.fetch(0, 1, None).unwrap();
-        world.advance(SLICE);
-        assert_eq!(end(&world, 0, token), Some(Ok(())));
-        assert_eq!(resent(&world), flips);
+        let mut sim = sim(1);
+        sim.store(1, CHUNK_BYTES as usize).unwrap();
+        sim.chunks_to_corrupt = flips;
+        let token = sim.fetch(0, 1, None).unwrap();
+        sim.advance(TIME_STEP);
+        assert_eq!(fetch_result(&sim, 0, token), Some(Ok(())));
+        assert_eq!(chunks_resent(&sim), flips);
     }
-    let mut world = world(1);
-    world.put(1, CHUNK as usize).unwrap();
-    world.flips = u32::MAX;
-    let token = world.fetch(0, 1, None).unwrap();
-    world.advance(SLICE);
-    assert_eq!(end(&world, 0, token), Some(Err(Cause::Corrupt)));
-    assert_eq!(resent(&world), tries - 1);
+    let mut sim = sim(1);
+    sim.store(1, CHUNK_BYTES as usize).unwrap();
+    sim.chunks_to_corrupt = u32::MAX;
+    let token = sim.fetch(0, 1, None).unwrap();
+    sim.advance(TIME_STEP);
+    assert_eq!(fetch_result(&sim, 0, token), Some(Err(Cause::Corrupt)));
+    assert_eq!(chunks_resent(&sim), tries - 1);
     // Both ends are free, and the holder says so at once.
-    assert_eq!(world.freed, [(id(1), Cause::Corrupt)]);
-    assert_eq!((world.holder.held().0, world.takers[0].machine.moves()), (0, (0, 0, 0)));
+    assert_eq!(sim.freed, [(id(1), Cause::Corrupt)]);
+    assert_eq!((sim.sender.held().0, sim.receivers[0].machine.usage()), (0, (0, 0, 0)));
 }
 
 #[test]
 fn connections_that_break_again_and_again_bring_a_move_to_an_end() {
-    let (mut world, token) = under_way(0);
+    let (mut sim, token) = under_way(0);
     for _ in 0..=receiver::Limits::default().max_connection_losses {
-        assert!(end(&world, 0, token).is_none());
+        assert!(fetch_result(&sim, 0, token).is_none());
         // Far enough for the greeting and the offer, and for no chunk.
-        world.frames(2);
-        world.cut_all();
+        sim.deliver_frames(2);
+        sim.close_connections();
     }
-    assert_eq!(end(&world, 0, token), Some(Err(Cause::Lost)));
-    world.advance(RULE);
-    assert_eq!(world.holder.held(), (0, 0));
+    assert_eq!(fetch_result(&sim, 0, token), Some(Err(Cause::PeerLost)));
+    sim.advance(MAX_IDLE_HOLD);
+    assert_eq!(sim.sender.held(), (0, 0));
 }
 
 #[test]
 fn a_restarted_holder_never_goes_on_with_an_older_ones_state() {
     for frames in [2, 6, 12, 18] {
-        let (mut world, token) = under_way(frames);
-        world.restart_holder();
+        let (mut sim, token) = under_way(frames);
+        sim.restart_sender();
         // The same request has been read again there: the same name, another state.
-        world.put(1, LENGTH).unwrap();
-        world.advance(100_000);
-        assert_eq!(end(&world, 0, token), Some(Err(Cause::Gone)), "{frames}");
+        sim.store(1, LENGTH).unwrap();
+        sim.advance(100_000);
+        assert_eq!(fetch_result(&sim, 0, token), Some(Err(Cause::NotFound)), "{frames}");
         // Whoever comes for the new one gets the new one: the world compares.
-        let token = world.fetch(0, 1, None).unwrap();
-        world.advance(100_000);
-        assert_eq!(end(&world, 0, token), Some(Ok(())));
+        let token = sim.fetch(0, 1, None).unwrap();
+        sim.advance(100_000);
+        assert_eq!(fetch_result(&sim, 0, token), Some(Ok(())));
     }
 }
 
 #[test]
 fn a_read_that_takes_the_place_of_another_ends_its_move() {
-    let (mut world, token) = under_way(6);
-    world.put(1, LENGTH).unwrap();
-    world.advance(SLICE);
-    assert_eq!(end(&world, 0, token), Some(Err(Cause::Superseded)));
-    assert_eq!(world.freed, [(id(1), Cause::Superseded)]);
-    assert_eq!(world.holder.held().0, 1);
+    let (mut sim, token) = under_way(6);
+    sim.store(1, LENGTH).unwrap();
+    sim.advance(TIME_STEP);
+    assert_eq!(fetch_result(&sim, 0, token), Some(Err(Cause::Superseded)));
+    assert_eq!(sim.freed, [(id(1), Cause::Superseded)]);
+    assert_eq!(sim.sender.held().0, 1);
 }
 
 #[test]
 fn the_last_of_two_takers_gets_it_and_the_first_does_not_come_back() {
-    let (mut world, first) = under_way(6);
-    let second = world.fetch(1, 1, None).unwrap();
-    world.advance(SLICE);
-    assert_eq!(end(&world, 0, first), Some(Err(Cause::Superseded)));
-    assert_eq!(end(&world, 1, second), Some(Ok(())));
+    let (mut sim, first) = under_way(6);
+    let second = sim.fetch(1, 1, None).unwrap();
+    sim.advance(TIME_STEP);
+    assert_eq!(fetch_result(&sim, 0, first), Some(Err(Cause::Superseded)));
+    assert_eq!(fetch_result(&sim, 1, second), Some(Ok(())));
     // The first is cut off meanwhile and has not heard: it comes back to take it up again.
-    let (mut world, first) = under_way(6);
-    world.cut_all();
-    let want = Want { token: 1, id: id(1), due_ms: 0, resume: 0 };
-    let hello = frosttrail_transfer::wire::Hello { version: 1, features: 0, incarnation: 77, window: 1 };
-    world.holder.up(world.now, 900, hello);
-    world.holder.want(world.now, 900, want).unwrap();
-    world.advance(SLICE);
-    assert_eq!(end(&world, 0, first), Some(Err(Cause::Superseded)));
-    // Once it belongs to one taker, no other gets it.
-    let (mut world, first) = under_way(100);
-    let second = world.fetch(1, 1, None).unwrap();
-    world.advance(SLICE);
-    assert_eq!(end(&world, 0, first), Some(Ok(())));
-    assert_eq!(end(&world, 1, second), Some(Err(Cause::Taken)));
+    let (mut sim, first) = under_way(6);
+    sim.close_connections();
+    let want = Want { token: 1, id: id(1), deadline_ms: 0, resume_incarnation: 0 };
+    let hello =
+        frosttrail_transfer::wire::Hello { version: 1, features: 0, incarnation: 77, window_bytes: 1 };
+    sim.sender.add_connection(sim.now, 900, hello);
+    sim.sender.handle_want(sim.now, 900, want).unwrap();
+    sim.advance(TIME_STEP);
+    assert_eq!(fetch_result(&sim, 0, first), Some(Err(Cause::Superseded)));
+    // Once it belongs to one receiver, no other gets it.
+    let (mut sim, first) = under_way(100);
+    let second = sim.fetch(1, 1, None).unwrap();
+    sim.advance(TIME_STEP);
+    assert_eq!(fetch_result(&sim, 0, first), Some(Ok(())));
+    assert_eq!(fetch_result(&sim, 1, second), Some(Err(Cause::OwnedElsewhere)));
 }
 
 #[test]
 fn a_taker_that_has_not_heard_that_it_is_the_owner_hears_it_after_a_cut() {
-    let mut world = world(1);
-    world.put(1, CHUNK as usize).unwrap();
-    let token = world.fetch(0, 1, None).unwrap();
+    let mut sim = sim(1);
+    sim.store(1, CHUNK_BYTES as usize).unwrap();
+    let token = sim.fetch(0, 1, None).unwrap();
     // Want, offer, ask, chunk and complete have passed; the grant has not.
-    while world.holder.held().0 == 1 {
-        assert!(end(&world, 0, token).is_none());
-        world.frames(1);
+    while sim.sender.held().0 == 1 {
+        assert!(fetch_result(&sim, 0, token).is_none());
+        sim.deliver_frames(1);
     }
-    assert!(end(&world, 0, token).is_none(), "nobody's for now");
-    world.cut_all();
-    world.advance(SLICE);
-    assert_eq!(end(&world, 0, token), Some(Ok(())));
-    world.drop_states();
-    assert!(world.dropped(1), "given away, the holder's copy has gone");
-    // Not for ever: a note of who owns what is gone after a second, and so is the taker's copy.
-    world.put(2, CHUNK as usize).unwrap();
-    let token = world.fetch(0, 2, None).unwrap();
-    while world.holder.held().0 == 1 {
-        world.frames(1);
+    assert!(fetch_result(&sim, 0, token).is_none(), "nobody's for now");
+    sim.close_connections();
+    sim.advance(TIME_STEP);
+    assert_eq!(fetch_result(&sim, 0, token), Some(Ok(())));
+    sim.drop_received();
+    assert!(sim.is_last_cache_freed(1), "given away, the holder's copy has gone");
+    // Not for ever: a note of who owns what is gone after a second, and so is the receiver's copy.
+    sim.store(2, CHUNK_BYTES as usize).unwrap();
+    let token = sim.fetch(0, 2, None).unwrap();
+    while sim.sender.held().0 == 1 {
+        sim.deliver_frames(1);
     }
-    world.dark = true;
-    world.cut_all();
-    world.advance(RULE);
-    assert_eq!(end(&world, 0, token), Some(Err(Cause::Lost)));
-    assert_eq!(world.takers[0].machine.moves(), (0, 0, 0));
+    sim.is_offline = true;
+    sim.close_connections();
+    sim.advance(MAX_IDLE_HOLD);
+    assert_eq!(fetch_result(&sim, 0, token), Some(Err(Cause::PeerLost)));
+    assert_eq!(sim.receivers[0].machine.usage(), (0, 0, 0));
 }
 
 #[test]
 fn a_release_frees_both_ends_before_the_offer_during_the_move_and_twice() {
     for frames in 0..40 {
-        for at_taker in [false, true] {
-            let (mut world, token) = under_way(frames);
+        for at_receiver in [false, true] {
+            let (mut sim, token) = under_way(frames);
             for _ in 0..2 {
-                match at_taker {
-                    false => world.holder.release(&id(1)),
-                    true => world.takers[0].machine.release(&id(1)),
+                match at_receiver {
+                    false => sim.sender.release(&id(1)),
+                    true => sim.receivers[0].machine.release(&id(1)),
                 }
-                world.settle();
+                sim.run_actions();
             }
-            world.advance(SLICE);
-            let ended = end(&world, 0, token).unwrap();
-            // Released before its taker has come, it is not there for the taker.
-            let cause = if frames == 0 && !at_taker { Cause::Gone } else { Cause::Released };
+            sim.advance(TIME_STEP);
+            let ended = fetch_result(&sim, 0, token).unwrap();
+            // Released before its taker has come, it is not there for the receiver.
+            let cause = if frames == 0 && !at_receiver { Cause::NotFound } else { Cause::Released };
             assert!(ended.is_ok() || ended == Err(cause), "{ended:?} at {frames}");
-            // Before the taker's word has reached the holder, the state waits for its time to end.
-            world.advance(RULE);
-            world.drop_states();
-            assert_eq!(world.holder.held(), (0, 0), "{frames}");
-            assert_eq!(world.takers[0].machine.moves(), (0, 0, 0), "{frames}");
+            // Before the receiver's word has reached the sender, the state waits for its time to end.
+            sim.advance(MAX_IDLE_HOLD);
+            sim.drop_received();
+            assert_eq!(sim.sender.held(), (0, 0), "{frames}");
+            assert_eq!(sim.receivers[0].machine.usage(), (0, 0, 0), "{frames}");
         }
     }
 }
 
 #[test]
 fn a_release_in_the_midst_of_a_read_frees_what_it_brings_and_no_later_read() {
-    let mut world = world(1);
-    let ticket = world.holder.begin(id(1)).unwrap();
-    world.holder.release(&id(1));
+    let mut sim = sim(1);
+    let ticket = sim.sender.begin_prefill(id(1)).unwrap();
+    sim.sender.release(&id(1));
     let state = content(1, 100);
-    let proof = std::sync::Arc::new(frosttrail_transfer::proof::Proof::of(&state, CHUNK).unwrap());
-    assert_eq!(world.holder.put(0, ticket, state, proof), Err(Cause::Released));
-    assert_eq!(world.holder.held().0, 0);
-    world.put(1, 100).unwrap();
-    assert_eq!(world.holder.held().0, 1);
+    let proof = std::sync::Arc::new(frosttrail_transfer::proof::Proof::compute(&state, CHUNK_BYTES).unwrap());
+    assert_eq!(sim.sender.store_prefill(0, ticket, state, proof), Err(Cause::Released));
+    assert_eq!(sim.sender.held().0, 0);
+    sim.store(1, 100).unwrap();
+    assert_eq!(sim.sender.held().0, 1);
 }
 
 #[test]
 fn a_release_of_what_nobody_waits_for_leaves_a_read_and_a_move_alone() {
-    let mut world = world(1);
-    let ticket = world.holder.begin(id(1)).unwrap();
-    world.holder.release_unclaimed(&id(1), None);
+    let mut sim = sim(1);
+    let ticket = sim.sender.begin_prefill(id(1)).unwrap();
+    sim.sender.release_unclaimed(&id(1), None);
     let state = content(1, 100);
-    let proof = std::sync::Arc::new(frosttrail_transfer::proof::Proof::of(&state, CHUNK).unwrap());
-    world.holder.put(0, ticket, state, proof).unwrap();
+    let proof = std::sync::Arc::new(frosttrail_transfer::proof::Proof::compute(&state, CHUNK_BYTES).unwrap());
+    sim.sender.store_prefill(0, ticket, state, proof).unwrap();
     // Held, and nobody has come for it.
-    world.holder.release_unclaimed(&id(1), None);
-    assert_eq!(world.holder.held().0, 0);
+    sim.sender.release_unclaimed(&id(1), None);
+    assert_eq!(sim.sender.held().0, 0);
     for frames in 1..40 {
         for given_up in [false, true] {
-            let (mut world, token) = under_way(frames);
-            world.holder.release_unclaimed(&id(1), None);
+            let (mut sim, token) = under_way(frames);
+            sim.sender.release_unclaimed(&id(1), None);
             if given_up {
-                world.drop_fetches(0, 1);
-                world.settle();
-                world.advance(SLICE);
-                assert_eq!(world.holder.held().0, 0, "gone with its taker at {frames}");
+                sim.cancel_fetches(0, 1);
+                sim.run_actions();
+                sim.advance(TIME_STEP);
+                assert_eq!(sim.sender.held().0, 0, "gone with its taker at {frames}");
             } else {
-                world.advance(RULE);
-                assert!(end(&world, 0, token).unwrap().is_ok(), "taken at {frames}");
+                sim.advance(MAX_IDLE_HOLD);
+                assert!(fetch_result(&sim, 0, token).unwrap().is_ok(), "taken at {frames}");
             }
         }
     }
@@ -274,133 +275,141 @@
 #[test]
 fn a_client_that_goes_in_the_midst_leaves_nothing_at_either_end() {
     for frames in 0..40 {
-        let (mut world, token) = under_way(frames);
-        world.drop_fetches(0, 1);
-        assert!(end(&world, 0, token).is_some());
-        assert!(world.takers[0].ends[&token].is_ok() || world.takers[0].machine.moves() == (0, 0, 0));
-        world.advance(RULE);
-        assert_eq!(world.holder.held(), (0, 0));
+        let (mut sim, token) = under_way(frames);
+        sim.cancel_fetches(0, 1);
+        assert!(fetch_result(&sim, 0, token).is_some());
+        assert!(sim.receivers[0].results[&token].is_ok() || sim.receivers[0].machine.usage() == (0, 0, 0));
+        sim.advance(MAX_IDLE_HOLD);
+        assert_eq!(sim.sender.held(), (0, 0));
     }
 }
 
 #[test]
 fn a_drain_lets_go_on_what_is_held_refuses_what_is_new_and_frees_the_rest_in_time() {
-    let mut world = world(2);
+    let mut sim = sim(2);
     for name in 1..4 {
-        world.put(name, LENGTH).unwrap();
+        sim.store(name, LENGTH).unwrap();
     }
-    let under_way = world.fetch(0, 1, None).unwrap();
-    world.frames(6);
-    world.holder.drain(world.now, world.now + 600_000);
-    assert_eq!(world.put(4, LENGTH), Err(Cause::Drained));
-    let held = world.fetch(1, 2, None).unwrap();
-    let unknown = world.fetch(1, 4, None).unwrap();
-    world.advance(SLICE);
-    assert_eq!(end(&world, 0, under_way), Some(Ok(())), "a move under way goes on");
-    assert_eq!(end(&world, 1, held), Some(Ok(())), "what was read before may be taken");
-    assert_eq!(end(&world, 1, unknown), Some(Err(Cause::Drained)));
+    let under_way = sim.fetch(0, 1, None).unwrap();
+    sim.deliver_frames(6);
+    sim.sender.drain(sim.now, sim.now + 600_000);
+    assert_eq!(sim.store(4, LENGTH), Err(Cause::Drained));
+    let held = sim.fetch(1, 2, None).unwrap();
+    let unknown = sim.fetch(1, 4, None).unwrap();
+    sim.advance(TIME_STEP);
+    assert_eq!(fetch_result(&sim, 0, under_way), Some(Ok(())), "a move under way goes on");
+    assert_eq!(fetch_result(&sim, 1, held), Some(Ok(())), "what was read before may be taken");
+    assert_eq!(fetch_result(&sim, 1, unknown), Some(Err(Cause::Drained)));
     // r3 is being taken by one who gets no further.
-    let late = world.fetch(0, 3, None).unwrap();
-    world.frames(4);
-    world.dark = true;
-    world.advance(300_000);
-    assert_eq!(world.holder.held().0, 1);
-    world.advance(300_000);
-    assert_eq!(world.holder.held(), (0, 0));
-    assert_eq!(world.freed, [(id(3), Cause::Drained)], "reported, so that it is read anew");
-    world.dark = false;
-    world.advance(200_000);
+    let late = sim.fetch(0, 3, None).unwrap();
+    sim.deliver_frames(4);
+    sim.is_offline = true;
+    sim.advance(300_000);
+    assert_eq!(sim.sender.held().0, 1);
+    sim.advance(300_000);
+    assert_eq!(sim.sender.held(), (0, 0));
+    assert_eq!(sim.freed, [(id(3), Cause::Drained)], "reported, so that it is read anew");
+    sim.is_offline = false;
+    sim.advance(200_000);
     // The offer had told the taker until when.
-    assert_eq!(end(&world, 0, late), Some(Err(Cause::Expired)));
+    assert_eq!(fetch_result(&sim, 0, late), Some(Err(Cause::Expired)));
 }
 
 #[test]
 fn a_full_taker_lets_moves_wait_and_drops_none() {
     let receiver = receiver::Limits {
         max_memory_bytes: LENGTH as u64 * 2,
-        window_bytes: 4 * CHUNK,
+        window_bytes: 4 * CHUNK_BYTES,
         ..Default::default()
     };
-    let mut world = World::new(1, sender::Limits::default(), receiver);
+    let mut sim = Simulation::new(1, sender::Limits::default(), receiver);
     for name in 1..7 {
-        world.put(name, LENGTH).unwrap();
+        sim.store(name, LENGTH).unwrap();
     }
     let due = |name: u8| (name == 6).then_some(800_000);
-    let tokens: Vec<u64> = (1..7).map(|name| world.fetch(0, name, due(name)).unwrap()).collect();
-    world.advance(SLICE);
-    let done = |world: &World| tokens.iter().map(|t| end(world, 0, *t).is_some()).collect::<Vec<_>>();
-    assert_eq!(done(&world), [true, true, false, false, false, false]);
-    assert_eq!(world.takers[0].machine.moves(), (4, 4, LENGTH as u64 * 2));
-    // Longer than a state is held without its taker, as its taker is there.
-    world.advance(2 * RULE);
-    assert_eq!(world.holder.held().0, 4);
-    world.drop_states();
-    world.advance(SLICE);
+    let tokens: Vec<u64> = (1..7).map(|name| sim.fetch(0, name, due(name)).unwrap()).collect();
+    sim.advance(TIME_STEP);
+    let done =
+        |sim: &Simulation| tokens.iter().map(|t| fetch_result(sim, 0, *t).is_some()).collect::<Vec<_>>();
+    assert_eq!(done(&sim), [true, true, false, false, false, false]);
+    assert_eq!(sim.receivers[0].machine.usage(), (4, 4, LENGTH as u64 * 2));
+    // Longer than a state is held without its receiver, as its taker is there.
+    sim.advance(2 * MAX_IDLE_HOLD);
+    assert_eq!(sim.sender.held().0, 4);
+    sim.drop_received();
+    sim.advance(TIME_STEP);
     // The one with a time goes before those that came first.
-    assert!(world.takers[0].ends.contains_key(&tokens[5]) && world.takers[0].ends.contains_key(&tokens[2]));
-    while world.takers[0].machine.moves().0 > 0 {
-        world.drop_states();
-        world.advance(SLICE);
+    assert!(
+        sim.receivers[0].results.contains_key(&tokens[5])
+            && sim.receivers[0].results.contains_key(&tokens[2])
+    );
+    while sim.receivers[0].machine.usage().0 > 0 {
+        sim.drop_received();
+        sim.advance(TIME_STEP);
     }
-    assert!(world.freed.is_empty());
+    assert!(sim.freed.is_empty());
     let token = {
-        world.put(8, LENGTH * 3).unwrap();
-        world.fetch(0, 8, None).unwrap()
+        sim.store(8, LENGTH * 3).unwrap();
+        sim.fetch(0, 8, None).unwrap()
     };
-    world.advance(SLICE);
-    assert_eq!(end(&world, 0, token), Some(Err(Cause::TooLarge)));
+    sim.advance(TIME_STEP);
+    assert_eq!(fetch_result(&sim, 0, token), Some(Err(Cause::TooLarge)));
 }
 
 #[test]
 fn a_small_state_does_not_pass_a_large_one_that_waits_for_memory() {
-    let mut memory = Memory::new(100);
-    assert_eq!(memory.want(1, 60, u64::MAX), Room::Now);
-    assert_eq!(memory.want(2, 80, u64::MAX), Room::Later);
-    assert_eq!(memory.want(3, 20, u64::MAX), Room::Later, "there is room, and it comes later");
-    assert_eq!(memory.want(4, 30, 7), Room::Now, "it is due first");
-    assert_eq!(memory.want(5, 101, 7), Room::Never);
-    memory.give_back(60);
-    assert_eq!((memory.admit(), memory.used()), (None, 30));
-    memory.give_back(30);
-    assert_eq!((memory.admit(), memory.admit(), memory.used()), (Some(2), Some(3), 100));
+    let mut memory = MemoryBudget::new(100);
+    assert_eq!(memory.reserve(1, 60, u64::MAX), Reservation::Granted);
+    assert_eq!(memory.reserve(2, 80, u64::MAX), Reservation::Queued);
+    assert_eq!(memory.reserve(3, 20, u64::MAX), Reservation::Queued, "there is room, and it comes later");
+    assert_eq!(memory.reserve(4, 30, 7), Reservation::Granted, "it is due first");
+    assert_eq!(memory.reserve(5, 101, 7), Reservation::Impossible);
+    memory.release(60);
+    assert_eq!((memory.admit_next(), memory.reserved_bytes()), (None, 30));
+    memory.release(30);
+    assert_eq!((memory.admit_next(), memory.admit_next(), memory.reserved_bytes()), (Some(2), Some(3), 100));
 }
 
 #[test]
 fn a_holder_that_offers_another_state_after_a_cut_is_not_believed() {
-    let mut world = world(1);
-    let taker = &mut world.takers[0].machine;
-    let token = taker.fetch(0, id(1), 1, None).unwrap();
+    let mut sim = sim(1);
+    let receiver = &mut sim.receivers[0].machine;
+    let token = receiver.fetch(0, id(1), 1, None).unwrap();
     let offer = |serial: u64, incarnation: u64| {
-        let proof = std::sync::Arc::new(Proof::of(&content(serial, LENGTH), CHUNK).unwrap());
+        let proof = std::sync::Arc::new(Proof::compute(&content(serial, LENGTH), CHUNK_BYTES).unwrap());
         Offer { token, incarnation, limit_ms: 1_000, proof }
     };
     for (serial, incarnation) in [(1, 8), (2, 7)] {
-        let token = taker.fetch(0, id(1), 1, None).unwrap();
+        let token = receiver.fetch(0, id(1), 1, None).unwrap();
         let named = |o: Offer| Offer { token, ..o };
-        taker.up(0, 5, Some(1));
-        taker.offer(0, 5, named(offer(1, 7)));
-        taker.down(5);
-        taker.up(0, 6, Some(1));
-        taker.offer(0, 6, named(offer(serial, incarnation)));
-        let outs = std::iter::from_fn(|| taker.poll());
-        let failed = |o: receiver::Out| matches!(o, receiver::Out::Failed(t, Cause::Gone) if t == token);
+        receiver.add_connection(0, 5, Some(1));
+        receiver.handle_offer(0, 5, named(offer(1, 7)));
+        receiver.remove_connection(5);
+        receiver.add_connection(0, 6, Some(1));
+        receiver.handle_offer(0, 6, named(offer(serial, incarnation)));
+        let outs = std::iter::from_fn(|| receiver.next_action());
+        let failed =
+            |o: receiver::Action| matches!(o, receiver::Action::Failed(t, Cause::NotFound) if t == token);
         assert!(outs.into_iter().any(failed), "{serial} {incarnation}");
-        taker.down(6);
+        receiver.remove_connection(6);
     }
 }
 
 #[test]
 fn takers_may_not_ask_for_what_there_is_not_nor_holders_send_what_is_not_allowed() {
-    let (mut world, _) = under_way(2);
+    let (mut sim, _) = under_way(2);
     let conn = 2;
     for range in [19..21, 3..3, u32::MAX - 1..u32::MAX] {
-        assert_eq!(world.holder.ask(conn, 1, std::slice::from_ref(&range)), Err(sender::Fault::Range));
+        assert_eq!(
+            sim.sender.handle_ask(conn, 1, std::slice::from_ref(&range)),
+            Err(sender::ProtocolError::InvalidRange)
+        );
     }
-    let again = Want { token: 1, id: id(1), due_ms: 0, resume: 0 };
-    assert_eq!(world.holder.want(0, conn, again), Err(sender::Fault::Token));
-    let taker = &mut world.takers[0].machine;
-    let flood = (0..5).map(|_| taker.chunk(conn, 1, 0, content(0, CHUNK as usize)));
+    let again = Want { token: 1, id: id(1), deadline_ms: 0, resume_incarnation: 0 };
+    assert_eq!(sim.sender.handle_want(0, conn, again), Err(sender::ProtocolError::DuplicateToken));
+    let receiver = &mut sim.receivers[0].machine;
+    let flood = (0..5).map(|_| receiver.handle_chunk(conn, 1, 0, content(0, CHUNK_BYTES as usize)));
     assert!(flood.collect::<Result<Vec<_>, _>>().is_ok(), "known or not, what was dealt with is credited");
-    let large = content(0, 5 * CHUNK as usize);
-    assert_eq!(taker.chunk(conn, 1, 0, large), Err(sender::Fault::Credit));
+    let large = content(0, 5 * CHUNK_BYTES as usize);
+    assert_eq!(receiver.handle_chunk(conn, 1, 0, large), Err(sender::ProtocolError::WindowExceeded));
 }
--- a/transfer/tests/link.rs
+++ b/transfer/tests/link.rs
@@ -3,7 +3,7 @@
 
 use std::collections::HashMap;
 
-use frosttrail_transfer::link::Link;
+use frosttrail_transfer::link::LinkScheduler;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
 const PEERS: u64 = 4;
@@ -42,44 +42,44 @@
 }
 
 fn run(steps: Vec<Step>) {
-    let (mut link, mut plain) = (Link::new(MOST), Plain::default());
+    let (mut link, mut plain) = (LinkScheduler::new(MOST), Plain::default());
     for peer in 0..PEERS {
-        link.up(peer, 500);
+        link.add_peer(peer, 500);
         plain.credit.insert(peer, 500);
     }
     for step in steps {
         match step {
             Step::Add(flow, peer, due) => {
-                link.remove(flow);
-                link.add(flow, peer, due.map(u64::from));
+                link.remove_flow(flow);
+                link.add_flow(flow, peer, due.map(u64::from));
                 plain.flows.insert(flow, (peer, 0));
             }
             Step::Ready(flow, bytes) => {
-                link.ready(flow, u32::from(bytes));
+                link.set_next_chunk(flow, u32::from(bytes));
                 if let Some((_, ready)) = plain.flows.get_mut(&flow) {
                     *ready = u64::from(bytes);
                 }
             }
             Step::Credit(peer, bytes) => {
-                link.credit(peer, u64::from(bytes));
+                link.add_credit(peer, u64::from(bytes));
                 let flying = plain.in_flight.entry(peer).or_default();
                 *flying = flying.saturating_sub(u64::from(bytes));
                 *plain.credit.entry(peer).or_default() += u64::from(bytes);
             }
             Step::Remove(flow) => {
-                link.remove(flow);
+                link.remove_flow(flow);
                 plain.flows.remove(&flow);
             }
             Step::Bounce(peer) => {
-                link.down(peer);
-                link.up(peer, 500);
+                link.remove_peer(peer);
+                link.add_peer(peer, 500);
                 plain.flows.retain(|_, (p, _)| *p != peer);
                 plain.in_flight.remove(&peer);
                 plain.credit.insert(peer, 500);
             }
             Step::Next(now) => {
                 let all: u64 = plain.in_flight.values().sum();
-                let picked = link.next(u64::from(now));
+                let picked = link.pick_next(u64::from(now));
                 if let Some(flow) = picked {
                     let (peer, ready) = plain.flows[&flow];
                     assert!(ready > 0, "it has nothing to send");
@@ -99,7 +99,7 @@
                 }
             }
         }
-        assert_eq!(link.in_flight(), plain.in_flight.values().sum::<u64>());
+        assert_eq!(link.in_flight_bytes(), plain.in_flight.values().sum::<u64>());
     }
 }
 
@@ -109,25 +109,25 @@
 }
 
 /// Takes one chunk after another; each arrives at once. Bytes by flow.
-fn share(link: &mut Link, sizes: &HashMap<u64, u32>, chunks: usize, now: u64) -> HashMap<u64, u64> {
+fn share(link: &mut LinkScheduler, sizes: &HashMap<u64, u32>, chunks: usize, now: u64) -> HashMap<u64, u64> {
     let mut got: HashMap<u64, u64> = HashMap::new();
     for _ in 0..chunks {
-        let flow = link.next(now).unwrap();
+        let flow = link.pick_next(now).unwrap();
         *got.entry(flow).or_default() += u64::from(sizes[&flow]);
-        link.credit(flow % PEERS, u64::from(sizes[&flow]));
-        link.ready(flow, sizes[&flow]);
+        link.add_credit(flow % PEERS, u64::from(sizes[&flow]));
+        link.set_next_chunk(flow, sizes[&flow]);
     }
     got
 }
 
-fn with(sizes: &HashMap<u64, u32>, due: impl Fn(u64) -> Option<u64>) -> Link {
-    let mut link = Link::new(1 << 30);
+fn with(sizes: &HashMap<u64, u32>, due: impl Fn(u64) -> Option<u64>) -> LinkScheduler {
+    let mut link = LinkScheduler::new(1 << 30);
     for peer in 0..PEERS {
-        link.up(peer, 1 << 20);
+        link.add_peer(peer, 1 << 20);
     }
     for (flow, size) in sizes {
-        link.add(*flow, *flow % PEERS, due(*flow));
-        link.ready(*flow, *size);
+        link.add_flow(*flow, *flow % PEERS, due(*flow));
+        link.set_next_chunk(*flow, *size);
     }
     link
 }
@@ -146,10 +146,10 @@
 fn who_comes_late_gets_a_share_and_no_arrears() {
     let sizes: HashMap<u64, u32> = (0..3).map(|f| (f, 1_000)).collect();
     let mut link = with(&sizes, |_| None);
-    link.remove(2);
+    link.remove_flow(2);
     share(&mut link, &sizes, 5_000, 0);
-    link.add(2, 2, None);
-    link.ready(2, 1_000);
+    link.add_flow(2, 2, None);
+    link.set_next_chunk(2, 1_000);
     let got = share(&mut link, &sizes, 300, 0);
     assert!((99_000..=102_000).contains(&got[&2]), "{got:?}");
 }
@@ -170,25 +170,25 @@
 
 #[test]
 fn peers_that_take_nothing_hold_up_no_other() {
-    let mut link = Link::new(64_000);
+    let mut link = LinkScheduler::new(64_000);
     for peer in 0..40 {
-        link.up(peer, 1 << 30);
-        link.add(peer, peer, None);
-        link.ready(peer, 1_000);
+        link.add_peer(peer, 1 << 30);
+        link.add_flow(peer, peer, None);
+        link.set_next_chunk(peer, 1_000);
     }
     // All but the last take nothing; they fill what they may.
     let mut last = 0;
     for _ in 0..10_000 {
-        match link.next(0) {
+        match link.pick_next(0) {
             Some(39) => {
                 last += 1;
-                link.credit(39, 1_000);
-                link.ready(39, 1_000);
+                link.add_credit(39, 1_000);
+                link.set_next_chunk(39, 1_000);
             }
-            Some(flow) => link.ready(flow, 1_000),
+            Some(flow) => link.set_next_chunk(flow, 1_000),
             None => break,
         }
     }
     assert!(last > 9_000, "{last} chunks");
-    assert!(link.in_flight() <= 64_000 + 40_000);
+    assert!(link.in_flight_bytes() <= 64_000 + 40_000);
 }
