--- a/transfer/tests/model.rs
+++ b/transfer/tests/model.rs
@@ -1,4 +1,4 @@
-//! Random steps over a holder, two takers and connections that fail in every way: always whole or freed
+//! Random steps over a sender, two takers and connections that fail in every way: always whole or freed
 //! within a second, never two owners, never an unproven byte visible, memory within its bound.
 
 mod support;
@@ -9,111 +9,114 @@
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    Put(u8, u16),
+    Store(u8, u16),
     Fetch(usize, u8, bool),
-    Drop(usize, u8),
-    Frames(u8),
+    CancelFetches(usize, u8),
+    DeliverFrames(u8),
     Advance(u8),
-    Flip(u8),
-    Cut,
-    Dark(bool),
-    ReleaseAtHolder(u8),
+    CorruptChunks(u8),
+    CloseConnections,
+    SetOffline(bool),
+    ReleaseAtSender(u8),
     ReleaseUnclaimed(u8),
-    ReleaseAtTaker(usize, u8),
-    DropStates,
-    Restart,
+    ReleaseAtReceiver(usize, u8),
+    DropReceived,
+    RestartSender,
     Drain(u8),
 }
 
 impl Arbitrary for Step {
     fn arbitrary(g: &mut Gen) -> Self {
-        let (name, taker) = (u8::arbitrary(g) % 3, usize::arbitrary(g) % 2);
+        let (name, receiver) = (u8::arbitrary(g) % 3, usize::arbitrary(g) % 2);
         match u8::arbitrary(g) % 32 {
-            0..=4 => Step::Put(name, u16::arbitrary(g)),
-            5..=10 => Step::Fetch(taker, name, bool::arbitrary(g)),
-            11 => Step::Drop(taker, name),
-            12..=17 => Step::Frames(u8::arbitrary(g) % 16),
+            0..=4 => Step::Store(name, u16::arbitrary(g)),
+            5..=10 => Step::Fetch(receiver, name, bool::arbitrary(g)),
+            11 => Step::CancelFetches(receiver, name),
+            12..=17 => Step::DeliverFrames(u8::arbitrary(g) % 16),
             18..=21 => Step::Advance(u8::arbitrary(g) % 40),
-            22..=23 => Step::Flip(u8::arbitrary(g) % 6),
-            24..=25 => Step::Cut,
-            26..=27 => Step::Dark(bool::arbitrary(g)),
-            28 => Step::ReleaseAtHolder(name),
-            29 => Step::ReleaseAtTaker(taker, name),
+            22..=23 => Step::CorruptChunks(u8::arbitrary(g) % 6),
+            24..=25 => Step::CloseConnections,
+            26..=27 => Step::SetOffline(bool::arbitrary(g)),
+            28 => Step::ReleaseAtSender(name),
+            29 => Step::ReleaseAtReceiver(receiver, name),
             30 if bool::arbitrary(g) => Step::ReleaseUnclaimed(name),
-            30 => Step::DropStates,
+            30 => Step::DropReceived,
             _ if u8::arbitrary(g) % 4 == 0 => Step::Drain(u8::arbitrary(g) % 100),
-            _ => Step::Restart,
+            _ => Step::RestartSender,
         }
     }
 }
 
 /// Room for about two of the larger states.
-const MEMORY: u64 = 100_000;
+const MAX_MEMORY_BYTES: u64 = 100_000;
 
-fn small() -> (sender::Limits, receiver::Limits) {
-    let sender = sender::Limits { max_in_flight_bytes: 6 * u64::from(CHUNK), ..Default::default() };
-    let receiver =
-        receiver::Limits { max_memory_bytes: MEMORY, window_bytes: 4 * CHUNK, ..Default::default() };
+fn small_limits() -> (sender::Limits, receiver::Limits) {
+    let sender = sender::Limits { max_in_flight_bytes: 6 * u64::from(CHUNK_BYTES), ..Default::default() };
+    let receiver = receiver::Limits {
+        max_memory_bytes: MAX_MEMORY_BYTES,
+        window_bytes: 4 * CHUNK_BYTES,
+        ..Default::default()
+    };
     (sender, receiver)
 }
 
 fn run(steps: Vec<Step>) {
-    let (sender, receiver) = small();
-    let mut world = World::new(2, sender, receiver);
+    let (sender, receiver) = small_limits();
+    let mut sim = Simulation::new(2, sender, receiver);
     for step in steps {
         match step {
-            Step::Put(name, length) => {
-                let _ = world.put(name, usize::from(length) + 1);
+            Step::Store(name, length) => {
+                let _ = sim.store(name, usize::from(length) + 1);
             }
-            Step::Fetch(taker, name, due) => {
-                let due = due.then_some(world.now + 300_000);
+            Step::Fetch(receiver, name, due) => {
+                let due = due.then_some(sim.now + 300_000);
                 // One attempt is out at any moment: the one before has ended, though not all have heard.
-                world.drop_fetches(1 - taker, name);
-                let _ = world.fetch(taker, name, due);
+                sim.cancel_fetches(1 - receiver, name);
+                let _ = sim.fetch(receiver, name, due);
             }
-            Step::Drop(taker, name) => world.drop_fetches(taker, name),
-            Step::Frames(count) => world.frames(usize::from(count)),
-            Step::Advance(slices) => world.advance(u64::from(slices) * SLICE),
-            Step::Flip(chunks) => world.flips = u32::from(chunks),
-            Step::Cut => world.cut_all(),
-            Step::Dark(dark) => world.dark = dark,
-            Step::ReleaseAtHolder(name) => world.holder.release(&id(name)),
-            Step::ReleaseUnclaimed(name) => world.holder.release_unclaimed(&id(name), None),
-            Step::ReleaseAtTaker(taker, name) => world.takers[taker].machine.release(&id(name)),
-            Step::DropStates => world.drop_states(),
-            Step::Restart => world.restart_holder(),
+            Step::CancelFetches(receiver, name) => sim.cancel_fetches(receiver, name),
+            Step::DeliverFrames(count) => sim.deliver_frames(usize::from(count)),
+            Step::Advance(slices) => sim.advance(u64::from(slices) * TIME_STEP),
+            Step::CorruptChunks(chunks) => sim.chunks_to_corrupt = u32::from(chunks),
+            Step::CloseConnections => sim.close_connections(),
+            Step::SetOffline(is_offline) => sim.is_offline = is_offline,
+            Step::ReleaseAtSender(name) => sim.sender.release(&id(name)),
+            Step::ReleaseUnclaimed(name) => sim.sender.release_unclaimed(&id(name), None),
+            Step::ReleaseAtReceiver(receiver, name) => sim.receivers[receiver].machine.release(&id(name)),
+            Step::DropReceived => sim.drop_received(),
+            Step::RestartSender => sim.restart_sender(),
             Step::Drain(slices) => {
-                world.holder.drain(world.now, world.now + u64::from(slices) * SLICE);
+                sim.sender.drain(sim.now, sim.now + u64::from(slices) * TIME_STEP);
             }
         }
-        world.settle();
-        for taker in &world.takers {
-            assert!(taker.machine.moves().2 <= MEMORY, "over its memory");
+        sim.run_actions();
+        for receiver in &sim.receivers {
+            assert!(receiver.machine.usage().2 <= MAX_MEMORY_BYTES, "over its memory");
         }
-        let in_flight = world.holder.moves().1;
-        assert!(in_flight <= 8 * u64::from(CHUNK), "{in_flight} bytes in flight");
+        let in_flight = sim.sender.transfers().1;
+        assert!(in_flight <= 8 * u64::from(CHUNK_BYTES), "{in_flight} bytes in flight");
     }
     // Whatever has happened: with the requests gone, dark or not, nothing is left after a second.
-    let dark = world.dark;
-    for taker in 0..2 {
+    let is_offline = sim.is_offline;
+    for receiver in 0..2 {
         for name in 0..3 {
-            world.drop_fetches(taker, name);
+            sim.cancel_fetches(receiver, name);
         }
     }
-    world.drop_states();
-    world.advance(RULE);
-    assert_eq!(world.holder.held(), (0, 0), "left at the holder, dark: {dark}");
-    for taker in &world.takers {
-        assert_eq!(taker.machine.moves(), (0, 0, 0), "left at a taker, dark: {dark}");
+    sim.drop_received();
+    sim.advance(MAX_IDLE_HOLD);
+    assert_eq!(sim.sender.held(), (0, 0), "left at the sender, dark: {is_offline}");
+    for receiver in &sim.receivers {
+        assert_eq!(receiver.machine.usage(), (0, 0, 0), "left at a receiver, dark: {is_offline}");
     }
     // And it all still works.
-    world.dark = false;
-    world.flips = 0;
-    if !world.holder.draining() {
-        world.put(9, 30_000).unwrap();
-        let token = world.fetch(0, 9, None).unwrap();
-        world.advance(RULE);
-        assert!(world.takers[0].ends[&token].is_ok(), "{:?}", world.takers[0].ends[&token]);
+    sim.is_offline = false;
+    sim.chunks_to_corrupt = 0;
+    if !sim.sender.is_draining() {
+        sim.store(9, 30_000).unwrap();
+        let token = sim.fetch(0, 9, None).unwrap();
+        sim.advance(MAX_IDLE_HOLD);
+        assert!(sim.receivers[0].results[&token].is_ok(), "{:?}", sim.receivers[0].results[&token]);
     }
 }
 
@@ -124,12 +127,12 @@
 
 #[test]
 fn a_fetch_over_a_good_link_brings_the_state_and_frees_the_holder() {
-    let (sender, receiver) = small();
-    let mut world = World::new(2, sender, receiver);
-    world.put(1, 50_000).unwrap();
-    let token = world.fetch(0, 1, None).unwrap();
-    world.advance(SLICE);
-    assert!(world.takers[0].ends[&token].is_ok());
-    assert_eq!(world.holder.held(), (0, 0));
-    assert!(world.sent.values().all(|n| *n == 1), "each chunk once");
+    let (sender, receiver) = small_limits();
+    let mut sim = Simulation::new(2, sender, receiver);
+    sim.store(1, 50_000).unwrap();
+    let token = sim.fetch(0, 1, None).unwrap();
+    sim.advance(TIME_STEP);
+    assert!(sim.receivers[0].results[&token].is_ok());
+    assert_eq!(sim.sender.held(), (0, 0));
+    assert!(sim.times_sent.values().all(|n| *n == 1), "each chunk once");
 }
--- a/transfer/tests/service.rs
+++ b/transfer/tests/service.rs
@@ -119,8 +119,8 @@
         drop(whole);
         assert_eq!(pair.taker.status().memory, 0);
     }
-    assert_eq!(pair.fetch("r1").await.unwrap_err(), FetchError::Failed(Cause::Taken));
-    assert_eq!(pair.fetch("r2").await.unwrap_err(), FetchError::Failed(Cause::Gone));
+    assert_eq!(pair.fetch("r1").await.unwrap_err(), FetchError::Failed(Cause::OwnedElsewhere));
+    assert_eq!(pair.fetch("r2").await.unwrap_err(), FetchError::Failed(Cause::NotFound));
     assert_eq!(pair.taker.fetch(&id("r1"), &[], None).await.unwrap_err(), FetchError::NoSender);
 }
 
@@ -237,7 +237,7 @@
             pair.free_in_time().await;
         };
         let (end, ()) = tokio::join!(pair.fetch("r1"), gone);
-        assert_eq!(end.unwrap_err(), FetchError::Failed(Cause::Lost), "{fault:?}");
+        assert_eq!(end.unwrap_err(), FetchError::Failed(Cause::PeerLost), "{fault:?}");
     }
 }
 
@@ -308,7 +308,7 @@
     pair.link.forward_to(link.address);
     pair.link.cut();
     pair.link.stall(false);
-    assert_eq!(timeout(LATEST, fetch).await.unwrap().unwrap_err(), FetchError::Failed(Cause::Gone));
+    assert_eq!(timeout(LATEST, fetch).await.unwrap().unwrap_err(), FetchError::Failed(Cause::NotFound));
 }
 
 #[tokio::test]
--- a/transfer/tests/support/mod.rs
+++ b/transfer/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A world in memory: one holder, some takers, and connections between them that lose, delay, cut and
+//! A simulation in memory: one sender, some receivers, and connections between them that lose, delay, cut and
 //! corrupt. Time is a number.
 #![allow(dead_code)]
 
@@ -8,16 +8,16 @@
 use bytes::Bytes;
 use frosttrail_transfer::cause::Cause;
 use frosttrail_transfer::proof::Proof;
-use frosttrail_transfer::receiver::{self, Receiver, State};
+use frosttrail_transfer::receiver::{self, KvCache, Receiver};
 use frosttrail_transfer::sender::{self, Sender};
 use frosttrail_transfer::wire::{Frame, Hello, RequestId, VERSION};
-use frosttrail_transfer::{Conn, Incarnation, Micros, Timeouts, Token};
+use frosttrail_transfer::{ConnectionId, Incarnation, Micros, Timeouts, TransferToken};
 
-pub const CHUNK: u32 = 4_096;
+pub const CHUNK_BYTES: u32 = 4_096;
 /// The rule: with no attempt out, a state is taken or freed within this time.
-pub const RULE: Micros = 1_000_000;
+pub const MAX_IDLE_HOLD: Micros = 1_000_000;
 /// Time moves on by this much at a time.
-pub const SLICE: Micros = 20_000;
+pub const TIME_STEP: Micros = 20_000;
 
 pub fn id(name: u8) -> RequestId {
     RequestId::new(&format!("r{name}")).unwrap()
@@ -31,328 +31,339 @@
 }
 
 /// What ended a fetch.
-pub type End = Result<State, Cause>;
+pub type FetchResult = Result<KvCache, Cause>;
 
-pub struct Taker {
+pub struct SimulatedReceiver {
     pub machine: Receiver,
-    pub ends: HashMap<Token, End>,
-    pub open: HashMap<Token, RequestId>,
-    process: Incarnation,
-    connects: bool,
+    pub results: HashMap<TransferToken, FetchResult>,
+    pub open_fetches: HashMap<TransferToken, RequestId>,
+    incarnation: Incarnation,
+    wants_connection: bool,
 }
 
-struct Wire {
-    taker: usize,
-    to_holder: VecDeque<Frame>,
-    to_taker: VecDeque<Frame>,
-    /// When something last came, at the holder and at the taker.
-    heard: [Micros; 2],
+struct SimulatedConnection {
+    receiver: usize,
+    to_sender: VecDeque<Frame>,
+    to_receiver: VecDeque<Frame>,
+    /// When something last came, at the holder and at the receiver.
+    last_activity: [Micros; 2],
 }
 
-pub struct World {
+pub struct Simulation {
     pub now: Micros,
     pub timeouts: Timeouts,
-    pub holder: Sender,
-    pub takers: Vec<Taker>,
-    wires: HashMap<Conn, Wire>,
-    serial: u64,
+    pub sender: Sender,
+    pub receivers: Vec<SimulatedReceiver>,
+    connections: HashMap<ConnectionId, SimulatedConnection>,
+    last_id: u64,
     /// No new connections, and nothing passes on those there are.
-    pub dark: bool,
+    pub is_offline: bool,
     /// So many of the next chunks are corrupted on their way.
-    pub flips: u32,
-    pub sent: HashMap<(usize, Token, u32), u32>,
+    pub chunks_to_corrupt: u32,
+    pub times_sent: HashMap<(usize, TransferToken, u32), u32>,
     /// Content of each state by id, as it was put last.
-    pub content: HashMap<RequestId, Bytes>,
+    pub latest_content: HashMap<RequestId, Bytes>,
     /// All that was ever put under an id.
-    all: HashMap<RequestId, Vec<Bytes>>,
+    all_content: HashMap<RequestId, Vec<Bytes>>,
     /// Since when a state has been held with no fetch for it open.
-    pinned: HashMap<RequestId, Micros>,
+    unclaimed_since: HashMap<RequestId, Micros>,
     pub freed: Vec<(RequestId, Cause)>,
     limits: sender::Limits,
 }
 
-impl World {
-    pub fn new(takers: usize, sender: sender::Limits, receiver: receiver::Limits) -> Self {
+impl Simulation {
+    pub fn new(receivers: usize, sender: sender::Limits, receiver: receiver::Limits) -> Self {
         let timeouts = Timeouts::default();
-        let taker = |process: usize| Taker {
+        let receiver = |process: usize| SimulatedReceiver {
             machine: Receiver::new(timeouts, receiver),
-            ends: HashMap::new(),
-            open: HashMap::new(),
-            process: process as Incarnation + 1,
-            connects: false,
+            results: HashMap::new(),
+            open_fetches: HashMap::new(),
+            incarnation: process as Incarnation + 1,
+            wants_connection: false,
         };
-        World {
+        Simulation {
             now: 0,
             timeouts,
-            holder: Sender::new(100, timeouts, sender),
-            takers: (0..takers).map(taker).collect(),
-            wires: HashMap::new(),
-            serial: 0,
-            dark: false,
-            flips: 0,
-            sent: HashMap::new(),
-            content: HashMap::new(),
-            all: HashMap::new(),
-            pinned: HashMap::new(),
+            sender: Sender::new(100, timeouts, sender),
+            receivers: (0..receivers).map(receiver).collect(),
+            connections: HashMap::new(),
+            last_id: 0,
+            is_offline: false,
+            chunks_to_corrupt: 0,
+            times_sent: HashMap::new(),
+            latest_content: HashMap::new(),
+            all_content: HashMap::new(),
+            unclaimed_since: HashMap::new(),
             freed: Vec::new(),
             limits: sender,
         }
     }
 
-    pub fn put(&mut self, name: u8, length: usize) -> Result<(), Cause> {
-        self.serial += 1;
-        let state = content(self.serial, length);
-        let proof = Arc::new(Proof::of(&state, CHUNK).unwrap());
-        let ticket = self.holder.begin(id(name))?;
-        self.holder.put(self.now, ticket, state.clone(), proof)?;
-        self.all.entry(id(name)).or_default().push(state.clone());
-        self.content.insert(id(name), state);
-        self.pinned.remove(&id(name));
-        self.settle();
+    pub fn store(&mut self, name: u8, length: usize) -> Result<(), Cause> {
+        self.last_id += 1;
+        let state = content(self.last_id, length);
+        let proof = Arc::new(Proof::compute(&state, CHUNK_BYTES).unwrap());
+        let ticket = self.sender.begin_prefill(id(name))?;
+        self.sender.store_prefill(self.now, ticket, state.clone(), proof)?;
+        self.all_content.entry(id(name)).or_default().push(state.clone());
+        self.latest_content.insert(id(name), state);
+        self.unclaimed_since.remove(&id(name));
+        self.run_actions();
         Ok(())
     }
 
-    pub fn fetch(&mut self, taker: usize, name: u8, due: Option<Micros>) -> Result<Token, Cause> {
-        let token = self.takers[taker].machine.fetch(self.now, id(name), 1, due)?;
-        self.takers[taker].open.insert(token, id(name));
-        self.settle();
+    pub fn fetch(&mut self, receiver: usize, name: u8, due: Option<Micros>) -> Result<TransferToken, Cause> {
+        let token = self.receivers[receiver].machine.fetch(self.now, id(name), 1, due)?;
+        self.receivers[receiver].open_fetches.insert(token, id(name));
+        self.run_actions();
         Ok(token)
     }
 
     /// Whether the holder has let go of the bytes that were put last under the name.
-    pub fn dropped(&mut self, name: u8) -> bool {
-        let last = self.all.get_mut(&id(name)).and_then(Vec::pop);
-        drop(self.content.remove(&id(name)));
+    pub fn is_last_cache_freed(&mut self, name: u8) -> bool {
+        let last = self.all_content.get_mut(&id(name)).and_then(Vec::pop);
+        drop(self.latest_content.remove(&id(name)));
         last.is_some_and(|bytes| bytes.is_unique())
     }
 
-    /// The taker's request has gone.
-    pub fn drop_fetches(&mut self, taker: usize, name: u8) {
-        let open = self.takers[taker].open.iter().filter(|(_, i)| **i == id(name));
+    /// The receiver's request has gone.
+    pub fn cancel_fetches(&mut self, receiver: usize, name: u8) {
+        let open = self.receivers[receiver].open_fetches.iter().filter(|(_, i)| **i == id(name));
         for token in open.map(|(t, _)| *t).collect::<Vec<_>>() {
-            self.takers[taker].machine.unwanted(token);
+            self.receivers[receiver].machine.cancel(token);
         }
-        self.settle();
+        self.run_actions();
     }
 
     /// Another process in the holder's place.
-    pub fn restart_holder(&mut self) {
-        self.cut_all();
-        self.serial += 1;
-        self.holder = Sender::new(100 + self.serial, self.timeouts, self.limits);
-        self.content.clear();
+    pub fn restart_sender(&mut self) {
+        self.close_connections();
+        self.last_id += 1;
+        self.sender = Sender::new(100 + self.last_id, self.timeouts, self.limits);
+        self.latest_content.clear();
     }
 
-    pub fn cut_all(&mut self) {
-        let mut wires: Vec<Conn> = self.wires.keys().copied().collect();
-        wires.sort_unstable();
-        for conn in wires {
-            self.cut(conn);
+    pub fn close_connections(&mut self) {
+        let mut connections: Vec<ConnectionId> = self.connections.keys().copied().collect();
+        connections.sort_unstable();
+        for conn in connections {
+            self.close_connection(conn);
         }
-        self.settle();
+        self.run_actions();
     }
 
-    fn cut(&mut self, conn: Conn) {
-        if let Some(wire) = self.wires.remove(&conn) {
-            self.holder.down(conn);
-            self.takers[wire.taker].machine.down(conn);
+    fn close_connection(&mut self, conn: ConnectionId) {
+        if let Some(connection) = self.connections.remove(&conn) {
+            self.sender.remove_connection(conn);
+            self.receivers[connection.receiver].machine.remove_connection(conn);
         }
     }
 
-    fn connect(&mut self) {
-        for taker in 0..self.takers.len() {
-            if self.dark || !std::mem::take(&mut self.takers[taker].connects) {
+    fn open_connections(&mut self) {
+        for receiver in 0..self.receivers.len() {
+            if self.is_offline || !std::mem::take(&mut self.receivers[receiver].wants_connection) {
                 continue;
             }
-            if self.wires.values().any(|w| w.taker == taker) {
+            if self.connections.values().any(|w| w.receiver == receiver) {
                 continue;
             }
-            self.serial += 1;
-            let conn = self.serial;
-            let wire =
-                Wire { taker, to_holder: VecDeque::new(), to_taker: VecDeque::new(), heard: [self.now; 2] };
-            self.wires.insert(conn, wire);
-            let taker = &mut self.takers[taker];
-            let (process, window) = (taker.process, taker.machine.window());
-            let hello = Hello { version: VERSION, features: 0, incarnation: process, window };
-            taker.machine.up(self.now, conn, Some(1));
-            self.holder.up(self.now, conn, hello);
+            self.last_id += 1;
+            let conn = self.last_id;
+            let connection = SimulatedConnection {
+                receiver,
+                to_sender: VecDeque::new(),
+                to_receiver: VecDeque::new(),
+                last_activity: [self.now; 2],
+            };
+            self.connections.insert(conn, connection);
+            let receiver = &mut self.receivers[receiver];
+            let (incarnation, window_bytes) = (receiver.incarnation, receiver.machine.window_bytes());
+            let hello = Hello { version: VERSION, features: 0, incarnation, window_bytes };
+            receiver.machine.add_connection(self.now, conn, Some(1));
+            self.sender.add_connection(self.now, conn, hello);
         }
     }
 
     /// Carries out what the machines say, and checks what must always hold.
-    pub fn settle(&mut self) {
-        while let Some(out) = self.holder.poll() {
+    pub fn run_actions(&mut self) {
+        while let Some(out) = self.sender.next_action() {
             match out {
-                sender::Out::Say(conn, frame) => {
-                    if let Some(wire) = self.wires.get_mut(&conn) {
-                        wire.to_taker.push_back(frame);
+                sender::Action::Send(conn, frame) => {
+                    if let Some(connection) = self.connections.get_mut(&conn) {
+                        connection.to_receiver.push_back(frame);
                     }
                 }
-                sender::Out::Freed(id, cause) => self.freed.push((id, cause)),
-                sender::Out::Given(_) => {}
+                sender::Action::Freed(id, cause) => self.freed.push((id, cause)),
+                sender::Action::HandedOver(_) => {}
             }
         }
-        for taker in 0..self.takers.len() {
-            while let Some(out) = self.takers[taker].machine.poll() {
+        for receiver in 0..self.receivers.len() {
+            while let Some(out) = self.receivers[receiver].machine.next_action() {
                 match out {
-                    receiver::Out::Say(conn, frame) => {
-                        if let Some(wire) = self.wires.get_mut(&conn) {
-                            wire.to_holder.push_back(frame);
+                    receiver::Action::Send(conn, frame) => {
+                        if let Some(connection) = self.connections.get_mut(&conn) {
+                            connection.to_sender.push_back(frame);
                         }
                     }
-                    receiver::Out::Connect(_) => self.takers[taker].connects = true,
-                    receiver::Out::Prove(chunk) => {
-                        let good = chunk.proof.proves(chunk.index, &chunk.data);
-                        self.takers[taker].machine.proved(chunk, good);
+                    receiver::Action::Connect(_) => self.receivers[receiver].wants_connection = true,
+                    receiver::Action::VerifyChunk(chunk) => {
+                        let good = chunk.proof.verifies(chunk.index, &chunk.data);
+                        self.receivers[receiver].machine.handle_verification(chunk, good);
+                    }
+                    receiver::Action::Completed(token, _, state) => {
+                        self.finish_fetch(receiver, token, Ok(state))
                     }
-                    receiver::Out::Done(token, _, state) => self.end(taker, token, Ok(state)),
-                    receiver::Out::Failed(token, cause) => self.end(taker, token, Err(cause)),
+                    receiver::Action::Failed(token, cause) => self.finish_fetch(receiver, token, Err(cause)),
                 }
             }
         }
-        while let Some((conn, token, index, data)) = self.holder.next_chunk(self.now) {
-            let wire = self.wires.get_mut(&conn).expect("chunks go only where a connection is");
-            *self.sent.entry((wire.taker, token, index)).or_default() += 1;
-            let data = if self.flips > 0 {
-                self.flips -= 1;
+        while let Some((conn, token, index, data)) = self.sender.next_chunk(self.now) {
+            let connection = self.connections.get_mut(&conn).expect("chunks go only where a connection is");
+            *self.times_sent.entry((connection.receiver, token, index)).or_default() += 1;
+            let data = if self.chunks_to_corrupt > 0 {
+                self.chunks_to_corrupt -= 1;
                 let mut flipped = data.to_vec();
                 flipped[index as usize % data.len()] ^= 4;
                 flipped.into()
             } else {
                 data
             };
-            wire.to_taker.push_back(Frame::Chunk(token, index, data));
+            connection.to_receiver.push_back(Frame::Chunk(token, index, data));
         }
-        self.check();
+        self.check_invariants();
     }
 
-    fn end(&mut self, taker: usize, token: Token, end: End) {
-        let id = self.takers[taker].open.remove(&token).expect("a fetch ends once");
+    fn finish_fetch(&mut self, receiver: usize, token: TransferToken, end: FetchResult) {
+        let id = self.receivers[receiver].open_fetches.remove(&token).expect("a fetch ends once");
         if let Ok(state) = &end {
             let whole: Vec<u8> = state.chunks.iter().flatten().copied().collect();
-            let is = self.content.get(&id).is_some_and(|c| c[..] == whole[..]);
+            let is = self.latest_content.get(&id).is_some_and(|c| c[..] == whole[..]);
             // A later read may have taken the name since; then it is an earlier state.
-            let was = self.all.get(&id).is_some_and(|a| a.iter().any(|c| c[..] == whole[..]));
+            let was = self.all_content.get(&id).is_some_and(|a| a.iter().any(|c| c[..] == whole[..]));
             assert!(was, "a spoilt state became visible");
-            assert!(!is || !self.holder.holds(&id), "{id} has two owners");
+            assert!(!is || !self.sender.holds(&id), "{id} has two owners");
         }
-        self.takers[taker].ends.insert(token, end);
+        self.receivers[receiver].results.insert(token, end);
     }
 
-    fn check(&mut self) {
-        for taker in &self.takers {
-            let owned = taker.ends.values().flatten().map(|s| s.length).sum::<u64>();
-            assert!(taker.machine.moves().2 >= owned, "what is handed out stays counted");
+    fn check_invariants(&mut self) {
+        for receiver in &self.receivers {
+            let owned = receiver.results.values().flatten().map(|s| s.length).sum::<u64>();
+            assert!(receiver.machine.usage().2 >= owned, "what is handed out stays counted");
         }
-        let held: Vec<RequestId> = self.content.keys().filter(|id| self.holder.holds(id)).cloned().collect();
-        self.pinned.retain(|id, _| held.contains(id));
+        let held: Vec<RequestId> =
+            self.latest_content.keys().filter(|id| self.sender.holds(id)).cloned().collect();
+        self.unclaimed_since.retain(|id, _| held.contains(id));
         for id in held {
-            if self.takers.iter().any(|t| t.open.values().any(|open| *open == id)) {
-                self.pinned.remove(&id);
+            if self.receivers.iter().any(|t| t.open_fetches.values().any(|open| *open == id)) {
+                self.unclaimed_since.remove(&id);
             } else {
-                let since = *self.pinned.entry(id.clone()).or_insert(self.now);
-                assert!(self.now - since <= RULE, "{id} is held for longer than a second");
+                let since = *self.unclaimed_since.entry(id.clone()).or_insert(self.now);
+                assert!(self.now - since <= MAX_IDLE_HOLD, "{id} is held for longer than a second");
             }
         }
     }
 
     /// One frame each way on each connection.
-    fn deliver(&mut self) -> bool {
-        let mut wires: Vec<Conn> = self.wires.keys().copied().collect();
-        wires.sort_unstable();
+    fn deliver_one_each(&mut self) -> bool {
+        let mut connections: Vec<ConnectionId> = self.connections.keys().copied().collect();
+        connections.sort_unstable();
         let mut any = false;
-        for conn in wires {
-            let Some(wire) = self.wires.get_mut(&conn) else { continue };
-            let taker = wire.taker;
-            let (up, down) = (wire.to_holder.pop_front(), wire.to_taker.pop_front());
+        for conn in connections {
+            let Some(connection) = self.connections.get_mut(&conn) else { continue };
+            let receiver = connection.receiver;
+            let (up, down) = (connection.to_sender.pop_front(), connection.to_receiver.pop_front());
             any |= up.is_some() || down.is_some();
             if let Some(frame) = up {
-                self.at_holder(conn, frame);
+                self.deliver_to_sender(conn, frame);
             }
             if let Some(frame) = down {
-                self.at_taker(conn, taker, frame);
+                self.deliver_to_receiver(conn, receiver, frame);
             }
-            self.settle();
+            self.run_actions();
         }
         any
     }
 
-    fn at_holder(&mut self, conn: Conn, frame: Frame) {
+    fn deliver_to_sender(&mut self, conn: ConnectionId, frame: Frame) {
         match frame {
-            Frame::Want(want) => self.holder.want(self.now, conn, want).unwrap(),
-            Frame::Ask(token, ranges) => self.holder.ask(conn, token, &ranges).unwrap(),
-            Frame::Credit(bytes) => self.holder.credit(conn, bytes),
-            Frame::Complete(token) => self.holder.complete(self.now, conn, token),
-            Frame::GiveUp(token, cause) => self.holder.abort(self.now, conn, token, cause),
-            Frame::Release(id) => self.holder.release_unclaimed(&id, Some(conn)),
+            Frame::Want(want) => self.sender.handle_want(self.now, conn, want).unwrap(),
+            Frame::Ask(token, ranges) => self.sender.handle_ask(conn, token, &ranges).unwrap(),
+            Frame::Credit(bytes) => self.sender.handle_credit(conn, bytes),
+            Frame::Complete(token) => self.sender.handle_complete(self.now, conn, token),
+            Frame::GiveUp(token, cause) => self.sender.handle_give_up(self.now, conn, token, cause),
+            Frame::Release(id) => self.sender.release_unclaimed(&id, Some(conn)),
             other => panic!("{other:?} to a holder"),
         }
     }
 
-    fn at_taker(&mut self, conn: Conn, taker: usize, frame: Frame) {
-        let machine = &mut self.takers[taker].machine;
+    fn deliver_to_receiver(&mut self, conn: ConnectionId, receiver: usize, frame: Frame) {
+        let machine = &mut self.receivers[receiver].machine;
         match frame {
-            Frame::Offer(offer) => machine.offer(self.now, conn, offer),
-            Frame::Chunk(token, index, data) => machine.chunk(conn, token, index, data).unwrap(),
-            Frame::Grant(token) => machine.grant(conn, token),
-            Frame::Abort(token, cause) => machine.abort(conn, token, cause),
+            Frame::Offer(offer) => machine.handle_offer(self.now, conn, offer),
+            Frame::Chunk(token, index, data) => machine.handle_chunk(conn, token, index, data).unwrap(),
+            Frame::Grant(token) => machine.handle_grant(conn, token),
+            Frame::Abort(token, cause) => machine.handle_abort(conn, token, cause),
             Frame::Drain(_) => {}
-            other => panic!("{other:?} to a taker"),
+            other => panic!("{other:?} to a receiver"),
         }
     }
 
     /// So many frames pass, with no time in between.
-    pub fn frames(&mut self, count: usize) {
-        self.connect();
-        self.settle();
-        if !self.dark {
+    pub fn deliver_frames(&mut self, count: usize) {
+        self.open_connections();
+        self.run_actions();
+        if !self.is_offline {
             for _ in 0..count {
-                if !self.deliver() {
+                if !self.deliver_one_each() {
                     break;
                 }
             }
         }
     }
 
-    /// Time passes, and on wires that are not dark all that there is to say. What has been silent is cut.
+    /// Time passes, and on connections that are up all that there is to say. What has been silent is cut.
     pub fn advance(&mut self, time: Micros) {
         let end = self.now + time;
         while self.now < end {
-            self.now += SLICE;
-            self.connect();
-            self.settle();
-            if !self.dark {
-                while self.deliver() {}
-                for (conn, wire) in &mut self.wires {
-                    wire.heard = [self.now; 2];
-                    self.holder.heard(self.now, *conn);
-                    self.takers[wire.taker].machine.heard(self.now, *conn);
+            self.now += TIME_STEP;
+            self.open_connections();
+            self.run_actions();
+            if !self.is_offline {
+                while self.deliver_one_each() {}
+                for (conn, connection) in &mut self.connections {
+                    connection.last_activity = [self.now; 2];
+                    self.sender.record_activity(self.now, *conn);
+                    self.receivers[connection.receiver].machine.record_activity(self.now, *conn);
                 }
             }
             let (now, silence) = (self.now, self.timeouts.silence_timeout);
-            let silent: Vec<Conn> =
-                self.wires.iter().filter(|(_, w)| now - w.heard[0] > silence).map(|(c, _)| *c).collect();
+            let silent: Vec<ConnectionId> = self
+                .connections
+                .iter()
+                .filter(|(_, w)| now - w.last_activity[0] > silence)
+                .map(|(c, _)| *c)
+                .collect();
             for conn in silent {
-                self.cut(conn);
+                self.close_connection(conn);
             }
-            self.holder.tick(self.now);
-            for taker in &mut self.takers {
-                taker.machine.tick(self.now);
+            self.sender.expire(self.now);
+            for receiver in &mut self.receivers {
+                receiver.machine.expire(self.now);
             }
-            self.settle();
+            self.run_actions();
         }
     }
 
     /// What the takers have got is dropped.
-    pub fn drop_states(&mut self) {
-        for taker in &mut self.takers {
-            for (_, end) in taker.ends.drain() {
+    pub fn drop_received(&mut self) {
+        for receiver in &mut self.receivers {
+            for (_, end) in receiver.results.drain() {
                 if let Ok(state) = end {
-                    taker.machine.give_back(state.length);
+                    receiver.machine.release_memory(state.length);
                 }
             }
         }
-        self.settle();
+        self.run_actions();
     }
 }
--- a/transfer/tests/wire.rs
+++ b/transfer/tests/wire.rs
@@ -5,8 +5,10 @@
 
 use bytes::{Bytes, BytesMut};
 use frosttrail_transfer::cause::Cause;
-use frosttrail_transfer::proof::{Proof, Shape, MAX_CHUNK};
-use frosttrail_transfer::wire::{Codec, Frame, Hello, Offer, RequestId, Want, WireError, HEADER, VERSION};
+use frosttrail_transfer::proof::{ChunkLayout, Proof, MAX_CHUNK_BYTES};
+use frosttrail_transfer::wire::{
+    Codec, Frame, Hello, Offer, RequestId, Want, WireError, HEADER_BYTES, VERSION,
+};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use tokio_util::codec::{Decoder, Encoder};
 
@@ -21,10 +23,10 @@
         let cause = Cause::from_wire(1 + (number % 11) as u8).unwrap();
         let data: Bytes = Vec::<u8>::arbitrary(g).into();
         Any(match u8::arbitrary(g) % 16 {
-            0 => Frame::Want(Want { token, id, due_ms: number, resume: u64::arbitrary(g) }),
+            0 => Frame::Want(Want { token, id, deadline_ms: number, resume_incarnation: u64::arbitrary(g) }),
             1 => {
                 let state: Bytes = vec![7; 1 + number as usize % 20_000].into();
-                let proof = Arc::new(Proof::of(&state, 4_096).unwrap());
+                let proof = Arc::new(Proof::compute(&state, 4_096).unwrap());
                 Frame::Offer(Offer { token, incarnation: u64::arbitrary(g), limit_ms: number, proof })
             }
             2 => Frame::Ask(token, Vec::<Range<u32>>::arbitrary(g)),
@@ -46,7 +48,7 @@
 }
 
 fn hello(version: u16) -> Frame {
-    Frame::Hello(Hello { version, features: 5, incarnation: 9, window: 1 << 20 })
+    Frame::Hello(Hello { version, features: 5, incarnation: 9, window_bytes: 1 << 20 })
 }
 
 fn bytes(frames: &[Frame]) -> BytesMut {
@@ -114,7 +116,7 @@
         held.extend_from_slice(&noise);
         let mut codec = Codec::default();
         while let Ok(Some(_)) = codec.decode(&mut held) {}
-        held.capacity() <= 2 * (MAX_CHUNK as usize)
+        held.capacity() <= 2 * (MAX_CHUNK_BYTES as usize)
     }
     seeded(2_000).quickcheck(run as fn(Vec<u8>, bool) -> bool);
 }
@@ -124,7 +126,7 @@
     let mut header = [&length.to_be_bytes()[..], &[kind], &[0; 15]].concat();
     let sum = crc32c::crc32c(&header);
     header.extend(sum.to_be_bytes());
-    assert_eq!(header.len(), HEADER);
+    assert_eq!(header.len(), HEADER_BYTES);
     header
 }
 
@@ -160,17 +162,24 @@
 #[test]
 fn a_state_is_proven_chunk_by_chunk() {
     let state: Bytes = (0..50_000u32).map(|i| (i % 251) as u8).collect::<Vec<_>>().into();
-    let proof = Proof::of(&state, 4_096).unwrap();
-    let shape = proof.shape();
-    assert_eq!((shape.chunks(), shape.len_of(12), shape.len_of(13)), (13, 50_000 - 12 * 4_096, 0));
+    let proof = Proof::compute(&state, 4_096).unwrap();
+    let shape = proof.layout();
+    assert_eq!(
+        (shape.chunk_count(), shape.chunk_length(12), shape.chunk_length(13)),
+        (13, 50_000 - 12 * 4_096, 0)
+    );
     for (index, chunk) in state.chunks(4_096).enumerate() {
         let index = index as u32;
-        assert!(proof.proves(index, chunk));
-        assert!(!proof.proves(index + 1, chunk) && !proof.proves(index, &chunk[1..]));
+        assert!(proof.verifies(index, chunk));
+        assert!(!proof.verifies(index + 1, chunk) && !proof.verifies(index, &chunk[1..]));
     }
     // Neither another length nor another chunk size passes with the same hashes.
     let with = |length, chunk| {
-        Proof::check(Shape::new(length, chunk).unwrap(), *proof.root(), proof.leaves().clone())
+        Proof::from_parts(
+            ChunkLayout::new(length, chunk).unwrap(),
+            *proof.root(),
+            proof.chunk_hashes().clone(),
+        )
     };
     assert_eq!(with(50_000, 4_096).as_ref(), Some(&proof));
     assert!(with(50_001, 4_096).is_none() && with(100_000, 8_192).is_none());
