--- a/daemon/tests/commands.rs
+++ b/daemon/tests/commands.rs
@@ -138,7 +138,7 @@
     assert!(std::fs::read(&to).unwrap() == state);
     let again = run(&["transfer", "fetch", "--id", "r-1", "--from", &at, "--out", out]);
     assert_eq!((again.status.code(), says(&again).lines().count()), (Some(1), 1), "{}", says(&again));
-    assert!(says(&again).contains("belongs to another taker"), "{}", says(&again));
+    assert!(says(&again).contains("belongs to another receiver"), "{}", says(&again));
     let status = run(&["transfer", "status", "--at", &at]);
     assert!(String::from_utf8_lossy(&status.stdout).contains("\"given\": 1"));
     serving.signal("-HUP");
--- a/transfer/src/lease.rs
+++ b/transfer/src/lease.rs
@@ -1,58 +1,62 @@
-//! Who owns a state that was read here, and until when. One owner at any moment: this server until the taker
-//! has said that the whole is there and proven, that taker from then on. No I/O, no clock.
+//! Ownership of a KV cache that is held here, and when it expires. There is one owner at any moment: this
+//! server until the receiver reports that the cache is complete and verified, that receiver from then on. No
+//! I/O, no clock.
 
 use crate::cause::Cause;
 use crate::{Incarnation, Micros, Timeouts, TransferToken};
 
-/// One taker's move, as the holder knows it.
+/// A receiver's transfer, as the sender identifies it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Claimant {
-    /// The taker's process.
+    /// The receiver's process.
     pub incarnation: Incarnation,
-    /// Its name for the move.
+    /// The receiver's token for the transfer.
     pub token: TransferToken,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Ownership {
-    /// Held here, nobody has come.
+    /// Held here; no receiver has claimed it.
     Unclaimed { since: Micros },
-    /// Held here, a taker is at it; `cut` is when it was last heard of, if its connection has gone.
+    /// Held here and claimed by a receiver; `disconnected_at` is when it was last heard from, if its
+    /// connection is lost.
     Claimed { by: Claimant, disconnected_at: Option<Micros> },
-    /// It belongs to the taker; kept as a note for one that asks whether it does.
+    /// Owned by the receiver; kept so that a receiver that missed the grant learns of it.
     HandedOver { to: Claimant, at: Micros },
 }
 
-/// The ownership of one state.
+/// The ownership of one KV cache.
 #[derive(Clone, Debug)]
 pub struct Lease {
     ownership: Ownership,
-    /// When the first taker came: all takers together have the limit from then on.
+    /// When the first receiver claimed it; the transfer time limit counts from then on, for all receivers
+    /// together.
     first_claimed_at: Option<Micros>,
 }
 
-/// A taker's claim was taken.
+/// Result of an accepted claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClaimOutcome {
-    /// It is the taker now; another one was before.
+    /// The claimant is new.
     New {
-        /// Who was the taker until now.
+        /// The claimant that it replaces.
         superseded: Option<Claimant>,
     },
-    /// It was the taker already.
+    /// The claimant already held the claim.
     Unchanged,
-    /// It is the owner already.
+    /// The claimant already owns the KV cache.
     AlreadyOwner,
 }
 
 impl Lease {
-    /// The state is there.
+    /// A lease for a KV cache that was stored at `now`.
     pub fn new(now: Micros) -> Self {
         Lease { ownership: Ownership::Unclaimed { since: now }, first_claimed_at: None }
     }
 
-    /// A taker comes, for the first time or back after a cut. The last to come for the first time wins: a
-    /// request has one attempt out, so the one before has ended, heard of or not.
+    /// Claims the KV cache, for the first time or (`is_resumed`) again after a lost connection. The latest
+    /// receiver that claims for the first time wins: a request has one attempt at a time, so the earlier
+    /// attempt has ended even if this server has not been told.
     pub fn claim(
         &mut self,
         now: Micros,
@@ -74,7 +78,7 @@
         Ok(claim)
     }
 
-    /// The taker's connection has gone; it was last heard of at `heard`.
+    /// Records that the claimant's connection is lost; the claimant was last heard from at `last_activity`.
     pub fn disconnect(&mut self, claimant: Claimant, last_activity: Micros) {
         if let Ownership::Claimed { by, disconnected_at } = &mut self.ownership {
             if *by == claimant {
@@ -83,14 +87,14 @@
         }
     }
 
-    /// The taker gives up; the state waits for another.
+    /// Withdraws the claim; the KV cache becomes available to other receivers.
     pub fn unclaim(&mut self, now: Micros, claimant: Claimant) {
         if matches!(self.ownership, Ownership::Claimed { by, .. } if by == claimant) {
             self.ownership = Ownership::Unclaimed { since: now };
         }
     }
 
-    /// The taker has the whole, proven: from here on it is the owner.
+    /// Makes the claimant the owner; it has the complete, verified KV cache.
     pub fn hand_over(&mut self, now: Micros, claimant: Claimant) -> Result<(), Cause> {
         match self.ownership {
             Ownership::Claimed { by, .. } if by == claimant => {
@@ -103,17 +107,17 @@
         }
     }
 
-    /// Whether the state is this server's.
+    /// Whether this server is the owner.
     pub fn is_held_here(&self) -> bool {
         !matches!(self.ownership, Ownership::HandedOver { .. })
     }
 
-    /// Whether a taker is at it, or may come back to it after a cut.
+    /// Whether a receiver is fetching it, or may resume after a lost connection.
     pub fn is_claimed(&self) -> bool {
         matches!(self.ownership, Ownership::Claimed { .. })
     }
 
-    /// When it ends by itself, if nothing more is heard.
+    /// When the lease expires unless something else happens first.
     pub fn expires_at(&self, timeouts: &Timeouts) -> Micros {
         let transfer_end = self.first_claimed_at.map_or(Micros::MAX, |at| at + timeouts.transfer_timeout);
         match self.ownership {
--- a/transfer/src/lib.rs
+++ b/transfer/src/lib.rs
@@ -1,9 +1,11 @@
-//! Moves read state from the server that read a prompt to the server that writes the answer: in chunks, each
-//! proven before it counts, resumed after a cut, and owned by one side at any moment. `docs/transfer.md`
-//! describes the wire and the service, `docs/design/transfer.md` says why it is made this way.
+//! Transfers KV caches from the prefill server that computed them to the decode server that needs them.
 //!
-//! [`sender`], [`receiver`], [`lease`], [`link`] and [`memory`] decide and know neither sockets nor clocks;
-//! [`wire`] is bytes only; [`service`] carries out.
+//! A KV cache travels in chunks. Each chunk is verified on arrival, a transfer resumes after a lost
+//! connection, and exactly one side owns the cache at any moment. `docs/transfer.md` describes the protocol
+//! and the service, `docs/design/transfer.md` explains the design.
+//!
+//! [`sender`], [`receiver`], [`lease`], [`link`] and [`memory`] are state machines without I/O and without a
+//! clock; [`wire`] encodes and decodes frames; [`service`] runs the state machines on sockets.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -18,29 +20,30 @@
 pub mod service;
 pub mod wire;
 
-/// Microseconds on a monotonic clock whose zero is the process's own.
+/// Microseconds on a monotonic clock that starts with the process.
 pub type Micros = u64;
 
-/// Names the process at the other end of a connection: drawn anew at each start.
+/// Identifies a process; drawn anew at each start, so a restarted process has another one.
 pub type Incarnation = u64;
 
-/// Names a connection within this process; never used twice.
+/// Identifies a connection within this process; never reused.
 pub type ConnectionId = u64;
 
-/// Names one taker's move within the taker's process; never used twice.
+/// Identifies a transfer within the receiver's process, which chooses it; never reused.
 pub type TransferToken = u64;
 
-/// How long things may last, in microseconds. Both ends of a link should be set alike.
+/// Time limits of transfers, in microseconds. Both ends of a connection should use the same values.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timeouts {
-    /// A state that nobody takes, or whose taker has not been heard of, is kept this long: under a second
-    /// by the time that timers and the last frames may take.
+    /// How long a KV cache is held while no receiver has claimed it, or since its receiver was last heard
+    /// from. Below one second by a margin for timers and frames in flight, so that memory is free within a
+    /// second.
     pub hold_ttl: Micros,
-    /// A move has this long in all, from the taker's first word on.
+    /// Limit for a whole transfer, from the receiver's first claim on.
     pub transfer_timeout: Micros,
-    /// Between signs of life on a connection that carries moves.
+    /// Interval between heartbeats on a connection that carries transfers.
     pub heartbeat_interval: Micros,
-    /// A connection that carries moves and on which nothing has come for so long counts as cut.
+    /// A connection that carries transfers counts as lost once nothing has arrived on it for this long.
     pub silence_timeout: Micros,
 }
 
--- a/transfer/src/link.rs
+++ b/transfer/src/link.rs
@@ -1,15 +1,16 @@
-//! Which chunk goes next where many moves share one link. Moves with a time by which they are needed come
-//! first, the earliest first, as long as that time has not passed; the rest share by bytes (start-time fair
-//! queueing). Bytes on their way are bounded for each peer and in all. No I/O, no clock.
+//! Schedules the chunks of the transfers that share one outgoing link. Transfers with a deadline that has not
+//! passed come first, earliest deadline first; the others share the link by bytes (start-time fair queueing).
+//! Bytes in flight are bounded per peer and in total. No I/O, no clock.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use crate::{ConnectionId, Micros};
 
-/// Names a move on the link.
+/// Identifies a transfer on the link.
 pub type FlowId = u64;
 
-/// Of so many chunks in a row that went to moves with a time, the next goes to one without, if one waits.
+/// After this many consecutive chunks of transfers with a deadline, the next chunk goes to a transfer without
+/// one, if one is waiting. This keeps deadlines from starving the rest.
 const MAX_CONSECUTIVE_DEADLINE_CHUNKS: u64 = 7;
 
 #[derive(Debug, Default)]
@@ -24,27 +25,29 @@
 struct FlowState {
     peer: ConnectionId,
     deadline: Option<Micros>,
-    /// Bytes of the next chunk; 0 while there is none.
+    /// Size of the next chunk; 0 while there is none.
     next_chunk_bytes: u32,
-    /// Where it stands among those that share.
+    /// Virtual start time in the fair queue.
     start_tag: u64,
 }
 
-/// The link of one holder.
+/// Scheduler of a sender's outgoing link.
 #[derive(Debug)]
 pub struct LinkScheduler {
     max_in_flight_bytes: u64,
     in_flight_bytes: u64,
     peers: BTreeMap<ConnectionId, Peer>,
     flows: HashMap<FlowId, FlowState>,
-    /// The tag of the chunk that was sent last: who comes anew starts here, and saves nothing up.
+    /// Start tag of the last chunk that was sent. A new flow starts here, so an idle flow accumulates no
+    /// credit.
     virtual_time: u64,
     consecutive_deadline_chunks: u64,
 }
 
 impl LinkScheduler {
-    /// `most`: bytes in flight in all. A peer with nothing in flight may always be sent one chunk, so that
-    /// peers that take nothing can't hold up the others; the bound is `most` and a chunk for each peer.
+    /// `max_in_flight_bytes` bounds the bytes in flight in total. A peer with nothing in flight may always be
+    /// sent one chunk, so that stalled peers cannot block the others; the actual bound is therefore
+    /// `max_in_flight_bytes` plus one chunk for each peer.
     pub fn new(max_in_flight_bytes: u64) -> Self {
         LinkScheduler {
             max_in_flight_bytes,
@@ -56,12 +59,12 @@
         }
     }
 
-    /// A peer is there and lets so many bytes come.
+    /// Adds a peer with the flow-control window that it has granted.
     pub fn add_peer(&mut self, peer: ConnectionId, window_bytes: u64) {
         self.peers.insert(peer, Peer { credit_bytes: window_bytes, ..Peer::default() });
     }
 
-    /// A peer is gone, and with it what was on its way and its moves.
+    /// Removes a peer with its bytes in flight and its flows.
     pub fn remove_peer(&mut self, peer: ConnectionId) {
         if let Some(peer) = self.peers.remove(&peer) {
             self.in_flight_bytes -= peer.in_flight_bytes;
@@ -72,7 +75,7 @@
         self.flows.retain(|_, state| state.peer != peer);
     }
 
-    /// The peer has taken so many bytes and lets as many more come.
+    /// Records that the peer has processed this many bytes and accepts as many more.
     pub fn add_credit(&mut self, peer: ConnectionId, bytes: u64) {
         if let Some(peer) = self.peers.get_mut(&peer) {
             let acknowledged = bytes.min(peer.in_flight_bytes);
@@ -82,18 +85,18 @@
         }
     }
 
-    /// A move begins.
+    /// Adds a flow.
     pub fn add_flow(&mut self, flow: FlowId, peer: ConnectionId, deadline: Option<Micros>) {
         self.flows.insert(flow, FlowState { peer, deadline, next_chunk_bytes: 0, start_tag: 0 });
     }
 
-    /// A move ends.
+    /// Removes a flow.
     pub fn remove_flow(&mut self, flow: FlowId) {
         self.set_next_chunk(flow, 0);
         self.flows.remove(&flow);
     }
 
-    /// The move's next chunk has so many bytes; 0: there is none to send.
+    /// Sets the size of the flow's next chunk; 0 if there is none to send.
     pub fn set_next_chunk(&mut self, flow: FlowId, bytes: u32) {
         let Some(state) = self.flows.get_mut(&flow) else { return };
         let Some(peer) = self.peers.get_mut(&state.peer) else { return };
@@ -116,8 +119,8 @@
         }
     }
 
-    /// Picks the move whose next chunk goes out, and counts it as on its way; its next one is named with
-    /// [`LinkScheduler::set_next_chunk`].
+    /// Picks the flow whose next chunk is sent, and counts that chunk as in flight. The caller then sets the
+    /// flow's following chunk with [`LinkScheduler::set_next_chunk`].
     pub fn pick_next(&mut self, now: Micros) -> Option<FlowId> {
         self.demote_overdue(now);
         let (by_deadline, by_share) =
@@ -149,7 +152,8 @@
         Some(flow)
     }
 
-    /// Moves whose time has passed share with the rest: they would only make others late too.
+    /// Moves flows with a missed deadline to the fair queue: favouring them would only delay others past
+    /// their deadlines too.
     fn demote_overdue(&mut self, now: Micros) {
         for peer in self.peers.values_mut() {
             while let Some((deadline, flow)) =
@@ -165,7 +169,7 @@
         }
     }
 
-    /// The first of all peers' first ones that may be sent now.
+    /// The lowest entry among the heads of all peers' queues whose chunk may be sent now.
     fn first_sendable(&self, order: impl Fn(&Peer) -> &BTreeSet<(u64, FlowId)>) -> Option<(u64, FlowId)> {
         let firsts = self.peers.values().filter_map(|peer| {
             let first = order(peer).first().copied()?;
@@ -174,15 +178,15 @@
         firsts.min()
     }
 
-    /// A peer may have as much in flight as is left for all others: so some is always left, however many
-    /// take nothing.
+    /// Whether a chunk may be sent to the peer. A peer may have at most as much in flight as remains for all
+    /// others, so that capacity remains however many peers stall.
     fn may_send(&self, peer: &Peer, bytes: u64) -> bool {
         let remaining_bytes = self.max_in_flight_bytes.saturating_sub(self.in_flight_bytes);
         peer.credit_bytes >= bytes
             && (peer.in_flight_bytes == 0 || peer.in_flight_bytes + bytes <= remaining_bytes)
     }
 
-    /// Bytes on their way.
+    /// Bytes in flight in total.
     pub fn in_flight_bytes(&self) -> u64 {
         self.in_flight_bytes
     }
--- a/transfer/src/memory.rs
+++ b/transfer/src/memory.rs
@@ -1,22 +1,23 @@
-//! A taker's memory. A move gets room for its whole state before its first chunk is asked for: were moves
-//! let in by parts, a full memory could hold nothing but parts, and none of them would end. No I/O.
+//! Memory budget of a receiver. A transfer reserves memory for its whole KV cache before it requests its
+//! first chunk: with partial reservations the budget could fill up with incomplete caches, none of which
+//! could ever complete. No I/O.
 
 use std::collections::BTreeMap;
 
 use crate::{Micros, TransferToken};
 
-/// What became of a wish for room.
+/// Outcome of a reservation request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reservation {
-    /// It is there, and set aside.
+    /// The memory is reserved.
     Granted,
-    /// It comes once others have ended.
+    /// The request waits until other reservations are released.
     Queued,
-    /// There will never be so much.
+    /// The request exceeds the whole budget.
     Impossible,
 }
 
-/// Memory for states, in bytes.
+/// A budget for KV caches, in bytes.
 #[derive(Debug)]
 pub struct MemoryBudget {
     max_bytes: u64,
@@ -25,13 +26,13 @@
 }
 
 impl MemoryBudget {
-    /// So much in all.
+    /// A budget of `max_bytes`.
     pub fn new(max_bytes: u64) -> Self {
         MemoryBudget { max_bytes, reserved_bytes: 0, queue: BTreeMap::new() }
     }
 
-    /// Wants room by `deadline`. Those due first get it first, then those that came first; a smaller one does
-    /// not pass a larger one, which might wait for ever.
+    /// Reserves memory, or queues the request. The queue is ordered by deadline, then by token, that is by
+    /// arrival. A small request does not overtake a large one, which could otherwise wait for ever.
     pub fn reserve(&mut self, token: TransferToken, bytes: u64, deadline: Micros) -> Reservation {
         if bytes > self.max_bytes {
             return Reservation::Impossible;
@@ -45,17 +46,17 @@
         Reservation::Queued
     }
 
-    /// No longer waits.
+    /// Removes a request from the queue.
     pub fn cancel(&mut self, token: TransferToken, deadline: Micros) {
         self.queue.remove(&(deadline, token));
     }
 
-    /// So much is free again.
+    /// Returns reserved memory.
     pub fn release(&mut self, bytes: u64) {
         self.reserved_bytes -= bytes;
     }
 
-    /// The next one that waited and has its room now.
+    /// Grants the first queued request if it fits now.
     pub fn admit_next(&mut self) -> Option<TransferToken> {
         let first =
             self.queue.first_entry().filter(|entry| self.reserved_bytes + entry.get() <= self.max_bytes)?;
@@ -64,12 +65,12 @@
         Some(token)
     }
 
-    /// Bytes set aside.
+    /// Bytes that are reserved.
     pub fn reserved_bytes(&self) -> u64 {
         self.reserved_bytes
     }
 
-    /// How many wait.
+    /// Number of queued requests.
     pub fn queued_count(&self) -> usize {
         self.queue.len()
     }
--- a/transfer/src/proof.rs
+++ b/transfer/src/proof.rs
@@ -1,36 +1,37 @@
-//! What proves a state: the hash of each chunk, and one hash over those, the length and the chunk size. A
-//! chunk is proven by itself, before the rest is there.
+//! Hashes that verify a KV cache: one for each chunk, and a root hash over the chunk hashes, the length and
+//! the chunk size. Each chunk is verified on its own, before the others have arrived.
 
 use bytes::Bytes;
 
-/// The hash of one chunk.
-pub type ChunkHash = [u8; 32];
+/// A BLAKE3 hash.
+pub type Digest = [u8; 32];
 
-/// The smallest chunk size.
+/// Smallest chunk size, in bytes.
 pub const MIN_CHUNK_BYTES: u32 = 1 << 12;
-/// The largest chunk size.
+/// Largest chunk size, in bytes.
 pub const MAX_CHUNK_BYTES: u32 = 1 << 20;
-/// The most chunks of a state.
+/// Maximum number of chunks of a KV cache.
 pub const MAX_CHUNKS: u32 = 1 << 16;
 
-/// Names the use of the hash, so that no other hash of the same bytes passes for a root.
+/// Key derivation context of the root hash; it keeps any other hash of the same bytes from passing for a
+/// root.
 const ROOT_HASH_CONTEXT: &str = "frosttrail transfer 1 root of a state";
 
-/// Why a description of a state is none.
+/// Why a length and a chunk size do not form a valid layout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LayoutError {
-    /// No bytes.
-    #[error("a state holds at least one byte")]
+    /// The KV cache is empty.
+    #[error("a KV cache has at least one byte")]
     Empty,
     /// The chunk size is out of bounds.
-    #[error("a chunk size is a power of two from {MIN_CHUNK_BYTES} to {MAX_CHUNK_BYTES}")]
+    #[error("the chunk size must be a power of two from {MIN_CHUNK_BYTES} to {MAX_CHUNK_BYTES} bytes")]
     ChunkSize,
-    /// Too many chunks.
-    #[error("a state has at most {MAX_CHUNKS} chunks")]
+    /// The KV cache has too many chunks.
+    #[error("a KV cache has at most {MAX_CHUNKS} chunks; use a larger chunk size")]
     TooManyChunks,
 }
 
-/// How a state is cut up. Chunk sizes and counts are bounded once one exists.
+/// How a KV cache is divided into chunks. A value of this type is always within the bounds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ChunkLayout {
     length: u64,
@@ -38,7 +39,7 @@
 }
 
 impl ChunkLayout {
-    /// Checks the bounds.
+    /// Validates the length and the chunk size, both in bytes.
     pub fn new(length: u64, chunk_bytes: u32) -> Result<Self, LayoutError> {
         if length == 0 {
             return Err(LayoutError::Empty);
@@ -52,46 +53,46 @@
         Ok(ChunkLayout { length, chunk_bytes })
     }
 
-    /// Bytes in all.
+    /// Total length in bytes.
     pub fn length(&self) -> u64 {
         self.length
     }
 
-    /// Bytes of each chunk but the last.
+    /// Size of each chunk but the last, in bytes.
     pub fn chunk_bytes(&self) -> u32 {
         self.chunk_bytes
     }
 
-    /// How many chunks.
+    /// Number of chunks.
     pub fn chunk_count(&self) -> u32 {
         self.length.div_ceil(u64::from(self.chunk_bytes)) as u32
     }
 
-    /// Bytes of one chunk; 0 past the last.
+    /// Size of one chunk in bytes; 0 past the last one.
     pub fn chunk_length(&self, index: u32) -> u32 {
         let start = u64::from(index) * u64::from(self.chunk_bytes);
         self.length.saturating_sub(start).min(u64::from(self.chunk_bytes)) as u32
     }
 }
 
-/// The hashes that prove a state of a layout.
+/// The hashes that verify a KV cache of a given layout.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Proof {
     layout: ChunkLayout,
-    root: ChunkHash,
+    root: Digest,
     chunk_hashes: Bytes,
 }
 
 impl Proof {
-    /// Hashes a state.
+    /// Hashes a KV cache.
     pub fn compute(cache: &Bytes, chunk_bytes: u32) -> Result<Self, LayoutError> {
         let layout = ChunkLayout::new(cache.len() as u64, chunk_bytes)?;
         let chunk_hashes: Vec<u8> = cache.chunks(chunk_bytes as usize).flat_map(hash_chunk).collect();
         Ok(Proof { layout, root: hash_root(layout, &chunk_hashes), chunk_hashes: chunk_hashes.into() })
     }
 
-    /// Takes what the wire brought; `None` if the parts do not belong together.
-    pub fn from_parts(layout: ChunkLayout, claimed: ChunkHash, chunk_hashes: Bytes) -> Option<Self> {
+    /// Builds a proof from received parts; `None` if the root hash does not match them.
+    pub fn from_parts(layout: ChunkLayout, claimed: Digest, chunk_hashes: Bytes) -> Option<Self> {
         let is_complete = chunk_hashes.len() == layout.chunk_count() as usize * claimed.len();
         (is_complete && hash_root(layout, &chunk_hashes) == claimed).then_some(Proof {
             layout,
@@ -100,22 +101,22 @@
         })
     }
 
-    /// How the state is cut up.
+    /// The layout of the KV cache.
     pub fn layout(&self) -> ChunkLayout {
         self.layout
     }
 
-    /// The hash of the whole.
-    pub fn root(&self) -> &ChunkHash {
+    /// The root hash.
+    pub fn root(&self) -> &Digest {
         &self.root
     }
 
-    /// All chunks' hashes, one behind another.
+    /// The concatenated chunk hashes.
     pub fn chunk_hashes(&self) -> &Bytes {
         &self.chunk_hashes
     }
 
-    /// Whether these bytes are that chunk.
+    /// Whether `data` is the chunk at `index`.
     pub fn verifies(&self, index: u32, data: &[u8]) -> bool {
         let start = index as usize * 32;
         data.len() == self.layout.chunk_length(index) as usize
@@ -123,11 +124,11 @@
     }
 }
 
-fn hash_chunk(data: &[u8]) -> ChunkHash {
+fn hash_chunk(data: &[u8]) -> Digest {
     *blake3::hash(data).as_bytes()
 }
 
-fn hash_root(layout: ChunkLayout, chunk_hashes: &[u8]) -> ChunkHash {
+fn hash_root(layout: ChunkLayout, chunk_hashes: &[u8]) -> Digest {
     let mut hasher = blake3::Hasher::new_derive_key(ROOT_HASH_CONTEXT);
     hasher
         .update(&layout.length.to_be_bytes())
--- a/transfer/src/receiver.rs
+++ b/transfer/src/receiver.rs
@@ -1,5 +1,6 @@
-//! The taker's side: states that are wanted here, what of them is there and proven, and what is missing. No
-//! I/O, no clock. A state is handed out only whole, proven, and once its holder has said whose it is.
+//! The receiving side: KV caches that are being fetched, their verified chunks and their missing ones. No
+//! I/O, no clock. A KV cache is delivered only once it is complete and verified and its sender has granted
+//! ownership.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::ops::Range;
@@ -15,21 +16,21 @@
 use crate::wire::{Frame, Offer, RequestId, Want};
 use crate::{ConnectionId, Micros, Timeouts, TransferToken};
 
-/// Names a holder that can be connected to; the shell knows its address.
+/// Identifies a sender that connections can be opened to; the service maps it to an address.
 pub type RouteId = u64;
 
-/// Limits of a taker.
+/// Limits of a receiver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Bytes of all states that arrive or have arrived and are not yet dropped.
+    /// Bytes of all KV caches that are being received, or were delivered and not yet dropped.
     pub max_memory_bytes: u64,
-    /// Moves at once, those that wait for memory too.
+    /// Concurrent transfers, including those that wait for memory.
     pub max_transfers: usize,
-    /// Bytes of chunks on their way from one holder, or not yet proven.
+    /// Flow-control window per connection: bytes of chunks in flight or not yet verified.
     pub window_bytes: u32,
-    /// How often one chunk may fail to be proven, before the move is given up.
+    /// Number of failed verifications of one chunk after which the transfer is given up.
     pub max_chunk_attempts: u8,
-    /// How many connections in a row may break without a chunk proven in between.
+    /// Number of connections that may be lost in a row without a chunk verified in between.
     pub max_connection_losses: u8,
 }
 
@@ -45,70 +46,70 @@
     }
 }
 
-/// What is to be done.
+/// An action for the service to carry out.
 #[derive(Debug)]
 pub enum Action {
-    /// Say this.
+    /// Send this frame on this connection.
     Send(ConnectionId, Frame),
-    /// See to a connection there; it is wanted until no move needs it.
+    /// Connect to this route, and keep connecting until no transfer needs it.
     Connect(RouteId),
-    /// Prove this chunk and tell with [`Receiver::handle_verification`].
+    /// Verify this chunk and report the result with [`Receiver::handle_verification`].
     VerifyChunk(ReceivedChunk),
-    /// The state is here and is this process's own. Its memory is given back with
+    /// The KV cache is complete and owned by this process. Return its memory with
     /// [`Receiver::release_memory`].
     Completed(TransferToken, RequestId, KvCache),
-    /// It will not come.
+    /// The fetch has failed.
     Failed(TransferToken, Cause),
 }
 
-/// A chunk that has come and is to be proven.
+/// A chunk that has arrived and is not yet verified.
 #[derive(Debug)]
 pub struct ReceivedChunk {
-    /// Where it came from.
+    /// The connection that it arrived on.
     pub conn: ConnectionId,
-    /// Which move.
+    /// The transfer that it belongs to.
     pub token: TransferToken,
-    /// Which chunk.
+    /// Its index in the KV cache.
     pub index: u32,
     /// Its bytes.
     pub data: Bytes,
-    /// What proves it.
+    /// The hashes to verify it against.
     pub proof: Arc<Proof>,
 }
 
-/// A whole state, in chunks.
+/// A complete KV cache, in chunks.
 #[derive(Clone, Debug)]
 pub struct KvCache {
-    /// The chunks in their order.
+    /// The chunks in order.
     pub chunks: Vec<Bytes>,
-    /// Bytes in all.
+    /// Total length in bytes.
     pub length: u64,
-    /// What proves it.
+    /// The hashes that it was verified against.
     pub proof: Arc<Proof>,
 }
 
-/// A move whose chunks come.
+/// The chunks of a transfer that is being received.
 #[derive(Debug)]
 struct PartialCache {
     chunks: Vec<Bytes>,
-    /// Proven and kept.
+    /// Verified and stored in `chunks`.
     verified: RoaringBitmap,
-    /// With whoever proves.
+    /// Handed out for verification.
     verifying: RoaringBitmap,
-    /// Asked for on this connection and not yet come.
+    /// Requested on the current connection and not yet arrived.
     requested: RoaringBitmap,
     failed_attempts: HashMap<u32, u8>,
 }
 
 #[derive(Debug)]
 enum Stage {
-    /// No offer yet.
+    /// The sender has not made an offer yet.
     AwaitingOffer,
-    /// Offered; waits for memory.
+    /// Offered; waiting for memory.
     AwaitingMemory,
-    /// Chunks come.
+    /// Receiving chunks.
     Receiving(PartialCache),
-    /// All is here and proven; the holder's word is missing.
+    /// Complete and verified; waiting for the sender to grant ownership.
     AwaitingGrant(Vec<Bytes>),
 }
 
@@ -118,9 +119,9 @@
     route: RouteId,
     conn: Option<ConnectionId>,
     deadline: Option<Micros>,
-    /// When the holder was last heard of, or the fetch began.
+    /// When the sender was last heard from, or the fetch began.
     last_contact: Micros,
-    /// The last moment, by the holder's limit or ours.
+    /// The earlier of the sender's time limit and this receiver's own.
     expires_at: Micros,
     offer: Option<Offer>,
     connection_losses: u8,
@@ -131,12 +132,12 @@
 struct Peer {
     route: Option<RouteId>,
     last_activity: Micros,
-    /// Bytes that may still come before more credit is given.
+    /// Bytes that may still arrive before more credit is granted.
     remaining_window_bytes: u64,
     transfers: Vec<TransferToken>,
 }
 
-/// The taker's side of a process.
+/// State machine of a process's receiving side.
 #[derive(Debug)]
 pub struct Receiver {
     timeouts: Timeouts,
@@ -149,7 +150,7 @@
 }
 
 impl Receiver {
-    /// A taker with nothing under way.
+    /// A receiver without fetches.
     pub fn new(timeouts: Timeouts, limits: Limits) -> Self {
         Receiver {
             timeouts,
@@ -162,7 +163,7 @@
         }
     }
 
-    /// A state is wanted from a holder, by a time if it is needed by one.
+    /// Starts to fetch a KV cache from a sender, with an optional deadline.
     pub fn fetch(
         &mut self,
         now: Micros,
@@ -195,12 +196,12 @@
         Ok(token)
     }
 
-    /// The greeting's window.
+    /// The window to announce in the hello frame.
     pub fn window_bytes(&self) -> u32 {
         self.limits.window_bytes
     }
 
-    /// A connection is there, greetings exchanged. `route`: whose it is, where it was opened from here.
+    /// Adds a connection after the handshake. `route` names the sender at its other end, if that is known.
     pub fn add_connection(&mut self, now: Micros, conn: ConnectionId, route: Option<RouteId>) {
         let remaining_window_bytes = u64::from(self.limits.window_bytes);
         self.peers
@@ -220,21 +221,21 @@
         fetch.conn = Some(conn);
         peer.transfers.push(token);
         let resume_incarnation = fetch.offer.as_ref().map_or(0, |offer| offer.incarnation);
-        // At least a millisecond: 0 would mean no certain time.
+        // At least one millisecond, as 0 means no deadline.
         let deadline_ms = fetch.deadline.map_or(0, |deadline| (deadline.saturating_sub(now) / 1_000).max(1));
         let deadline_ms = u32::try_from(deadline_ms).unwrap_or(u32::MAX);
         let want = Want { token, id: fetch.id.clone(), deadline_ms, resume_incarnation };
         self.actions.push_back(Action::Send(conn, Frame::Want(want)));
     }
 
-    /// Something came on a connection.
+    /// Records that data arrived on a connection.
     pub fn record_activity(&mut self, now: Micros, conn: ConnectionId) {
         if let Some(peer) = self.peers.get_mut(&conn) {
             peer.last_activity = now;
         }
     }
 
-    /// A connection is gone. Its moves go on over the next one, if there is one in time.
+    /// Removes a lost connection. Its transfers resume on the next one, if that is established in time.
     pub fn remove_connection(&mut self, conn: ConnectionId) {
         let Some(peer) = self.peers.remove(&conn) else { return };
         let mut failed = Vec::new();
@@ -257,7 +258,7 @@
         }
     }
 
-    /// The holder has it.
+    /// Handles the sender's offer.
     pub fn handle_offer(&mut self, now: Micros, conn: ConnectionId, offer: Offer) {
         let token = offer.token;
         let Some(fetch) = self.fetch_on(conn, token) else { return };
@@ -266,7 +267,7 @@
         if earlier
             .is_some_and(|earlier| earlier.proof != offer.proof || earlier.incarnation != offer.incarnation)
         {
-            // Not the state that began to move: what is here of that one is of no use.
+            // Not the KV cache that the transfer began with; its chunks are of no use any more.
             self.give_up(token, Cause::NotFound);
             return;
         }
@@ -289,7 +290,7 @@
             }
             Stage::AwaitingMemory => {}
             Stage::Receiving(_) => self.request_missing(token),
-            // The holder has not heard that all of it is here.
+            // The sender has not received the completion report.
             Stage::AwaitingGrant(_) => self.actions.push_back(Action::Send(conn, Frame::Complete(token))),
         }
     }
@@ -307,7 +308,7 @@
         self.request_missing(token);
     }
 
-    /// Asks for all that is missing and not on its way.
+    /// Requests all chunks that are missing and not under way.
     fn request_missing(&mut self, token: TransferToken) {
         let Some(fetch) = self.fetches.get_mut(&token) else { return };
         let (Some(conn), Some(offer), Stage::Receiving(partial)) =
@@ -327,7 +328,7 @@
         }
     }
 
-    /// A chunk has come.
+    /// Handles a chunk that has arrived.
     pub fn handle_chunk(
         &mut self,
         conn: ConnectionId,
@@ -356,7 +357,7 @@
                 return Ok(());
             }
         }
-        // Of a move that has ended, or asked for twice over two connections.
+        // A chunk of an ended transfer, or one that was requested on two connections.
         self.give_credit(conn, data.len());
         Ok(())
     }
@@ -368,7 +369,7 @@
         }
     }
 
-    /// Whether a chunk is what it should be.
+    /// Handles the verification result of a chunk.
     pub fn handle_verification(&mut self, chunk: ReceivedChunk, is_valid: bool) {
         let ReceivedChunk { conn, token, index, data, .. } = chunk;
         self.give_credit(conn, data.len());
@@ -404,7 +405,7 @@
         }
     }
 
-    /// The holder's word that the state is this process's.
+    /// Handles the sender's grant of ownership.
     pub fn handle_grant(&mut self, conn: ConnectionId, token: TransferToken) {
         if self.fetch_on(conn, token).is_none_or(|fetch| !matches!(fetch.stage, Stage::AwaitingGrant(_))) {
             return;
@@ -418,19 +419,19 @@
         }
     }
 
-    /// The holder has ended the move.
+    /// Handles the end of a transfer by its sender.
     pub fn handle_abort(&mut self, conn: ConnectionId, token: TransferToken, cause: Cause) {
         if self.fetch_on(conn, token).is_some() {
             self.fail(token, cause);
         }
     }
 
-    /// Nobody here wants it any more.
+    /// Cancels a fetch whose result is no longer wanted.
     pub fn cancel(&mut self, token: TransferToken) {
         self.give_up(token, Cause::Unwanted);
     }
 
-    /// Lets go of all moves for the request, and passes the word on to their holders.
+    /// Ends all transfers for the request and forwards the release to their senders.
     pub fn release(&mut self, id: &RequestId) {
         let matching = self.fetches.iter().filter(|(_, fetch)| fetch.id == *id);
         let matching: Vec<(TransferToken, Option<ConnectionId>)> =
@@ -443,13 +444,13 @@
         }
     }
 
-    /// A state that was handed out has been dropped.
+    /// Returns the memory of a delivered KV cache that was dropped.
     pub fn release_memory(&mut self, bytes: u64) {
         self.memory.release(bytes);
         self.start_admitted();
     }
 
-    /// Ends what is out of time. Returns when to call again, if anything is left.
+    /// Ends transfers that have timed out. Returns when to call again, if transfers remain.
     pub fn expire(&mut self, now: Micros) -> Option<Micros> {
         let hold_ttl = self.timeouts.hold_ttl;
         let expires_at = |fetch: &Fetch| {
@@ -472,7 +473,7 @@
         self.fetches.get_mut(&token).filter(|fetch| fetch.conn == Some(conn))
     }
 
-    /// Ends a move from here: its holder is told.
+    /// Fails a fetch and notifies its sender.
     fn give_up(&mut self, token: TransferToken, cause: Cause) {
         if let Some(conn) = self.fetches.get(&token).and_then(|fetch| fetch.conn) {
             self.actions.push_back(Action::Send(conn, Frame::GiveUp(token, cause)));
@@ -506,27 +507,27 @@
         }
     }
 
-    /// What is to be done next.
+    /// Takes the next action to carry out.
     pub fn next_action(&mut self) -> Option<Action> {
         self.actions.pop_front()
     }
 
-    /// Whether moves are under way on a connection.
+    /// Whether transfers are under way on a connection.
     pub fn has_transfers(&self, conn: ConnectionId) -> bool {
         self.peers.get(&conn).is_some_and(|peer| !peer.transfers.is_empty())
     }
 
-    /// Whether moves need the route.
+    /// Whether any fetch needs the route.
     pub fn needs_route(&self, route: RouteId) -> bool {
         self.fetches.values().any(|fetch| fetch.route == route)
     }
 
-    /// Whether a move for the request is under way.
+    /// Whether a KV cache is being fetched for the request.
     pub fn is_fetching(&self, id: &RequestId) -> bool {
         self.fetches.values().any(|fetch| fetch.id == *id)
     }
 
-    /// Each move under way: whose, bytes that are here and proven, bytes in all once they are known.
+    /// For each fetch: the request, the verified bytes, and the total bytes once they are known.
     pub fn progress(&self) -> impl Iterator<Item = (&RequestId, u64, Option<u64>)> {
         self.fetches.values().map(|fetch| {
             let layout = fetch.offer.as_ref().map(|offer| offer.proof.layout());
@@ -539,13 +540,14 @@
         })
     }
 
-    /// Moves under way, how many of them wait for memory, and bytes set aside.
+    /// Number of fetches, how many of them wait for memory, and bytes reserved.
     pub fn usage(&self) -> (usize, usize, u64) {
         (self.fetches.len(), self.memory.queued_count(), self.memory.reserved_bytes())
     }
 }
 
-/// A set as ranges: never more than a frame takes, as that many need twice as many chunks.
+/// Converts a set of chunks to ranges. The result fits one frame: n ranges take at least 2n - 1 chunks, and a
+/// KV cache has at most twice as many chunks as a frame takes ranges.
 fn ranges(set: &RoaringBitmap) -> Vec<Range<u32>> {
     let mut ranges: Vec<Range<u32>> = Vec::new();
     for index in set {
--- a/transfer/src/sender.rs
+++ b/transfer/src/sender.rs
@@ -1,5 +1,5 @@
-//! The holder's side: states that were read here, who comes for them, and what goes out next. No I/O, no
-//! clock: it is told what happened and when, and says what to do.
+//! The sending side: KV caches that are held here, the receivers that fetch them, and the chunks to send
+//! next. No I/O, no clock: the caller reports events with their time and carries out the resulting actions.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::Arc;
@@ -14,16 +14,16 @@
 use crate::wire::{Frame, Hello, Offer, RequestId, Want};
 use crate::{ConnectionId, Incarnation, Micros, Timeouts, TransferToken};
 
-/// Limits of a holder.
+/// Limits of a sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// States held, and notes of those given away.
+    /// KV caches that are held, and records of those that were handed over.
     pub max_caches: usize,
-    /// Bytes of all states held.
+    /// Bytes of all KV caches that are held.
     pub max_bytes: u64,
-    /// Moves of one connection.
+    /// Concurrent transfers on one connection.
     pub max_transfers_per_connection: usize,
-    /// Bytes on their way in all.
+    /// Bytes in flight on all connections together.
     pub max_in_flight_bytes: u64,
 }
 
@@ -38,32 +38,33 @@
     }
 }
 
-/// What the other end may not do. Its connection ends.
+/// A violation of the protocol by the other end; it closes the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProtocolError {
-    /// A name of a move that is in use.
-    #[error("it names two moves alike")]
+    /// A want frame reuses the token of a transfer that is under way.
+    #[error("the transfer token is already in use")]
     DuplicateToken,
-    /// Chunks that the state does not have.
-    #[error("it asks for chunks that do not exist")]
+    /// An ask frame has an empty range, or one beyond the last chunk.
+    #[error("a requested chunk range is empty or out of bounds")]
     InvalidRange,
-    /// More than was allowed to come.
-    #[error("it sends more than it was allowed to")]
+    /// The peer sent more bytes of chunks than it had credit for.
+    #[error("the peer sent more chunk bytes than its window allows")]
     WindowExceeded,
 }
 
-/// What is to be done.
+/// An action for the service to carry out.
 #[derive(Debug)]
 pub enum Action {
-    /// Say this.
+    /// Send this frame on this connection.
     Send(ConnectionId, Frame),
-    /// A state has gone from here for this reason. Where nobody else has it, its prompt must be read anew.
+    /// A KV cache was freed for this reason. Unless another server has it, its prompt must be prefilled
+    /// again.
     Freed(RequestId, Cause),
-    /// A state has gone from here as its taker owns it.
+    /// A KV cache was handed over to its receiver and is no longer held here.
     HandedOver(RequestId),
 }
 
-/// A read that has begun. What it brings is freed at once if it is released meanwhile.
+/// Identifies a prefill that has begun. Its KV cache is dropped at once if the request is released meanwhile.
 #[derive(Debug, PartialEq, Eq, Hash, Clone, Copy, PartialOrd, Ord)]
 pub struct PrefillId(u64);
 
@@ -73,8 +74,8 @@
     proof: Arc<Proof>,
     lease: Lease,
     flow: Option<FlowId>,
-    /// Released while a taker was at it: it goes once that gives it up.
-    is_released: bool,
+    /// Released while claimed by a receiver: freed as soon as that receiver gives it up.
+    is_release_pending: bool,
 }
 
 #[derive(Debug)]
@@ -92,7 +93,7 @@
     transfers: BTreeMap<TransferToken, FlowId>,
 }
 
-/// The holder's side of a process.
+/// State machine of a process's sending side.
 #[derive(Debug)]
 pub struct Sender {
     timeouts: Timeouts,
@@ -110,7 +111,7 @@
 }
 
 impl Sender {
-    /// A holder with nothing in it.
+    /// A sender that holds no KV caches.
     pub fn new(incarnation: Incarnation, timeouts: Timeouts, limits: Limits) -> Self {
         Sender {
             timeouts,
@@ -133,7 +134,7 @@
         self.last_id
     }
 
-    /// A read begins here. None does after a drain.
+    /// Begins a prefill. Rejected once the sender drains.
     pub fn begin_prefill(&mut self, id: RequestId) -> Result<PrefillId, Cause> {
         if self.drain_deadline.is_some() {
             return Err(Cause::Drained);
@@ -146,13 +147,13 @@
         Ok(prefill)
     }
 
-    /// The read was given up.
+    /// Cancels a prefill.
     pub fn cancel_prefill(&mut self, prefill: PrefillId) {
         self.prefills.remove(&prefill);
     }
 
-    /// The read has brought a state. It takes the place of an older one of the same request, of which this
-    /// read shows that it is no longer of use.
+    /// Stores the KV cache of a prefill. It replaces an older one of the same request, which is of no use any
+    /// more since the request was prefilled again.
     pub fn store_prefill(
         &mut self,
         now: Micros,
@@ -169,7 +170,7 @@
         self.store(now, id, (0..layout.chunk_count()).map(chunk_at).collect(), proof)
     }
 
-    /// Holds a state that has come from elsewhere, whole and proven.
+    /// Stores a complete, verified KV cache that was received from another server.
     pub fn store(
         &mut self,
         now: Micros,
@@ -186,17 +187,19 @@
             return Err(Cause::NoCapacity);
         }
         self.held_bytes += bytes;
-        self.caches
-            .insert(id, HeldCache { chunks, proof, lease: Lease::new(now), flow: None, is_released: false });
+        self.caches.insert(
+            id,
+            HeldCache { chunks, proof, lease: Lease::new(now), flow: None, is_release_pending: false },
+        );
         Ok(())
     }
 
-    /// Whether one more state of so many bytes may be held.
+    /// Whether another KV cache of this size fits the limits.
     pub fn has_room(&self, bytes: u64) -> bool {
         self.caches.len() < self.limits.max_caches && self.held_bytes + bytes <= self.limits.max_bytes
     }
 
-    /// A connection is there, greetings exchanged.
+    /// Adds a connection after the handshake.
     pub fn add_connection(&mut self, now: Micros, conn: ConnectionId, hello: Hello) {
         let peer = Peer { incarnation: hello.incarnation, last_activity: now, transfers: BTreeMap::new() };
         self.peers.insert(conn, peer);
@@ -206,14 +209,14 @@
         }
     }
 
-    /// Something came on a connection.
+    /// Records that data arrived on a connection.
     pub fn record_activity(&mut self, now: Micros, conn: ConnectionId) {
         if let Some(peer) = self.peers.get_mut(&conn) {
             peer.last_activity = now;
         }
     }
 
-    /// A connection is gone. Its moves wait for their takers to come back.
+    /// Removes a lost connection. Its transfers wait for their receivers to resume them.
     pub fn remove_connection(&mut self, conn: ConnectionId) {
         let Some(peer) = self.peers.remove(&conn) else { return };
         self.scheduler.remove_peer(conn);
@@ -226,7 +229,7 @@
         }
     }
 
-    /// A taker comes for a state, for the first time or back after a cut.
+    /// Handles a receiver's request for a KV cache, new or resumed after a lost connection.
     pub fn handle_want(&mut self, now: Micros, conn: ConnectionId, want: Want) -> Result<(), ProtocolError> {
         let Some(peer) = self.peers.get(&conn) else { return Ok(()) };
         let Want { token, id, deadline_ms, resume_incarnation } = want;
@@ -270,7 +273,8 @@
         let previous_flow = held.flow.replace(flow);
         let (proof, expires_at) = (held.proof.clone(), held.lease.expires_at(&self.timeouts));
         if let Some(old) = previous_flow.and_then(|flow| self.end_transfer(flow)) {
-            // The same claimant, back on another connection, knows already.
+            // The same claimant, back on a new connection before the loss of the old one was noticed, needs
+            // no notice.
             if old.claimant != claimant {
                 let frame = Frame::Abort(old.claimant.token, Cause::Superseded);
                 self.actions.push_back(Action::Send(old.conn, frame));
@@ -295,7 +299,7 @@
         Some(transfer)
     }
 
-    /// The taker has room for these chunks and wants them.
+    /// Handles a receiver's request for chunks; it has reserved memory for them.
     pub fn handle_ask(
         &mut self,
         conn: ConnectionId,
@@ -320,12 +324,12 @@
         Ok(())
     }
 
-    /// The taker has dealt with so many bytes of chunks.
+    /// Handles a receiver's credit for bytes of chunks that it has processed.
     pub fn handle_credit(&mut self, conn: ConnectionId, bytes: u32) {
         self.scheduler.add_credit(conn, u64::from(bytes));
     }
 
-    /// The taker has the whole, proven. The copy here goes.
+    /// Handles a receiver's report that its copy is complete and verified. Drops the copy here.
     pub fn handle_complete(&mut self, now: Micros, conn: ConnectionId, token: TransferToken) {
         let Some((flow, transfer)) = self.transfer_on(conn, token) else { return };
         let (id, claimant) = (transfer.id.clone(), transfer.claimant);
@@ -349,7 +353,8 @@
         self.actions.push_back(Action::Send(conn, frame));
     }
 
-    /// The taker has given the move up. The state waits for another, unless it can't be proven anywhere.
+    /// Handles the end of a transfer by its receiver. The KV cache waits for another receiver, unless it
+    /// failed verification and would fail anywhere.
     pub fn handle_give_up(&mut self, now: Micros, conn: ConnectionId, token: TransferToken, cause: Cause) {
         let Some((flow, _)) = self.transfer_on(conn, token) else { return };
         let Some(transfer) = self.end_transfer(flow) else { return };
@@ -357,10 +362,10 @@
             held.flow = None;
             held.lease.unclaim(now, transfer.claimant);
         }
-        let released = self.caches.get(&transfer.id).is_some_and(|held| held.is_released);
+        let is_released = self.caches.get(&transfer.id).is_some_and(|held| held.is_release_pending);
         if cause == Cause::Corrupt {
             self.free(&transfer.id, cause);
-        } else if released {
+        } else if is_released {
             self.free(&transfer.id, Cause::Released);
         }
     }
@@ -370,20 +375,20 @@
         Some((flow, self.transfers.get(&flow)?))
     }
 
-    /// Lets go of all that is held for the request, and of what a read that is under way will bring.
+    /// Frees what is held for the request, and drops the result of a prefill that is under way.
     pub fn release(&mut self, id: &RequestId) {
-        self.prefills.retain(|_, reading| reading != id);
+        self.prefills.retain(|_, prefilled| prefilled != id);
         self.free(id, Cause::Released);
     }
 
-    /// Lets go of what is held for the request and no attempt waits for: a read that is under way goes on,
-    /// and a state that a taker is at goes once that gives it up. A taker that asks for it on its own
-    /// connection, `by`, gives it up with that.
+    /// Frees what is held for the request unless an attempt uses it: a prefill that is under way continues,
+    /// and a KV cache that is claimed is freed once its receiver gives it up. A receiver that sends the
+    /// release on its own connection, `by`, thereby gives it up.
     pub fn release_unclaimed(&mut self, id: &RequestId, by: Option<ConnectionId>) {
         let Some(held) = self.caches.get_mut(id) else { return };
         let claimed_by = held.flow.and_then(|flow| self.transfers.get(&flow)).map(|transfer| transfer.conn);
         if held.lease.is_claimed() && (by.is_none() || claimed_by != by) {
-            held.is_released = true;
+            held.is_release_pending = true;
         } else {
             self.free(id, Cause::Released);
         }
@@ -400,7 +405,7 @@
         }
     }
 
-    /// Nothing new is read here; what is held may be taken until `end`, and is freed then.
+    /// Stops new prefills. KV caches that are held may be fetched until `end` and are freed then.
     pub fn drain(&mut self, now: Micros, end: Micros) {
         let end = self.drain_deadline.map_or(end, |earlier| earlier.min(end));
         self.drain_deadline = Some(end);
@@ -409,7 +414,7 @@
         }
     }
 
-    /// Ends what is out of time. Returns when to call again, if anything is left.
+    /// Frees KV caches that have expired. Returns when to call again, if any remain.
     pub fn expire(&mut self, now: Micros) -> Option<Micros> {
         let is_drain_over = self.drain_deadline.is_some_and(|end| end <= now);
         let is_expired = |held: &HeldCache| held.lease.expires_at(&self.timeouts) <= now;
@@ -422,11 +427,11 @@
         for id in expired {
             self.free(&id, if is_drain_over { Cause::Drained } else { Cause::Expired });
         }
-        let leases = self.caches.values().map(|held| held.lease.expires_at(&self.timeouts));
-        leases.chain(self.drain_deadline.filter(|_| !self.caches.is_empty())).min()
+        let lease_ends = self.caches.values().map(|held| held.lease.expires_at(&self.timeouts));
+        lease_ends.chain(self.drain_deadline.filter(|_| !self.caches.is_empty())).min()
     }
 
-    /// The next chunk that goes out.
+    /// Takes the next chunk to send.
     pub fn next_chunk(&mut self, now: Micros) -> Option<(ConnectionId, TransferToken, u32, Bytes)> {
         let flow = self.scheduler.pick_next(now)?;
         let transfer = self.transfers.get_mut(&flow)?;
@@ -442,27 +447,27 @@
         Some((transfer.conn, transfer.claimant.token, index, data))
     }
 
-    /// What is to be done next.
+    /// Takes the next action to carry out.
     pub fn next_action(&mut self) -> Option<Action> {
         self.actions.pop_front()
     }
 
-    /// Whether moves are under way on a connection.
+    /// Whether transfers are under way on a connection.
     pub fn has_transfers(&self, conn: ConnectionId) -> bool {
         self.peers.get(&conn).is_some_and(|peer| !peer.transfers.is_empty())
     }
 
-    /// Whether a state of this name is here.
+    /// Whether a KV cache of the request is held here.
     pub fn holds(&self, id: &RequestId) -> bool {
         self.caches.get(id).is_some_and(|held| held.lease.is_held_here())
     }
 
-    /// States held here, and their bytes.
+    /// Number of KV caches that are held, and their bytes.
     pub fn held(&self) -> (usize, u64) {
         (self.caches.values().filter(|held| held.lease.is_held_here()).count(), self.held_bytes)
     }
 
-    /// Moves under way, and bytes on their way.
+    /// Number of transfers under way, and bytes in flight.
     pub fn transfers(&self) -> (usize, u64) {
         (self.transfers.len(), self.scheduler.in_flight_bytes())
     }
@@ -473,7 +478,7 @@
     }
 }
 
-/// Whole milliseconds, as the wire has them.
+/// Converts to whole milliseconds, the unit of the wire format.
 fn millis(time: Micros) -> u32 {
     u32::try_from(time / 1_000).unwrap_or(u32::MAX)
 }
--- a/transfer/src/service/activity.rs
+++ b/transfer/src/service/activity.rs
@@ -1,4 +1,5 @@
-//! Notes when bytes last came. A large chunk on a slow link is no silence, though no frame ends for long.
+//! Tracks when bytes last arrived on a connection. Bytes count rather than frames, as a large chunk on a slow
+//! link takes long to complete while the connection is alive.
 
 use std::io;
 use std::pin::Pin;
@@ -11,7 +12,7 @@
 
 use crate::Micros;
 
-/// A clock whose zero is its making.
+/// A monotonic clock that counts from its creation.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Clock(Instant);
 
@@ -29,7 +30,7 @@
     }
 }
 
-/// The moment at which bytes last came.
+/// When bytes last arrived; clones share the value.
 #[derive(Clone, Debug)]
 pub(crate) struct LastActivity(Arc<AtomicU64>);
 
@@ -39,7 +40,7 @@
     }
 }
 
-/// A reader that notes it.
+/// A reader that records when bytes arrive.
 #[derive(Debug)]
 pub(crate) struct ActivityReader<R> {
     inner: R,
--- a/transfer/src/service/connection.rs
+++ b/transfer/src/service/connection.rs
@@ -1,4 +1,4 @@
-//! One connection, from its greeting to its end: a task that reads, and one that writes.
+//! Runs one connection from the handshake to its end: the calling task reads, a second task writes.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,33 +22,33 @@
 use crate::wire::{chunk_header, Codec, Frame, Hello, WireError, VERSION};
 use crate::ConnectionId;
 
-/// Room for what is read at first. Buffers are never made smaller than this, and a chunk keeps the one that
-/// it was read to: larger, and small chunks would hold much more memory than they have bytes.
+/// Initial and smallest size of a read buffer. A chunk keeps the buffer that it was read into, so with a
+/// larger value small chunks would occupy much more memory than their own size.
 const READ_BUFFER_BYTES: usize = 4 << 10;
-/// A write that gets nowhere for so long ends the connection: the other end lives and takes nothing.
+/// A write that makes no progress for this long closes the connection: the peer is alive but reads nothing.
 const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Why a connection ended.
+/// Why a connection was closed.
 #[derive(Debug, thiserror::Error)]
 enum CloseReason {
     #[error("{0}")]
     Wire(#[from] WireError),
     #[error("{0}")]
     Protocol(#[from] ProtocolError),
-    #[error("no greeting in time")]
+    #[error("the handshake timed out")]
     HandshakeTimeout,
-    #[error("it fell silent")]
+    #[error("no data from the peer within the silence timeout")]
     Silence,
-    #[error("it asks for much and reads nothing")]
+    #[error("the outgoing queue is full: the peer requests much and reads nothing")]
     QueueOverflow,
-    #[error("nothing more to do")]
+    #[error("idle")]
     Idle,
     #[error("closed")]
     Closed,
 }
 
 impl CloseReason {
-    /// Whether the other end did what it may not do.
+    /// Whether the peer violated the protocol.
     fn is_fault(&self) -> bool {
         match self {
             CloseReason::Wire(e) => !matches!(e, WireError::Io(_) | WireError::Truncated),
@@ -58,7 +58,7 @@
     }
 }
 
-/// Serves a connection until it ends. True if greetings were exchanged.
+/// Serves a connection until it ends. Returns whether the handshake succeeded.
 pub(crate) async fn serve(
     manager: Arc<SessionManager>,
     stream: TcpStream,
@@ -66,7 +66,7 @@
     route: Option<RouteId>,
 ) -> bool {
     let log = manager.log.new(o!("peer" => peer));
-    // Small frames are answers that others wait for.
+    // Small frames are replies that the peer waits for; without this they would be delayed.
     let _ = stream.set_nodelay(true);
     let (read_half, mut write_half) = stream.into_split();
     let (reader, last_activity) = ActivityReader::new(read_half, manager.clock);
@@ -85,14 +85,15 @@
                 return false;
             }
         };
-    let OpenConnection { conn, items, overflowed, changed } = manager.connection_opened(hello, route);
-    let write_failed = CancellationToken::new();
-    let write_task = write_frames(manager.clone(), conn, items, write_half, write_failed.clone());
+    let OpenConnection { conn, items, overflowed, transfers_changed } =
+        manager.connection_opened(hello, route);
+    let write_ended = CancellationToken::new();
+    let write_task = write_frames(manager.clone(), conn, items, write_half, write_ended.clone());
     let _write_task = AbortOnDropHandle::new(tokio::spawn(write_task));
     let read_loop = async {
         loop {
-            let has_transfers = manager.has_transfers(conn);
-            let max_silence = if has_transfers {
+            let is_busy = manager.has_transfers(conn);
+            let max_silence = if is_busy {
                 Duration::from_micros(manager.config.timeouts.silence_timeout)
             } else {
                 manager.config.idle_timeout
@@ -104,10 +105,10 @@
                     Some(Err(e)) => return Err(CloseReason::Wire(e)),
                     None => return Err(CloseReason::Closed),
                 },
-                () = silence => return Err(if has_transfers { CloseReason::Silence } else { CloseReason::Idle }),
-                () = changed.notified() => {}
+                () = silence => return Err(if is_busy { CloseReason::Silence } else { CloseReason::Idle }),
+                () = transfers_changed.notified() => {}
                 () = overflowed.cancelled() => return Err(CloseReason::QueueOverflow),
-                () = write_failed.cancelled() => return Err(CloseReason::Closed),
+                () = write_ended.cancelled() => return Err(CloseReason::Closed),
                 () = manager.closing.cancelled() => return Err(CloseReason::Closed),
             }
         }
@@ -120,12 +121,12 @@
     true
 }
 
-/// One line for what was wrong, none in the usual log for what was not.
+/// Logs why a connection was closed: protocol violations as info, all else as debug.
 fn log_close(log: &Logger, reason: &CloseReason) {
     if reason.is_fault() {
-        info!(log, "a connection was ended"; "why" => %reason);
+        info!(log, "closed a connection after a protocol violation"; "why" => %reason);
     } else {
-        debug!(log, "a connection has ended"; "why" => %reason);
+        debug!(log, "connection closed"; "why" => %reason);
     }
 }
 
@@ -147,7 +148,7 @@
     }
 }
 
-/// Resolves once no byte has come for so long.
+/// Waits until no byte has arrived for `max_silence`.
 async fn wait_for_silence(manager: &SessionManager, last_activity: &LastActivity, max_silence: Duration) {
     loop {
         let deadline = manager.clock.instant(last_activity.micros()) + max_silence;
@@ -158,15 +159,16 @@
     }
 }
 
-/// Writes what there is to say; `write_failed` tells the reader that it can't.
+/// Write task of a connection: writes queued items, and heartbeats while transfers are under way. Cancels
+/// `write_ended` when it ends, to notify the reading task.
 async fn write_frames(
     manager: Arc<SessionManager>,
     conn: ConnectionId,
     mut items: mpsc::UnboundedReceiver<WriteItem>,
     mut writer: impl AsyncWrite + Unpin,
-    write_failed: CancellationToken,
+    write_ended: CancellationToken,
 ) {
-    let _write_failed = write_failed.drop_guard();
+    let _write_failed = write_ended.drop_guard();
     let heartbeat_interval = Duration::from_micros(manager.config.timeouts.heartbeat_interval);
     let mut codec = Codec::default();
     let mut bytes = BytesMut::new();
@@ -206,7 +208,7 @@
     }
 }
 
-/// Writes all of it, as long as it gets somewhere.
+/// Writes all bytes; fails if a write makes no progress within the stall timeout.
 async fn send_all(writer: &mut (impl AsyncWrite + Unpin), bytes: &mut impl Buf) -> std::io::Result<()> {
     while bytes.has_remaining() {
         match timeout(WRITE_STALL_TIMEOUT, writer.write_buf(bytes)).await {
--- a/transfer/src/service/dial.rs
+++ b/transfer/src/service/dial.rs
@@ -1,4 +1,4 @@
-//! Keeps a connection to one address for as long as a move or an announcement needs it.
+//! Keeps a connection to one address open for as long as a transfer or a push needs it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,7 +12,8 @@
 use super::hub::SessionManager;
 use crate::receiver::RouteId;
 
-/// Between tries, at first and at most: a state waits for under a second.
+/// Initial and maximum delay between connection attempts. Short, as a KV cache is held for less than a
+/// second.
 const RECONNECT_DELAYS: (Duration, Duration) = (Duration::from_millis(5), Duration::from_millis(100));
 
 pub(crate) async fn keep_connected(manager: Arc<SessionManager>, route: RouteId, address: SocketAddr) {
@@ -22,7 +23,7 @@
             match timeout(manager.config.handshake_timeout, TcpStream::connect(address)).await {
                 Ok(Ok(stream)) => serve(manager.clone(), stream, address, Some(route)).await,
                 Ok(Err(e)) => {
-                    debug!(manager.log, "no connection"; "to" => address, "why" => %e);
+                    debug!(manager.log, "connect failed; retrying"; "to" => address, "why" => %e);
                     false
                 }
                 Err(_) => false,
--- a/transfer/src/service/hub.rs
+++ b/transfer/src/service/hub.rs
@@ -1,5 +1,6 @@
-//! Both machines and what hangs on them, behind one lock that is never held over a wait. Whoever feeds the
-//! machines carries out at once what they say.
+//! The session manager of a node: the sender and receiver state machines, the connections and the waiting
+//! callers, behind one lock that is never held across an await. Whoever reports an event to the state
+//! machines carries out the resulting actions at once.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -22,32 +23,33 @@
 use crate::wire::{Frame, Hello, RequestId};
 use crate::{ConnectionId, Incarnation, Micros, TransferToken};
 
-/// Chunks of at least this size are proven beside the connections' own work.
+/// Chunks of at least this size are verified on the blocking thread pool, so that hashing does not delay
+/// connections.
 const MIN_BLOCKING_VERIFY_BYTES: usize = 64 << 10;
-/// Bytes of frames other than chunks that may wait to be written on one connection. Who asks for much and
-/// reads nothing gets no further.
+/// Maximum bytes of frames, chunks not counted, that may wait to be written on one connection. A peer that
+/// requests much and reads nothing is disconnected.
 const MAX_QUEUED_BYTES: usize = 8 << 20;
 
-/// What a connection's writer gets.
+/// An item in a connection's outgoing queue.
 #[derive(Debug)]
 pub(crate) enum WriteItem {
     Frame(Frame),
     Chunk(TransferToken, u32, Bytes),
 }
 
-/// A connection, as the manager has it.
+/// The manager's record of a connection.
 struct Connection {
     outgoing: mpsc::UnboundedSender<WriteItem>,
-    /// Bytes of frames, chunks not counted, that the writer has not yet taken.
+    /// Bytes of frames, chunks not counted, that the write task has not taken yet.
     queued_bytes: usize,
-    /// Ended by the manager.
+    /// Cancelled once the outgoing queue exceeds its limit; closes the connection.
     overflowed: CancellationToken,
-    /// Something about its moves has changed.
-    changed: Arc<Notify>,
+    /// Notified when a transfer may have started, as that shortens the timeout of the connection.
+    transfers_changed: Arc<Notify>,
     route: RouteId,
 }
 
-/// Who waits for a push to end.
+/// Notifies the caller that waits for a push to end.
 type PushWaiter = oneshot::Sender<Result<(), Cause>>;
 
 struct Inner {
@@ -55,13 +57,13 @@
     receiver: Receiver,
     connections: HashMap<ConnectionId, Connection>,
     last_id: u64,
-    /// Where routes lead to that can be dialled,
+    /// Routes to addresses that this node connects to.
     routes_by_address: HashMap<SocketAddr, RouteId>,
-    /// and the processes that have dialled us.
+    /// Routes to processes that have connected to this node.
     routes_by_incarnation: HashMap<Incarnation, RouteId>,
     dialers: HashMap<RouteId, AbortOnDropHandle<()>>,
     fetch_waiters: HashMap<TransferToken, oneshot::Sender<Result<ReceivedCache, Cause>>>,
-    /// Moves that others have announced.
+    /// Fetches of KV caches that other nodes have pushed.
     pushed_transfers: HashSet<TransferToken>,
     pushes: HashMap<RequestId, (RouteId, PushWaiter)>,
     pushed_caches: Option<mpsc::UnboundedSender<PushedCache>>,
@@ -69,7 +71,7 @@
     totals: Totals,
 }
 
-/// Shared by all of a node's tasks.
+/// Shared by all tasks of a node.
 pub(crate) struct SessionManager {
     inner: Mutex<Inner>,
     pub(crate) config: Config,
@@ -77,9 +79,9 @@
     pub(crate) incarnation: Incarnation,
     pub(crate) log: Logger,
     deadlines_changed: Notify,
-    /// Ends all connections.
+    /// Cancelled when the node shuts down; closes all connections.
     pub(crate) closing: CancellationToken,
-    /// Told whenever a state or a move has ended.
+    /// Notified whenever a KV cache leaves this node or a transfer ends.
     pub(crate) transfer_ended: Notify,
 }
 
@@ -113,18 +115,19 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
-        // Nothing in here panics by design; should it, what is there is still consistent enough to end with.
+        // Code under the lock does not panic by design; if it ever does, the data is still consistent enough
+        // to shut down with.
         self.inner.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// Feeds the machines and carries out what they say.
+    /// Reports an event to the state machines, carries out their actions and wakes the expiry task.
     fn update<T>(self: &Arc<Self>, apply: impl FnOnce(&mut Inner, Micros) -> T) -> T {
         let result = self.update_without_wake(apply);
         self.deadlines_changed.notify_one();
         result
     }
 
-    /// The same for whoever keeps the time, which need not be told that something has changed.
+    /// Like `update`, for the expiry task itself, which needs no wake-up.
     fn update_without_wake<T>(self: &Arc<Self>, apply: impl FnOnce(&mut Inner, Micros) -> T) -> T {
         let mut chunks = Vec::new();
         let result = {
@@ -144,7 +147,7 @@
         let verify = move || {
             let is_valid = chunk.proof.verifies(chunk.index, &chunk.data);
             if !is_valid {
-                info!(manager.log, "a chunk is not what it should be"; "index" => chunk.index);
+                info!(manager.log, "chunk failed verification"; "index" => chunk.index);
             }
             manager.update(|inner, _| {
                 inner.totals.chunks_bad += u64::from(!is_valid);
@@ -152,7 +155,7 @@
             });
         };
         if is_large {
-            // It ends by itself; what it finds out of a move that has ended is dropped.
+            // The task is not joined: it ends by itself, and its result is ignored if the transfer has ended.
             tokio::task::spawn_blocking(verify);
         } else {
             verify();
@@ -172,7 +175,7 @@
                     if let Some(waiter) = inner.fetch_waiters.remove(&token) {
                         let _ = waiter.send(Err(cause));
                     }
-                    debug!(self.log, "a fetch has failed"; "move" => token, "why" => %cause);
+                    debug!(self.log, "fetch failed"; "move" => token, "why" => %cause);
                     self.transfer_ended.notify_waiters();
                 }
             }
@@ -187,10 +190,10 @@
                 }
                 sender::Action::Freed(id, cause) => {
                     inner.totals.freed += 1;
-                    info!(self.log, "a state was freed"; "request" => %id, "why" => %cause);
+                    info!(self.log, "freed a KV cache"; "request" => %id, "why" => %cause);
                     inner.finish_push(&id, Err(cause));
                     if let Some(freed_reports) = &inner.freed_reports {
-                        // Whoever does not listen is not waited for.
+                        // Dropped if the channel is full: a subscriber that lags must not block the node.
                         let _ = freed_reports.try_send((id, cause));
                     }
                     self.transfer_ended.notify_waiters();
@@ -215,23 +218,25 @@
     ) {
         inner.totals.arrived += 1;
         if inner.pushed_transfers.remove(&token) && self.config.push_policy == PushPolicy::Store {
-            // In one step: whoever comes for it next finds it.
+            // Under the same lock, so that the next receiver that fetches it finds it.
             let KvCache { chunks, length, proof } = cache;
             inner.receiver.release_memory(length);
             match inner.sender.store(self.clock.now(), id.clone(), chunks, proof) {
-                Ok(()) => info!(self.log, "held"; "request" => %id, "bytes" => length),
-                Err(cause) => warn!(self.log, "lost"; "request" => %id, "why" => %cause),
+                Ok(()) => info!(self.log, "pushed KV cache is held"; "request" => %id, "bytes" => length),
+                Err(cause) => warn!(self.log, "dropped a pushed KV cache"; "request" => %id, "why" => %cause),
             }
             return;
         }
         let received = ReceivedCache::new(cache, self.clone());
         let undelivered = match (inner.fetch_waiters.remove(&token), &inner.pushed_caches) {
             (Some(waiter), _) => waiter.send(Ok(received)).err().and_then(Result::ok),
-            (None, Some(inbox)) => inbox.send(PushedCache { id, cache: received }).err().map(|e| e.0.cache),
+            (None, Some(subscriber)) => {
+                subscriber.send(PushedCache { id, cache: received }).err().map(|error| error.0.cache)
+            }
             (None, None) => Some(received),
         };
         if let Some(received) = undelivered {
-            // Its memory goes back here, as the lock that its drop would take is held.
+            // Its memory is released here, as its destructor would take the lock that is held.
             inner.receiver.release_memory(received.disown());
         }
         self.transfer_ended.notify_waiters();
@@ -249,27 +254,27 @@
         inner.dialers.insert(route, AbortOnDropHandle::new(tokio::spawn(dialer)));
     }
 
-    /// Whether the dialer of a route goes on. Where it does not, it is forgotten in the same moment, so that
-    /// whoever needs the route next starts another.
+    /// Whether the dialer of a route should continue. If not, it is removed under the same lock, so that the
+    /// next transfer that needs the route starts another one.
     pub(crate) fn keep_dialing(&self, route: RouteId) -> bool {
         let mut inner = self.lock();
         let needed = inner.needs_route(route);
         if !needed {
-            // Dropping the handle ends the task that asks, which is about to end.
+            // Dropping the handle aborts the calling task, which is about to end.
             inner.dialers.remove(&route);
             inner.routes_by_address.retain(|_, r| *r != route);
         }
         needed
     }
 
-    /// A connection's greetings have been exchanged. `route`: the one that was dialled.
+    /// Registers a connection after the handshake. `route` is given if this node opened the connection.
     pub(crate) fn connection_opened(
         self: &Arc<Self>,
         hello: Hello,
         route: Option<RouteId>,
     ) -> OpenConnection {
         let (outgoing, items) = mpsc::unbounded_channel();
-        let (overflowed, changed) = (CancellationToken::new(), Arc::new(Notify::new()));
+        let (overflowed, transfers_changed) = (CancellationToken::new(), Arc::new(Notify::new()));
         let conn = self.update(|inner, now| {
             let conn = inner.next_id();
             let route = route.unwrap_or_else(|| inner.route_to_incarnation(hello.incarnation));
@@ -277,7 +282,7 @@
                 outgoing,
                 queued_bytes: 0,
                 overflowed: overflowed.clone(),
-                changed: changed.clone(),
+                transfers_changed: transfers_changed.clone(),
                 route,
             };
             inner.connections.insert(conn, connection);
@@ -289,10 +294,10 @@
             }
             conn
         });
-        OpenConnection { conn, items, overflowed, changed }
+        OpenConnection { conn, items, overflowed, transfers_changed }
     }
 
-    /// A connection is gone; bytes last came on it at `heard`.
+    /// Removes a closed connection on which data last arrived at `last_activity`.
     pub(crate) fn connection_closed(
         self: &Arc<Self>,
         conn: ConnectionId,
@@ -315,7 +320,7 @@
         });
     }
 
-    /// A frame has come. An error ends the connection.
+    /// Handles a received frame. An error closes the connection.
     pub(crate) fn handle_frame(
         self: &Arc<Self>,
         conn: ConnectionId,
@@ -341,7 +346,7 @@
             Frame::Grant(token) => inner.receiver.handle_grant(conn, token),
             Frame::GiveUp(token, cause) => inner.sender.handle_give_up(now, conn, token, cause),
             Frame::Abort(token, cause) => inner.receiver.handle_abort(conn, token, cause),
-            // What is fetched here is waited for.
+            // Concerns only what is held here: a fetch by this node has a caller that waits for it.
             Frame::Release(id) => inner.sender.release_unclaimed(&id, Some(conn)),
             Frame::Announce(id) => self.handle_announce(inner, now, conn, id),
             Frame::Refuse(id, cause) => inner.finish_push(&id, Err(cause)),
@@ -349,7 +354,7 @@
                 let text = serde_json::to_vec(&self.status_of(inner)).unwrap_or_default();
                 inner.send(conn, Frame::Status(text.into()));
             }
-            Frame::Drain(left_ms) => info!(self.log, "a holder drains"; "left_ms" => left_ms),
+            Frame::Drain(left_ms) => info!(self.log, "sender is draining"; "left_ms" => left_ms),
             Frame::Hello(_) | Frame::Beat | Frame::Status(_) => {}
         }
         Ok(())
@@ -357,7 +362,7 @@
 
     fn handle_announce(&self, inner: &mut Inner, now: Micros, conn: ConnectionId, id: RequestId) {
         let Some(route) = inner.connections.get(&conn).map(|connection| connection.route) else { return };
-        // Said again after a cut: the move is under way.
+        // Repeated after a lost connection: the transfer is under way.
         if inner.receiver.is_fetching(&id) {
             return;
         }
@@ -412,7 +417,8 @@
         self.update(|inner, _| inner.receiver.cancel(token));
     }
 
-    /// Tells the node at an address of a state that is held here, until it has taken it.
+    /// Announces a KV cache that is held here to the node at an address, again on each new connection until
+    /// that node owns it.
     pub(crate) fn push(
         self: &Arc<Self>,
         id: RequestId,
@@ -438,8 +444,8 @@
         })
     }
 
-    /// Lets go of all that is held for the request, here and at the other end of its moves. What is not
-    /// known here may be known to whom we are connected with.
+    /// Frees what is held for the request, here and at the other end of its transfers. A request that is
+    /// unknown here may be known to connected nodes, so the release is forwarded to all of them.
     pub(crate) fn release(self: &Arc<Self>, id: &RequestId) {
         self.update(|inner, _| {
             let is_known = inner.sender.holds(id) || inner.receiver.is_fetching(id);
@@ -451,8 +457,8 @@
         });
     }
 
-    /// Lets go of what is held for the request and no attempt waits for, here or at whom we are connected
-    /// with.
+    /// Frees what is held for the request unless an attempt uses it, here or, if the request is unknown here,
+    /// at all connected nodes.
     pub(crate) fn release_unclaimed(self: &Arc<Self>, id: &RequestId) {
         self.update(|inner, _| {
             let is_known = inner.sender.holds(id) || inner.receiver.is_fetching(id);
@@ -475,20 +481,20 @@
         self.lock().has_transfers(conn)
     }
 
-    /// The writer has taken a frame.
+    /// Records that the write task has taken a frame of this queued size.
     pub(crate) fn frame_dequeued(&self, conn: ConnectionId, bytes: usize) {
         if let Some(connection) = self.lock().connections.get_mut(&conn) {
             connection.queued_bytes = connection.queued_bytes.saturating_sub(bytes);
         }
     }
 
-    /// Nothing held, nothing under way.
+    /// Whether no KV cache is held and no fetch is under way.
     pub(crate) fn is_idle(&self) -> bool {
         let inner = self.lock();
         inner.sender.held().0 == 0 && inner.receiver.usage().0 == 0
     }
 
-    /// The node is gone: all connections end, and nothing is dialled any more.
+    /// Closes all connections and stops all dialers, as the node is dropped.
     pub(crate) fn close(&self) {
         self.closing.cancel();
         let dialers = std::mem::take(&mut self.lock().dialers);
@@ -496,7 +502,7 @@
     }
 
     pub(crate) fn subscribe_pushed(&self) -> mpsc::UnboundedReceiver<PushedCache> {
-        // Bounded by the taker's memory and number of moves.
+        // Bounded by the receiver's limits on memory and transfers.
         let (sender, receiver) = mpsc::unbounded_channel();
         self.lock().pushed_caches = Some(sender);
         receiver
@@ -538,14 +544,15 @@
         }
     }
 
-    /// Ends what is out of time, for as long as there is a node.
+    /// Expires KV caches and transfers, for as long as the node exists.
     pub(crate) async fn run_expiry(self: Arc<Self>) {
         loop {
             let next_deadline = self.update_without_wake(|inner, now| {
                 let deadlines = [inner.sender.expire(now), inner.receiver.expire(now)];
                 deadlines.into_iter().flatten().min()
             });
-            // What is fed meanwhile ends a hold from then at the earliest, which is many beats away.
+            // Events during the sleep create deadlines that are many heartbeats away, so waking up once a
+            // heartbeat suffices.
             let next_heartbeat = self.clock.now() + self.config.timeouts.heartbeat_interval;
             match next_deadline {
                 Some(deadline) => sleep_until(self.clock.instant(deadline.min(next_heartbeat))).await,
@@ -555,12 +562,12 @@
     }
 }
 
-/// A connection that is up.
+/// Handles of a registered connection, for its tasks.
 pub(crate) struct OpenConnection {
     pub(crate) conn: ConnectionId,
     pub(crate) items: mpsc::UnboundedReceiver<WriteItem>,
     pub(crate) overflowed: CancellationToken,
-    pub(crate) changed: Arc<Notify>,
+    pub(crate) transfers_changed: Arc<Notify>,
 }
 
 impl Inner {
@@ -591,7 +598,7 @@
         self.connections
             .values()
             .filter(|connection| connection.route == route)
-            .for_each(|connection| connection.changed.notify_one());
+            .for_each(|connection| connection.transfers_changed.notify_one());
     }
 
     fn forward_release(&mut self, id: &RequestId) {
@@ -617,7 +624,7 @@
     }
 }
 
-/// About the bytes that a waiting frame takes up.
+/// Approximate memory of a queued frame, in bytes.
 pub(crate) fn queued_size(frame: &Frame) -> usize {
     let payload_bytes = match frame {
         Frame::Offer(offer) => offer.proof.chunk_hashes().len(),
--- a/transfer/src/service/mod.rs
+++ b/transfer/src/service/mod.rs
@@ -1,5 +1,5 @@
-//! The service: the machines on sockets. A [`Node`] is both sides at once; a server embeds one, or runs one
-//! beside itself.
+//! Runs the state machines on sockets. A [`Node`] is sender and receiver at once; a server embeds one, or
+//! runs one in a process beside it.
 
 mod activity;
 mod connection;
@@ -15,63 +15,64 @@
 pub use node::{ActivePrefill, FetchError, Node, PushedCache, ReceivedCache, StoreError};
 pub use status::{query_status, Status, StatusError};
 
-/// How a node is set up.
+/// Settings of a node.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
-    /// How long things may last.
+    /// Time limits of transfers.
     pub timeouts: Timeouts,
-    /// Limits of what is held here.
+    /// Limits on KV caches that are held here.
     pub sender: sender::Limits,
-    /// Limits of what is fetched.
+    /// Limits on KV caches that are fetched.
     pub receiver: receiver::Limits,
-    /// Bytes of a chunk of states that are read here.
+    /// Chunk size for KV caches that are computed here.
     pub chunk_bytes: u32,
-    /// Connections at once, in each direction.
+    /// Maximum number of accepted connections at a time.
     pub max_connections: usize,
-    /// For a connection to come up, and for each side's greeting.
+    /// Limit for a connection to be established, and again for the hello frame on it.
     pub handshake_timeout: Duration,
-    /// After which a connection without moves is closed.
+    /// A connection without transfers is closed after this long without data.
     pub idle_timeout: Duration,
-    /// What becomes of states that others announce.
+    /// What to do with KV caches that other nodes push.
     pub push_policy: PushPolicy,
 }
 
-/// What becomes of states that others announce.
+/// What to do with KV caches that other nodes push.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PushPolicy {
-    /// They are refused.
+    /// Refuse them.
     Reject,
-    /// They come out of [`Node::subscribe_pushed`].
+    /// Deliver them through [`Node::subscribe_pushed`].
     Deliver,
-    /// They are held for whoever fetches them, like those that were read here.
+    /// Hold them until they are fetched, like those that were computed here.
     Store,
 }
 
-/// Settings that do not fit together.
+/// Invalid or contradictory settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConfigError {
-    /// The chunk size.
-    #[error("a chunk is a power of two from 4 KiB to 1 MiB")]
+    /// The chunk size is out of bounds.
+    #[error("the chunk size must be a power of two from 4 KiB to 1 MiB")]
     ChunkSize,
-    /// A window that holds no two chunks.
-    #[error("the window must hold two chunks")]
+    /// The window is smaller than two chunks.
+    #[error("the window must hold at least two chunks")]
     Window,
-    /// Nothing could ever be sent.
-    #[error("as much must be allowed in flight as one chunk has")]
+    /// The in-flight limit is smaller than a chunk, so that nothing could ever be sent.
+    #[error("the in-flight limit must be at least one chunk")]
     MaxInFlight,
-    /// A link that stalls could not be told from one that is gone before the state is freed.
-    #[error("silence must be at least three beats, and less than hold")]
+    /// The silence timeout would close live connections, or would detect a stalled link only after the KV
+    /// cache is freed.
+    #[error("the silence timeout must be at least three heartbeat intervals and shorter than the hold time")]
     SilenceTimeout,
-    /// A state that is held longer than allowed in all.
-    #[error("hold must be at most the limit")]
+    /// The hold time is longer than a whole transfer may take.
+    #[error("the hold time must not exceed the time limit of a transfer")]
     HoldTtl,
-    /// No connection.
+    /// No connections are allowed.
     #[error("at least one connection must be allowed")]
     MaxConnections,
 }
 
 impl Config {
-    /// Whether the settings fit together.
+    /// Validates the settings.
     pub fn check(&self) -> Result<(), ConfigError> {
         let (chunk, timeouts) = (self.chunk_bytes, &self.timeouts);
         let checks = [
--- a/transfer/src/service/node.rs
+++ b/transfer/src/service/node.rs
@@ -1,5 +1,5 @@
-//! What an embedding server sees: states are put, fetched, pushed and released. Dropping a read, a fetch or a
-//! state gives it up.
+//! The interface for an embedding server: KV caches are stored, fetched, pushed and released. Dropping a
+//! prefill or a fetch cancels it; dropping a received KV cache releases its memory.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -26,43 +26,43 @@
 use crate::wire::RequestId;
 use crate::TransferToken;
 
-/// After a failed accept, as with no descriptor left.
+/// Delay after a failed accept, for example when no file descriptors are left.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
-/// Reports that may wait for whoever listens for them.
+/// Capacity of the channel of reports on freed KV caches.
 const MAX_QUEUED_FREED_REPORTS: usize = 4_096;
 
-/// Why a state could not be put.
+/// Why a KV cache could not be stored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StoreError {
-    /// Its measures.
+    /// It cannot be divided into chunks.
     #[error("{0}")]
     Layout(#[from] LayoutError),
-    /// Released meanwhile, drained, or no room.
+    /// The request was released meanwhile, or the node drains or is full.
     #[error("{0}")]
     Refused(#[from] Cause),
 }
 
-/// Why a state does not come: of several holders the one cause that tells most.
+/// Why a fetch failed: of several senders, the most informative cause.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FetchError {
-    /// No holder was named.
-    #[error("no holder to fetch it from")]
+    /// No sender was given.
+    #[error("no address given to fetch the KV cache from")]
     NoSender,
-    /// It could not be had.
+    /// No sender delivered it.
     #[error("{0}")]
     Failed(#[from] Cause),
 }
 
-/// A state that others announced and that has arrived.
+/// A KV cache that another node pushed here.
 #[derive(Debug)]
 pub struct PushedCache {
-    /// Whose state.
+    /// The request that it belongs to.
     pub id: RequestId,
-    /// The state.
+    /// The KV cache.
     pub cache: ReceivedCache,
 }
 
-/// A state that is whole, proven and this process's own. Its memory is given back when it is dropped.
+/// A KV cache that is complete, verified and owned by this process. Dropping it releases its memory.
 pub struct ReceivedCache {
     cache: KvCache,
     manager: Option<Arc<SessionManager>>,
@@ -73,18 +73,18 @@
         ReceivedCache { cache, manager: Some(manager) }
     }
 
-    /// Its length, which whoever calls gives back.
+    /// Consumes the value without releasing its memory; returns the bytes, which the caller must release.
     pub(crate) fn disown(mut self) -> u64 {
         self.manager = None;
         self.cache.length
     }
 
-    /// The chunks in their order.
+    /// The chunks in order.
     pub fn chunks(&self) -> &[Bytes] {
         &self.cache.chunks
     }
 
-    /// Bytes in all.
+    /// Total length in bytes.
     pub fn length(&self) -> u64 {
         self.cache.length
     }
@@ -104,21 +104,21 @@
     }
 }
 
-/// A read that is under way. Dropping it gives the read up.
+/// A prefill that is under way. Dropping it cancels the prefill.
 pub struct ActivePrefill {
     manager: Arc<SessionManager>,
     prefill: Option<PrefillId>,
 }
 
 impl ActivePrefill {
-    /// The prompt is read: this is its state. It is held until it is taken, released, or out of time.
+    /// Ends the prefill and stores its KV cache. It is held until it is fetched, released, or expires.
     pub async fn store(mut self, cache: Bytes) -> Result<(), StoreError> {
         let chunk_bytes = self.manager.config.chunk_bytes;
         let hash_task = {
             let cache = cache.clone();
             tokio::task::spawn_blocking(move || Proof::compute(&cache, chunk_bytes))
         };
-        // Hashing neither panics nor is it cancelled while the runtime lives.
+        // Hashing does not panic and is not cancelled while the runtime exists.
         let proof = hash_task.await.map_err(|_| Cause::PeerLost)??;
         match self.prefill.take() {
             Some(prefill) => Ok(self.manager.store_prefill(prefill, cache, Arc::new(proof))?),
@@ -135,7 +135,7 @@
     }
 }
 
-/// Ends a fetch that nobody waits for any more.
+/// Cancels a fetch when its caller stops waiting for it.
 struct FetchGuard(Arc<SessionManager>, Option<TransferToken>);
 
 impl Drop for FetchGuard {
@@ -146,7 +146,7 @@
     }
 }
 
-/// A holder and taker of states. Dropping it ends all that it does.
+/// A node of the transfer service: holds, sends and fetches KV caches. Dropping it ends all its work.
 pub struct Node {
     manager: Arc<SessionManager>,
     _expiry_task: AbortOnDropHandle<()>,
@@ -160,14 +160,14 @@
 }
 
 impl Node {
-    /// A node that nobody can reach yet. `incarnation` is drawn anew at each start, and is not 0.
+    /// Creates a node that does not listen yet. `incarnation` is drawn anew at each start and is not 0.
     pub fn new(config: Config, incarnation: u64, log: Logger) -> Self {
         let manager = Arc::new(SessionManager::new(config, incarnation.max(1), log));
         let expiry_task = AbortOnDropHandle::new(tokio::spawn(manager.clone().run_expiry()));
         Node { manager, _expiry_task: expiry_task, accept_tasks: std::sync::Mutex::default() }
     }
 
-    /// Takes connections there; a port of 0 is chosen by the system.
+    /// Accepts connections on an address; for port 0 the system chooses a port. Returns the bound address.
     pub async fn listen(&self, address: SocketAddr) -> std::io::Result<SocketAddr> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
@@ -179,13 +179,13 @@
         Ok(address)
     }
 
-    /// A read begins here.
+    /// Begins a prefill.
     pub fn begin_prefill(&self, id: RequestId) -> Result<ActivePrefill, Cause> {
         let prefill = self.manager.begin_prefill(id)?;
         Ok(ActivePrefill { manager: self.manager.clone(), prefill: Some(prefill) })
     }
 
-    /// Fetches a state from whichever of these holders has it. Dropping the future gives it up.
+    /// Fetches a KV cache from whichever of these senders has it. Dropping the future cancels the fetch.
     pub async fn fetch(
         &self,
         id: &RequestId,
@@ -198,7 +198,7 @@
         while let Some(result) = attempts.next().await {
             match result {
                 Ok(cache) => return Ok(cache),
-                // A holder that is not there tells less than one that had it and can't give it.
+                // A sender without the KV cache says less than one that had it and cannot deliver it.
                 Err(cause) if failure.is_none_or(|earlier| earlier == Cause::NotFound) => {
                     failure = Some(cause)
                 }
@@ -225,31 +225,31 @@
         }
     }
 
-    /// Announces a state that is held here to the node at an address; resolves once that owns it.
+    /// Announces a KV cache that is held here to the node at an address; returns once that node owns it.
     pub async fn push(&self, id: &RequestId, to: SocketAddr) -> Result<(), Cause> {
         self.manager.push(id.clone(), to)?.await.unwrap_or(Err(Cause::PeerLost))
     }
 
-    /// Lets go of all that is held for the request, at both ends of its moves, and of what a read brings.
-    /// For a request that has ended.
+    /// Frees what is held for a request that has ended, at both ends of its transfers, and drops the result
+    /// of a prefill that is under way.
     pub fn release(&self, id: &RequestId) {
         self.manager.release(id);
     }
 
-    /// Lets go of what is held for the request and no attempt waits for: a read that is under way goes on,
-    /// and so does a move until its taker gives it up. What `DELETE /state/{id}` of the platform's protocol
-    /// means, as the request's next attempt may be under way beside it.
+    /// Frees what is held for the request unless an attempt uses it: a prefill that is under way continues,
+    /// and so does a transfer until its receiver gives it up. These are the semantics of `DELETE /state/{id}`
+    /// in the platform's protocol, as the request's next attempt may already be under way.
     pub fn release_unclaimed(&self, id: &RequestId) {
         self.manager.release_unclaimed(id);
     }
 
-    /// Reads nothing more here. What is held may be taken for so long, and is freed then.
+    /// Stops new prefills. KV caches that are held may be fetched for this long and are freed then.
     pub fn drain(&self, within: Duration) {
         info!(self.manager.log, "draining"; "within_ms" => within.as_millis() as u64);
         self.manager.drain(within.as_micros() as u64);
     }
 
-    /// Resolves once nothing is held and nothing moves.
+    /// Waits until no KV cache is held and no fetch is under way.
     pub async fn wait_until_idle(&self) {
         loop {
             let transfer_ended = self.manager.transfer_ended.notified();
@@ -260,23 +260,24 @@
         }
     }
 
-    /// The states that others have announced, once they are here. One caller gets them: the last.
+    /// Subscribes to KV caches that other nodes push, as they arrive. Replaces an earlier subscriber.
     pub fn subscribe_pushed(&self) -> mpsc::UnboundedReceiver<PushedCache> {
         self.manager.subscribe_pushed()
     }
 
-    /// The states that were freed here without a taker, and why: their prompts are to be read anew, if they
-    /// are still wanted. One caller gets them: the last. What finds no room is not waited for.
+    /// Subscribes to reports on KV caches that were freed without being handed over, with the cause; their
+    /// prompts need another prefill if the requests are still active. Replaces an earlier subscriber. Reports
+    /// are dropped while the channel is full.
     pub fn subscribe_freed(&self) -> mpsc::Receiver<(RequestId, Cause)> {
         self.manager.subscribe_freed(MAX_QUEUED_FREED_REPORTS)
     }
 
-    /// Each move to here: whose, bytes that are here and proven, bytes in all once they are known.
+    /// For each fetch: the request, the verified bytes, and the total bytes once they are known.
     pub fn progress(&self) -> Vec<(RequestId, u64, Option<u64>)> {
         self.manager.progress()
     }
 
-    /// What it holds and has done.
+    /// What the node holds and has done since its start.
     pub fn status(&self) -> Status {
         self.manager.status()
     }
@@ -289,16 +290,18 @@
             Ok((stream, peer)) => match connection_permits.clone().try_acquire_owned() {
                 Ok(permit) => {
                     let manager = manager.clone();
-                    // It ends with its connection, or with the node.
+                    // The task ends with its connection or with the node.
                     tokio::spawn(async move {
                         serve(manager, stream, peer, None).await;
                         drop(permit);
                     });
                 }
-                Err(_) => info!(manager.log, "a connection was turned down: too many"; "peer" => peer),
+                Err(_) => {
+                    info!(manager.log, "rejected a connection: connection limit reached"; "peer" => peer)
+                }
             },
             Err(e) => {
-                warn!(manager.log, "no connection could be taken"; "why" => %e);
+                warn!(manager.log, "accept failed; retrying"; "why" => %e);
                 sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
--- a/transfer/src/service/status.rs
+++ b/transfer/src/service/status.rs
@@ -1,4 +1,4 @@
-//! What a node says of itself, and asking a node for it.
+//! The status of a node, and a client that queries it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,68 +15,68 @@
 /// What a node holds and has done since its start.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// Its process.
+    /// Identifies the node's process.
     pub incarnation: Incarnation,
-    /// Connections that are up.
+    /// Open connections.
     pub connections: usize,
-    /// Whether it drains.
+    /// Whether the node is draining.
     pub draining: bool,
-    /// States held.
+    /// KV caches held.
     pub states: usize,
-    /// Bytes of those.
+    /// Bytes of the KV caches held.
     pub state_bytes: u64,
-    /// Moves from here under way.
+    /// Outgoing transfers under way.
     pub sending: usize,
-    /// Bytes on their way from here.
+    /// Bytes of outgoing chunks in flight.
     pub in_flight: u64,
-    /// Moves to here under way.
+    /// Incoming transfers under way.
     pub fetching: usize,
-    /// How many of those wait for memory.
+    /// Incoming transfers that wait for memory.
     pub waiting: usize,
-    /// Bytes set aside for states that come or have come.
+    /// Bytes reserved for KV caches that are being received or were delivered.
     pub memory: u64,
-    /// What has happened since the start.
+    /// Counters since the start.
     pub total: Totals,
 }
 
-/// Counted since the start.
+/// Counters since the start of a node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Totals {
-    /// States handed over to takers.
+    /// KV caches handed over to receivers.
     pub given: u64,
-    /// States freed here without a taker.
+    /// KV caches freed without being handed over.
     pub freed: u64,
-    /// States that arrived.
+    /// KV caches received.
     pub arrived: u64,
-    /// Moves to here that failed.
+    /// Incoming transfers that failed.
     pub failed: u64,
     /// Chunks sent.
     pub chunks_sent: u64,
-    /// Bytes of those.
+    /// Bytes of the chunks sent.
     pub bytes_sent: u64,
-    /// Chunks that came and were not what they should be.
+    /// Received chunks that failed verification.
     pub chunks_bad: u64,
     /// Connections lost while moves were under way.
     pub cuts: u64,
-    /// Connections ended for what came on them.
+    /// Connections closed because the peer violated the protocol.
     pub faults: u64,
 }
 
-/// Why there is no status.
+/// Why a status query failed.
 #[derive(Debug, thiserror::Error)]
 pub enum StatusError {
-    /// The connection.
+    /// The connection failed.
     #[error("{0}")]
     Wire(#[from] WireError),
-    /// Nothing came in time.
-    #[error("no answer in time")]
+    /// No status arrived in time.
+    #[error("the node sent no status in time")]
     TimedOut,
-    /// What came is no status.
-    #[error("not a status: {0}")]
+    /// The reply is not a valid status.
+    #[error("malformed status: {0}")]
     Malformed(#[from] serde_json::Error),
 }
 
-/// Asks the node at an address.
+/// Queries the status of the node at an address.
 pub async fn query_status(address: SocketAddr, within: Duration) -> Result<Status, StatusError> {
     let query = async {
         let stream = TcpStream::connect(address).await.map_err(WireError::Io)?;
--- a/transfer/src/wire/codec.rs
+++ b/transfer/src/wire/codec.rs
@@ -1,5 +1,5 @@
-//! Frames to bytes and back. A length is believed once the checksum of its header fits, and bounded by the
-//! kind of frame before anything is set aside for it.
+//! Encodes and decodes frames. A length is trusted only after the header's checksum matches, and is checked
+//! against the limit of the frame's kind before memory is reserved for it.
 
 use std::sync::Arc;
 
@@ -12,63 +12,63 @@
 use crate::cause::Cause;
 use crate::proof::{ChunkLayout, LayoutError, Proof, MAX_CHUNKS, MAX_CHUNK_BYTES};
 
-/// Bytes of a header: length 4, kind 1, three of zero, token 8, index 4, checksum 4.
+/// Size of a header in bytes: length 4, kind 1, zero padding 3, token 8, index 4, checksum 4.
 pub const HEADER_BYTES: usize = 24;
 const CHECKSUMMED_HEADER_BYTES: usize = HEADER_BYTES - 4;
-/// What a greeting begins with.
+/// The first bytes of a hello frame's body.
 const MAGIC: &[u8; 8] = b"FTXFER\r\n";
-/// Up to this size a buffer is given room for a frame before the frame is there.
+/// Maximum number of bytes to reserve in a buffer for a frame that has not arrived completely.
 const MAX_RESERVE_BYTES: usize = MAX_CHUNK_BYTES as usize + HEADER_BYTES;
 
-/// Why bytes are no frame. The connection can't be used any further.
+/// Why bytes could not be decoded. The connection is unusable afterwards.
 #[derive(Debug, thiserror::Error)]
 pub enum WireError {
-    /// The connection.
+    /// The connection failed.
     #[error("{0}")]
     Io(#[from] std::io::Error),
-    /// The header's checksum is wrong: no length can be believed.
-    #[error("a header's checksum does not fit")]
+    /// The header's checksum does not match, so its length cannot be trusted.
+    #[error("header checksum mismatch")]
     HeaderChecksum,
-    /// The body's checksum is wrong.
-    #[error("a body's checksum does not fit, in a frame of kind {0}")]
+    /// The body's checksum does not match.
+    #[error("body checksum mismatch in a frame of kind {0}")]
     BodyChecksum(u8),
-    /// An unknown kind of frame.
-    #[error("a frame of unknown kind {0}")]
+    /// The frame kind is unknown.
+    #[error("unknown frame kind {0}")]
     UnknownKind(u8),
-    /// Too long for its kind.
-    #[error("a frame of kind {kind} with {length} bytes; {max_bytes} are allowed")]
+    /// The body is too long for the frame's kind.
+    #[error("a frame of kind {kind} has {length} bytes; at most {max_bytes} are allowed")]
     TooLong {
-        /// The kind.
+        /// The frame kind.
         kind: u8,
-        /// Its length.
+        /// Length of the body.
         length: u32,
-        /// The bound.
+        /// Maximum length for the kind.
         max_bytes: usize,
     },
-    /// The body is not what the kind wants.
-    #[error("a frame of kind {0} whose body is malformed")]
+    /// The body does not match the frame's kind.
+    #[error("malformed body in a frame of kind {0}")]
     Malformed(u8),
-    /// The state's measures are out of bounds.
-    #[error("an offer: {0}")]
+    /// An offer's length or chunk size is out of bounds.
+    #[error("invalid offer: {0}")]
     Layout(#[from] LayoutError),
-    /// The hash over the offer's hashes is not the one it claims.
-    #[error("an offer whose hashes do not belong together")]
+    /// An offer's root hash does not match its other parts.
+    #[error("invalid offer: the root hash does not match")]
     HashMismatch,
-    /// Another protocol, or none.
-    #[error("not this protocol")]
+    /// The peer does not speak this protocol.
+    #[error("not the transfer protocol")]
     NotThisProtocol,
-    /// Another version.
-    #[error("version {0} is spoken there, {VERSION} here")]
+    /// The peer speaks another version of the protocol.
+    #[error("the peer speaks version {0} of the protocol, this node version {VERSION}")]
     UnsupportedVersion(u16),
-    /// Something else than a greeting came first, or a second greeting.
-    #[error("a greeting out of place")]
+    /// The first frame is not a hello frame, or a later one is.
+    #[error("a hello frame is missing or repeated")]
     UnexpectedHello,
-    /// The connection ended in the midst of a frame.
-    #[error("it ended in the midst of a frame")]
+    /// The connection ended within a frame.
+    #[error("the connection ended within a frame")]
     Truncated,
 }
 
-/// Kinds on the wire.
+/// Frame kinds in the wire format.
 mod kind {
     pub const HELLO: u8 = 1;
     pub const WANT: u8 = 2;
@@ -91,7 +91,7 @@
 
 const OFFER_FIXED_BYTES: usize = 8 + 4 + 8 + 4 + 32;
 
-/// The longest body of a kind, its checksum not counted.
+/// Maximum body length of a frame kind, without its checksum.
 fn max_body_bytes(kind: u8) -> Option<usize> {
     Some(match kind {
         kind::HELLO => 8 + 2 + 4 + 8 + 4,
@@ -117,7 +117,7 @@
     index: u32,
 }
 
-/// Reads and writes frames. The first frame each way is the greeting, and only the first.
+/// Encodes and decodes frames. The first frame each way must be a hello frame, and no later one may be.
 #[derive(Debug, Default)]
 pub struct Codec {
     has_hello: bool,
@@ -131,7 +131,7 @@
         bytes.advance(3);
         let (token, index, claimed) = (bytes.get_u64(), bytes.get_u32(), bytes.get_u32());
         if claimed != checksum {
-            // Noise from the start is another protocol, and said so.
+            // A mismatch in the first frame means that the peer speaks another protocol.
             return Err(if self.has_hello { WireError::HeaderChecksum } else { WireError::NotThisProtocol });
         }
         let max_bytes = max_body_bytes(kind).ok_or(WireError::UnknownKind(kind))?;
@@ -145,7 +145,7 @@
     }
 }
 
-/// Chunks are proven by their hashes; every other body has a checksum behind it.
+/// Length of the checksum behind a body. Chunks have none, as their hashes verify them.
 fn checksum_bytes(kind: u8) -> usize {
     if kind == kind::CHUNK {
         0
@@ -168,7 +168,8 @@
         }
         let mut body = src.split_to(frame_bytes).freeze();
         if header.kind == kind::CHUNK && src.capacity() < frame_bytes {
-            // Another such chunk is likely next: it is read to where it stays, without a copy.
+            // Another chunk of this size is likely to follow: with room for all of it, it is read in place
+            // and not copied.
             src.reserve(frame_bytes - src.len());
         }
         body.advance(HEADER_BYTES);
@@ -286,7 +287,7 @@
     Cause::from_wire(body.get_u8()).ok_or(WireError::Malformed(kind))
 }
 
-/// The header of a chunk's frame, for a writer that sends the chunk itself without a copy.
+/// The header of a chunk's frame, for writers that send the chunk itself without copying it.
 pub(crate) fn chunk_header(token: u64, index: u32, length: usize) -> Bytes {
     let mut header = BytesMut::with_capacity(HEADER_BYTES);
     put_header(&mut header, length, kind::CHUNK, token, index);
@@ -304,7 +305,7 @@
     dst.put_u32(checksum);
 }
 
-/// A body, its kind and its token.
+/// Encodes a frame's body; returns the frame's kind, its token and the body.
 fn encode_body(frame: &Frame) -> (u8, u64, BytesMut) {
     let mut body = BytesMut::new();
     let (kind, token) = match frame {
--- a/transfer/src/wire/frame.rs
+++ b/transfer/src/wire/frame.rs
@@ -1,4 +1,4 @@
-//! What is said on the wire.
+//! The frames of the protocol.
 
 use std::ops::Range;
 use std::sync::Arc;
@@ -9,33 +9,33 @@
 use crate::proof::Proof;
 use crate::{Incarnation, TransferToken};
 
-/// The version spoken here.
+/// Protocol version of this implementation.
 pub const VERSION: u16 = 1;
-/// The longest request id, in bytes.
+/// Maximum length of a request id, in bytes.
 pub const MAX_REQUEST_ID_BYTES: usize = 128;
-/// The most ranges in one frame: every other chunk of the largest state.
+/// Maximum number of ranges in one frame: enough for every other chunk of the largest KV cache.
 pub const MAX_RANGES: usize = 1 << 15;
-/// The longest status text, in bytes.
+/// Maximum length of a status text, in bytes.
 pub const MAX_STATUS_BYTES: usize = 1 << 20;
 
-/// A request's id: the name of its state.
+/// The id of a request, which also identifies its KV cache.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestId(Arc<str>);
 
-/// A text is no id.
+/// A text is not a valid request id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("an id has 1 to {MAX_REQUEST_ID_BYTES} bytes, all of them visible ASCII")]
+#[error("a request id must be 1 to {MAX_REQUEST_ID_BYTES} bytes of visible ASCII")]
 pub struct RequestIdError;
 
 impl RequestId {
-    /// Checks the bounds.
+    /// Validates the text.
     pub fn new(text: &str) -> Result<Self, RequestIdError> {
         let fits =
             (1..=MAX_REQUEST_ID_BYTES).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_graphic());
         fits.then(|| RequestId(text.into())).ok_or(RequestIdError)
     }
 
-    /// The text.
+    /// The id as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -47,80 +47,81 @@
     }
 }
 
-/// The first frame of each side.
+/// The first frame that each side sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Hello {
-    /// The version that the side speaks.
+    /// Protocol version of the side.
     pub version: u16,
-    /// Optional parts that it understands, a bit each; none are defined yet.
+    /// Optional features that it supports, one bit each; none are defined yet.
     pub features: u32,
-    /// Its process.
+    /// Identifies its process.
     pub incarnation: Incarnation,
-    /// Bytes of chunks that may be on their way to it before it has given credit.
+    /// Bytes of chunks that may be in flight to it before it has granted credit.
     pub window_bytes: u32,
 }
 
-/// A taker comes for a state.
+/// A receiver's request for a KV cache.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Want {
-    /// The taker's name for the move.
+    /// The receiver's token for the transfer.
     pub token: TransferToken,
-    /// Whose state.
+    /// The request that it belongs to.
     pub id: RequestId,
-    /// How soon it is needed, in milliseconds from now; 0: at no certain time.
+    /// Deadline in milliseconds from now; 0 for none.
     pub deadline_ms: u32,
-    /// The holder's process, where the move has begun before; 0 for a new one.
+    /// The sender's process, to resume a transfer that has begun before; 0 for a new one.
     pub resume_incarnation: Incarnation,
 }
 
-/// The holder has it.
+/// The sender's offer of a KV cache.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Offer {
-    /// The taker's name for the move.
+    /// The receiver's token for the transfer.
     pub token: TransferToken,
-    /// The holder's process.
+    /// The sender's process.
     pub incarnation: Incarnation,
-    /// The longest that the move may take from here, in milliseconds.
+    /// Time limit for the transfer from now on, in milliseconds.
     pub limit_ms: u32,
-    /// Length, chunk size and hashes.
+    /// Length, chunk size and hashes of the KV cache.
     pub proof: Arc<Proof>,
 }
 
-/// One message.
+/// A frame of the protocol.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Frame {
-    /// The greeting.
+    /// The first frame each way.
     Hello(Hello),
-    /// Taker to holder: I come for a state.
+    /// Receiver to sender: requests a KV cache.
     Want(Want),
-    /// Holder to taker: here it is.
+    /// Sender to receiver: offers the KV cache.
     Offer(Offer),
-    /// Taker to holder: send these chunks; there is room for them.
+    /// Receiver to sender: requests these chunks; memory is reserved for them.
     Ask(TransferToken, Vec<Range<u32>>),
-    /// Holder to taker: one chunk, not yet proven.
+    /// Sender to receiver: one chunk, not yet verified.
     Chunk(TransferToken, u32, Bytes),
-    /// Taker to holder: so many more bytes of chunks may be sent.
+    /// Receiver to sender: this many more bytes of chunks may be sent.
     Credit(u32),
-    /// Taker to holder: the whole is here and proven.
+    /// Receiver to sender: the KV cache is complete and verified.
     Complete(TransferToken),
-    /// Holder to taker: it is yours; the holder's copy has gone.
+    /// Sender to receiver: the receiver is the owner; the sender's copy is freed.
     Grant(TransferToken),
-    /// Holder to taker: the move is over.
+    /// Sender to receiver: ends the transfer.
     Abort(TransferToken, Cause),
-    /// Taker to holder: the move is over. Apart from the other, as either side names its own moves.
+    /// Receiver to sender: ends the transfer. Distinct from `Abort`, as each side of a connection chooses the
+    /// tokens of its own fetches and the two sets may overlap.
     GiveUp(TransferToken, Cause),
-    /// Holder to taker: what has not moved within so many milliseconds is freed.
+    /// Sender to receiver: KV caches that are not transferred within this many milliseconds are freed.
     Drain(u32),
-    /// Either way: let go of all that is held for the request.
+    /// Either way: frees what is held for the request.
     Release(RequestId),
-    /// A holder has a state for whoever it says this to.
+    /// Pushes a KV cache: the sender holds one for the peer to fetch.
     Announce(RequestId),
-    /// To whom has announced: refused.
+    /// Refuses a pushed KV cache.
     Refuse(RequestId, Cause),
-    /// A sign of life.
+    /// Heartbeat.
     Beat,
-    /// Asks for a status.
+    /// Requests the node's status.
     StatusAsk,
-    /// A status, as JSON.
+    /// The node's status, as JSON.
     Status(Bytes),
 }
--- a/transfer/src/wire/mod.rs
+++ b/transfer/src/wire/mod.rs
@@ -1,4 +1,4 @@
-//! The wire: frames and their bytes. `docs/transfer.md` describes it byte by byte.
+//! Frames of the protocol and their encoding. `docs/transfer.md` describes the byte layout.
 
 mod codec;
 mod frame;
--- a/transfer/tests/service.rs
+++ b/transfer/tests/service.rs
@@ -468,7 +468,7 @@
             let _ = stream.read_to_end(&mut Vec::new()).await;
             assert!(begin.elapsed() < RULE, "it ends in time");
             let new = lines.0.lock().unwrap()[before..].to_vec();
-            assert_eq!(new, ["a connection was ended"], "{case:?}");
+            assert_eq!(new, ["closed a connection after a protocol violation"], "{case:?}");
         }
     };
     let (whole, ()) = tokio::join!(fetch, bad);
--- a/transfer/tests/wire.rs
+++ b/transfer/tests/wire.rs
@@ -134,29 +134,32 @@
 fn errors_say_what_is_wrong() {
     let error = |bytes: &[u8]| read(bytes, 64).unwrap_err().to_string();
     let after = |rest: &[u8]| error(&[&bytes(&[hello(VERSION)])[..], rest].concat());
-    assert_eq!(error(b"GET / HTTP/1.1\r\nhost: x\r\n\r\n"), "not this protocol");
-    assert_eq!(error(&bytes(&[hello(2)])), "version 2 is spoken there, 1 here");
-    assert_eq!(error(&bytes(&[Frame::Beat])), "a greeting out of place");
-    assert_eq!(error(&bytes(&[hello(1), hello(1)])), "a greeting out of place");
-    assert_eq!(error(&bytes(&[hello(1)])[..30]), "it ended in the midst of a frame");
-    assert_eq!(after(&header(0, 99)), "a frame of unknown kind 99");
-    assert_eq!(after(&header(u32::MAX, 5)), "a frame of kind 5 with 4294967295 bytes; 1048576 are allowed");
-    assert_eq!(after(&header(1, 14)), "a frame of kind 14 with 1 bytes; 0 are allowed");
-    assert_eq!(after(&header(7, 4)[..20]), "it ended in the midst of a frame");
+    assert_eq!(error(b"GET / HTTP/1.1\r\nhost: x\r\n\r\n"), "not the transfer protocol");
+    assert_eq!(error(&bytes(&[hello(2)])), "the peer speaks version 2 of the protocol, this node version 1");
+    assert_eq!(error(&bytes(&[Frame::Beat])), "a hello frame is missing or repeated");
+    assert_eq!(error(&bytes(&[hello(1), hello(1)])), "a hello frame is missing or repeated");
+    assert_eq!(error(&bytes(&[hello(1)])[..30]), "the connection ended within a frame");
+    assert_eq!(after(&header(0, 99)), "unknown frame kind 99");
+    assert_eq!(
+        after(&header(u32::MAX, 5)),
+        "a frame of kind 5 has 4294967295 bytes; at most 1048576 are allowed"
+    );
+    assert_eq!(after(&header(1, 14)), "a frame of kind 14 has 1 bytes; at most 0 are allowed");
+    assert_eq!(after(&header(7, 4)[..20]), "the connection ended within a frame");
     let body = |kind: u8, body: &[u8]| {
         after(&[&header(body.len() as u32, kind), body, &crc32c::crc32c(body).to_be_bytes()[..]].concat())
     };
-    assert_eq!(body(4, &[0; 7]), "a frame of kind 4 whose body is malformed");
-    assert_eq!(body(2, &[0; 12]), "a frame of kind 2 whose body is malformed", "a want without an id");
-    assert_eq!(body(9, &[200]), "a frame of kind 9 whose body is malformed", "an unknown cause");
-    assert_eq!(body(11, b"two words"), "a frame of kind 11 whose body is malformed");
-    assert_eq!(body(3, &[0; 56]), "an offer: a state holds at least one byte");
+    assert_eq!(body(4, &[0; 7]), "malformed body in a frame of kind 4");
+    assert_eq!(body(2, &[0; 12]), "malformed body in a frame of kind 2", "a want without an id");
+    assert_eq!(body(9, &[200]), "malformed body in a frame of kind 9", "an unknown cause");
+    assert_eq!(body(11, b"two words"), "malformed body in a frame of kind 11");
+    assert_eq!(body(3, &[0; 56]), "invalid offer: a KV cache has at least one byte");
     let mut offer = [0; 56 + 32];
     offer[19] = 9;
     offer[22] = 16;
-    assert_eq!(body(3, &offer), "an offer whose hashes do not belong together");
+    assert_eq!(body(3, &offer), "invalid offer: the root hash does not match");
     offer[22] = 17;
-    assert!(body(3, &offer).contains("a chunk size is a power of two"));
+    assert!(body(3, &offer).contains("the chunk size must be a power of two"));
 }
 
 #[test]
