--- a/transfer/benches/transfer.rs
+++ b/transfer/benches/transfer.rs
@@ -21,13 +21,13 @@
 #[global_allocator]
 static ALLOCATED: Cap<System> = Cap::new(System, usize::MAX);
 
-const MB: usize = 1 << 20;
+const MIB: usize = 1 << 20;
 
 fn runtime() -> Runtime {
     Builder::new_current_thread().enable_all().build().unwrap()
 }
 
-fn any() -> SocketAddr {
+fn any_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
@@ -51,11 +51,13 @@
 }
 
 fn per_second(bytes: usize, time: Duration) -> f64 {
-    bytes as f64 / MB as f64 / time.as_secs_f64()
+    bytes as f64 / MIB as f64 / time.as_secs_f64()
 }
 
 /// Runs the holder's end on a thread of its own, until the returned sender is dropped.
-fn beside<F>(run: impl FnOnce() -> F + Send + 'static) -> (SocketAddr, tokio::sync::oneshot::Sender<()>)
+fn on_own_thread<F>(
+    run: impl FnOnce() -> F + Send + 'static,
+) -> (SocketAddr, tokio::sync::oneshot::Sender<()>)
 where
     F: std::future::Future<Output = (SocketAddr, Box<dyn std::any::Any>)>,
 {
@@ -71,25 +73,28 @@
     (told.recv().unwrap(), end)
 }
 
-async fn holder(config: Config, states: Vec<(RequestId, Bytes)>) -> (SocketAddr, Box<dyn std::any::Any>) {
+async fn start_sender(
+    config: Config,
+    states: Vec<(RequestId, Bytes)>,
+) -> (SocketAddr, Box<dyn std::any::Any>) {
     let node = Node::new(config, 7, log());
-    let at = node.listen(any()).await.unwrap();
-    for (id, state) in states {
-        node.begin_prefill(id).unwrap().store(state).await.unwrap();
+    let at = node.listen(any_address()).await.unwrap();
+    for (id, cache) in states {
+        node.begin_prefill(id).unwrap().store(cache).await.unwrap();
     }
     (at, Box::new(node))
 }
 
 /// States that wait here for longer than a second, as the measurement wants all of them to be there first.
-fn patient(mut config: Config) -> Config {
+fn with_long_timeouts(mut config: Config) -> Config {
     config.timeouts.hold_ttl = 60_000_000;
     config.timeouts.transfer_timeout = 600_000_000;
     config
 }
 
 /// A link of a rate, on a thread of its own.
-fn slow_link(to: SocketAddr, rate: usize) -> (SocketAddr, tokio::sync::oneshot::Sender<()>) {
-    beside(move || async move {
+fn start_slow_link(to: SocketAddr, rate: usize) -> (SocketAddr, tokio::sync::oneshot::Sender<()>) {
+    on_own_thread(move || async move {
         let link = Link::start(to).await.unwrap();
         link.rate(rate as u64);
         (link.address, Box::new(link) as Box<dyn std::any::Any>)
@@ -97,13 +102,13 @@
 }
 
 fn goodput() {
-    let state = content(1, 64 * MB);
-    let mut plain = Vec::new();
-    let mut ours = Vec::new();
+    let cache = content(1, 64 * MIB);
+    let mut plain_rates = Vec::new();
+    let mut transfer_rates = Vec::new();
     for _ in 0..9 {
-        let copy = state.clone();
-        let (at, _end) = beside(move || async move {
-            let listener = TcpListener::bind(any()).await.unwrap();
+        let copy = cache.clone();
+        let (at, _end) = on_own_thread(move || async move {
+            let listener = TcpListener::bind(any_address()).await.unwrap();
             let at = listener.local_addr().unwrap();
             let writing = tokio::spawn(async move {
                 let (mut stream, _) = listener.accept().await.unwrap();
@@ -111,107 +116,111 @@
             });
             (at, Box::new(writing) as Box<dyn std::any::Any>)
         });
-        plain.push(runtime().block_on(async {
+        plain_rates.push(runtime().block_on(async {
             let mut stream = TcpStream::connect(at).await.unwrap();
-            let begin = Instant::now();
+            let start = Instant::now();
             // As a taker would have it: in pieces that are kept.
             let (mut got, mut kept) = (0, Vec::new());
-            while got < 64 * MB {
+            while got < 64 * MIB {
                 let mut piece = bytes::BytesMut::with_capacity(256 << 10);
                 while piece.len() < 256 << 10 && stream.read_buf(&mut piece).await.unwrap() > 0 {}
                 got += piece.len();
                 kept.push(piece.freeze());
             }
-            per_second(64 * MB, begin.elapsed())
+            per_second(64 * MIB, start.elapsed())
         }));
-        let config = patient(Config::default());
-        let states = vec![(id("warm"), content(2, MB)), (id("r"), state.clone())];
-        let (at, _end) = beside(move || holder(config, states));
-        ours.push(runtime().block_on(async {
+        let config = with_long_timeouts(Config::default());
+        let states = vec![(id("warm"), content(2, MIB)), (id("r"), cache.clone())];
+        let (at, _end) = on_own_thread(move || start_sender(config, states));
+        transfer_rates.push(runtime().block_on(async {
             let node = Node::new(config, 8, log());
             // A connection is there, as it is between servers that work.
             drop(node.fetch(&id("warm"), &[at], None).await.unwrap());
-            let begin = Instant::now();
-            let whole = node.fetch(&id("r"), &[at], None).await.unwrap();
-            let rate = per_second(64 * MB, begin.elapsed());
-            assert!(whole.chunks().concat() == state[..]);
+            let start = Instant::now();
+            let received = node.fetch(&id("r"), &[at], None).await.unwrap();
+            let rate = per_second(64 * MIB, start.elapsed());
+            assert!(received.chunks().concat() == cache[..]);
             rate
         }));
     }
-    let ratios = plain.iter().zip(&ours).map(|(p, o)| o / p).collect();
-    let (plain, ours) = (median(plain), median(ours));
+    let ratios = plain_rates.iter().zip(&transfer_rates).map(|(p, o)| o / p).collect();
+    let (plain, ours) = (median(plain_rates), median(transfer_rates));
     println!("goodput of 64 MiB: {ours:.0} MiB/s, plain copy {plain:.0} MiB/s, ratio {:.2}", median(ratios));
 }
 
 fn checksums() {
-    let state = content(1, 64 * MB);
+    let cache = content(1, 64 * MIB);
     let time = |f: &dyn Fn()| {
         let run = || {
-            let begin = Instant::now();
+            let start = Instant::now();
             f();
-            per_second(64 * MB, begin.elapsed())
+            per_second(64 * MIB, start.elapsed())
         };
         median((0..9).map(|_| run()).collect())
     };
     let crc = time(&|| {
-        state.chunks(256 << 10).for_each(|c| {
+        cache.chunks(256 << 10).for_each(|c| {
             std::hint::black_box(crc32c::crc32c(c));
         });
     });
     println!("checksums by themselves, one core, MiB/s: CRC32C {crc:.0}");
     for chunk in [4 << 10, 16 << 10, 64 << 10, 256 << 10, 1 << 20] {
-        let rate = time(&|| drop(std::hint::black_box(Proof::compute(&state, chunk).unwrap())));
+        let rate = time(&|| drop(std::hint::black_box(Proof::compute(&cache, chunk).unwrap())));
         println!("  BLAKE3 tree, chunks of {} KiB: {rate:.0}", chunk >> 10);
     }
 }
 
 fn slowed() {
-    for rate in [10 * MB, 100 * MB] {
-        let state = content(1, rate * 2);
-        let config = patient(Config::default());
-        let states = vec![(id("r"), state.clone())];
-        let (at, _end) = beside(move || holder(config, states));
-        let (link, _link) = slow_link(at, rate);
+    for rate in [10 * MIB, 100 * MIB] {
+        let cache = content(1, rate * 2);
+        let config = with_long_timeouts(Config::default());
+        let states = vec![(id("r"), cache.clone())];
+        let (at, _end) = on_own_thread(move || start_sender(config, states));
+        let (link, _link) = start_slow_link(at, rate);
         runtime().block_on(async {
             let node = Node::new(config, 8, log());
-            let begin = Instant::now();
+            let start = Instant::now();
             drop(node.fetch(&id("r"), &[link], None).await.unwrap());
-            let got = per_second(state.len(), begin.elapsed());
-            println!("over {} MiB/s: {got:.1} MiB/s, share {:.3}", rate / MB, got * MB as f64 / rate as f64);
+            let got = per_second(cache.len(), start.elapsed());
+            println!(
+                "over {} MiB/s: {got:.1} MiB/s, share {:.3}",
+                rate / MIB,
+                got * MIB as f64 / rate as f64
+            );
         });
     }
 }
 
 fn fairness() {
-    const MOVES: usize = 256;
-    let rate = 50 * MB;
-    let config = Config { chunk_bytes: 16 << 10, ..patient(Config::default()) };
-    let states = (0..MOVES).map(|n| (id(n), content(n as u64, MB / 2))).collect();
-    let (at, _end) = beside(move || holder(config, states));
-    let (link, _link) = slow_link(at, rate);
+    const TRANSFERS: usize = 256;
+    let rate = 50 * MIB;
+    let config = Config { chunk_bytes: 16 << 10, ..with_long_timeouts(Config::default()) };
+    let states = (0..TRANSFERS).map(|n| (id(n), content(n as u64, MIB / 2))).collect();
+    let (at, _end) = on_own_thread(move || start_sender(config, states));
+    let (link, _link) = start_slow_link(at, rate);
     runtime().block_on(async {
         let node = Node::new(config, 8, log());
-        let begin = Instant::now();
+        let start = Instant::now();
         // Sixteen are due: together they need 160 ms of the link, and have 400.
         let from = [link];
-        let names: Vec<RequestId> = (0..MOVES).map(id).collect();
-        let moves = names.iter().enumerate().map(|(n, name)| {
+        let names: Vec<RequestId> = (0..TRANSFERS).map(id).collect();
+        let transfers = names.iter().enumerate().map(|(n, name)| {
             let (node, from) = (&node, &from);
             async move {
-                let due = (n % 16 == 5).then_some(Duration::from_millis(400));
-                let whole: ReceivedCache = node.fetch(name, from, due).await.unwrap();
-                (due.is_some(), begin.elapsed(), whole)
+                let deadline = (n % 16 == 5).then_some(Duration::from_millis(400));
+                let received: ReceivedCache = node.fetch(name, from, deadline).await.unwrap();
+                (deadline.is_some(), start.elapsed(), received)
             }
         });
         let half = async {
-            sleep(Duration::from_secs_f64(MOVES as f64 * 0.25 / 50.0)).await;
-            // Those without a time; what has ended has got all of its state.
+            sleep(Duration::from_secs_f64(TRANSFERS as f64 * 0.25 / 50.0)).await;
+            // Those without a time; what has ended has got all of its cache.
             let rest = node.progress();
             let share = |n: usize| {
                 let under_way = rest.iter().find(|(name, ..)| *name == id(n));
-                under_way.map_or(MB as f64 / 2.0, |(_, here, _)| *here as f64)
+                under_way.map_or(MIB as f64 / 2.0, |(_, here, _)| *here as f64)
             };
-            let shares: Vec<f64> = (0..MOVES).filter(|n| n % 16 != 5).map(share).collect();
+            let shares: Vec<f64> = (0..TRANSFERS).filter(|n| n % 16 != 5).map(share).collect();
             let sum = shares.iter().sum::<f64>();
             let jain = sum * sum / (shares.len() as f64 * shares.iter().map(|s| s * s).sum::<f64>());
             println!(
@@ -219,32 +228,32 @@
                 shares.len()
             );
         };
-        let (ends, ()) = tokio::join!(futures_util::future::join_all(moves), half);
-        let due = ends.iter().filter(|(due, ..)| *due);
-        let last = due.clone().map(|(_, at, _)| *at).max().unwrap();
+        let (ends, ()) = tokio::join!(futures_util::future::join_all(transfers), half);
+        let with_deadline = ends.iter().filter(|(has_deadline, ..)| *has_deadline);
+        let last = with_deadline.clone().map(|(_, at, _)| *at).max().unwrap();
         let all = ends.iter().map(|(_, at, _)| *at).max().unwrap();
         println!(
             "  16 due within 400 ms: the last after {last:.0?}; all after {all:.2?}, share of the link {:.3}",
-            (MOVES * MB / 2) as f64 / all.as_secs_f64() / rate as f64
+            (TRANSFERS * MIB / 2) as f64 / all.as_secs_f64() / rate as f64
         );
     });
 }
 
 fn cut() {
     runtime().block_on(async {
-        let config = patient(Config::default());
-        let state = content(1, 64 * MB);
+        let config = with_long_timeouts(Config::default());
+        let cache = content(1, 64 * MIB);
         let mut again = Vec::new();
         for _ in 0..5 {
-            let holder = Node::new(config, 7, log());
-            let link = Link::start(holder.listen(any()).await.unwrap()).await.unwrap();
-            link.script(&[Event { way: Way::Down, at: 32 * MB as u64, fault: Fault::Cut }]);
-            holder.begin_prefill(id("r")).unwrap().store(state.clone()).await.unwrap();
+            let sender = Node::new(config, 7, log());
+            let link = Link::start(sender.listen(any_address()).await.unwrap()).await.unwrap();
+            link.script(&[Event { way: Way::Down, at: 32 * MIB as u64, fault: Fault::Cut }]);
+            sender.begin_prefill(id("r")).unwrap().store(cache.clone()).await.unwrap();
             let node = Node::new(config, 8, log());
             drop(node.fetch(&id("r"), &[link.address], None).await.unwrap());
-            again.push((holder.status().total.bytes_sent - state.len() as u64) as f64 / MB as f64);
+            again.push((sender.status().total.bytes_sent - cache.len() as u64) as f64 / MIB as f64);
         }
-        let window = f64::from(config.receiver.window_bytes) / MB as f64;
+        let window = f64::from(config.receiver.window_bytes) / MIB as f64;
         let most = again.iter().copied().fold(0.0, f64::max);
         println!(
             "cut at half of 64 MiB: {:.2} MiB sent again (most {most:.2}); window {window}, starting over 32",
@@ -258,7 +267,7 @@
         let config = Config { chunk_bytes: 16 << 10, ..Config::default() };
         let mut times = Vec::new();
         for batch in 0..20u64 {
-            let runs = (0..50).map(|n| fault(config, batch * 50 + n));
+            let runs = (0..50).map(|n| time_to_free_after_fault(config, batch * 50 + n));
             times.extend(futures_util::future::join_all(runs).await);
         }
         times.sort();
@@ -272,12 +281,12 @@
 }
 
 /// One seeded fault in the midst of a move that is not mended; how long until both ends are free.
-async fn fault(config: Config, seed: u64) -> Duration {
+async fn time_to_free_after_fault(config: Config, seed: u64) -> Duration {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let holder = Node::new(config, 1, log());
-    let link = Link::start(holder.listen(any()).await.unwrap()).await.unwrap();
-    link.rate(8 * MB as u64);
-    holder.begin_prefill(id("r")).unwrap().store(content(seed, 4 * MB)).await.unwrap();
+    let sender = Node::new(config, 1, log());
+    let link = Link::start(sender.listen(any_address()).await.unwrap()).await.unwrap();
+    link.rate(8 * MIB as u64);
+    sender.begin_prefill(id("r")).unwrap().store(content(seed, 4 * MIB)).await.unwrap();
     let node = Node::new(config, 2, log());
     let (name, from) = (id("r"), [link.address]);
     let fetch = node.fetch(&name, &from, None);
@@ -287,7 +296,7 @@
         _ = &mut fetch => {}
         () = sleep(after) => {}
     }
-    let begin = Instant::now();
+    let start = Instant::now();
     let kind = rng.random_range(0..6);
     match kind {
         0 => {
@@ -298,9 +307,9 @@
             link.dark(true);
             link.stall(true);
         }
-        2 => holder.release(&name),
+        2 => sender.release(&name),
         3 => node.release(&name),
-        4 => holder.drain(Duration::from_millis(rng.random_range(0..900))),
+        4 => sender.drain(Duration::from_millis(rng.random_range(0..900))),
         _ => {}
     }
     if kind < 5 {
@@ -314,21 +323,21 @@
         }
         node.release(&name);
     }
-    holder.wait_until_idle().await;
+    sender.wait_until_idle().await;
     node.wait_until_idle().await;
-    begin.elapsed()
+    start.elapsed()
 }
 
 fn memory() {
-    const MOVES: usize = 1_000;
+    const TRANSFERS: usize = 1_000;
     runtime().block_on(async {
-        let config = patient(Config::default());
-        let names: Vec<RequestId> = (0..MOVES).map(id).collect();
-        let holder = Node::new(config, 1, log());
-        let link = Link::start(holder.listen(any()).await.unwrap()).await.unwrap();
+        let config = with_long_timeouts(Config::default());
+        let names: Vec<RequestId> = (0..TRANSFERS).map(id).collect();
+        let sender = Node::new(config, 1, log());
+        let link = Link::start(sender.listen(any_address()).await.unwrap()).await.unwrap();
         let before = ALLOCATED.allocated();
         for name in &names {
-            holder
+            sender
                 .begin_prefill(name.clone())
                 .unwrap()
                 .store(Bytes::from_static(&[7; 1 << 20]))
@@ -338,7 +347,7 @@
         let held = ALLOCATED.allocated();
         println!(
             "memory: a state of 4 chunks that waits, its bytes not counted: {} B",
-            (held - before) / MOVES
+            (held - before) / TRANSFERS
         );
         let node = Node::new(config, 2, log());
         // Warm, then stalled with all moves begun.
@@ -346,30 +355,30 @@
         let base = ALLOCATED.allocated();
         link.stall(true);
         let from = [link.address];
-        let moves: Vec<_> = names.iter().map(|n| node.fetch(n, &from, None)).collect();
+        let transfers: Vec<_> = names.iter().map(|n| node.fetch(n, &from, None)).collect();
         // Counted while they are there.
         let count = async {
             sleep(Duration::from_millis(100)).await;
             ALLOCATED.allocated() - base
         };
         let idle = tokio::select! {
-            _ = futures_util::future::join_all(moves) => 0,
+            _ = futures_util::future::join_all(transfers) => 0,
             count = count => count,
         };
-        println!("  a move that waits for its holder's word, at the taker: {} B", idle / MOVES);
+        println!("  a move that waits for its holder's word, at the taker: {} B", idle / TRANSFERS);
     });
 }
 
 /// Moves that are half done: all that is allocated besides the chunks that are there.
 fn busy_memory() {
-    const MOVES: usize = 100;
+    const TRANSFERS: usize = 100;
     runtime().block_on(async {
-        let config = Config { chunk_bytes: 16 << 10, ..patient(Config::default()) };
-        let names: Vec<RequestId> = (0..MOVES).map(id).collect();
-        let holder = Node::new(config, 1, log());
-        let link = Link::start(holder.listen(any()).await.unwrap()).await.unwrap();
+        let config = Config { chunk_bytes: 16 << 10, ..with_long_timeouts(Config::default()) };
+        let names: Vec<RequestId> = (0..TRANSFERS).map(id).collect();
+        let sender = Node::new(config, 1, log());
+        let link = Link::start(sender.listen(any_address()).await.unwrap()).await.unwrap();
         for name in &names {
-            holder
+            sender
                 .begin_prefill(name.clone())
                 .unwrap()
                 .store(Bytes::from_static(&[7; 1 << 20]))
@@ -379,21 +388,21 @@
         let node = Node::new(config, 2, log());
         drop(node.fetch(&id("none"), &[link.address], None).await);
         let base = ALLOCATED.allocated();
-        link.script(&[Event { way: Way::Down, at: 50 * MB as u64, fault: Fault::Stall }]);
+        link.script(&[Event { way: Way::Down, at: 50 * MIB as u64, fault: Fault::Stall }]);
         let from = [link.address];
-        let moves: Vec<_> = names.iter().map(|n| node.fetch(n, &from, None)).collect();
+        let transfers: Vec<_> = names.iter().map(|n| node.fetch(n, &from, None)).collect();
         let count = async {
             sleep(Duration::from_millis(300)).await;
             let here: u64 = node.progress().iter().map(|(_, here, _)| here).sum();
             (here, (ALLOCATED.allocated() - base) as i64 - here as i64)
         };
         let (here, more) = tokio::select! {
-            _ = futures_util::future::join_all(moves) => (0, 0),
+            _ = futures_util::future::join_all(transfers) => (0, 0),
             count = count => count,
         };
         println!(
             "  a move half done, 64 chunks, both ends, chunks not counted: {} B ({} MiB are here)",
-            more / MOVES as i64,
+            more / TRANSFERS as i64,
             here >> 20
         );
     });
--- a/transfer/tests/hard_cases.rs
+++ b/transfer/tests/hard_cases.rs
@@ -19,7 +19,7 @@
 }
 
 /// A sim in which taker 0 fetches `r1`, and so many frames have passed each way.
-fn under_way(frames: usize) -> (Simulation, u64) {
+fn sim_after(frames: usize) -> (Simulation, u64) {
     let mut sim = sim(2);
     sim.store(1, LENGTH).unwrap();
     let token = sim.fetch(0, 1, None).unwrap();
@@ -37,14 +37,14 @@
 }
 
 #[test]
-fn a_cut_at_any_frame_costs_at_most_what_was_on_its_way() {
+fn a_connection_lost_at_any_frame_resends_at_most_the_chunks_in_flight() {
     for frames in 0..60 {
-        let (mut sim, token) = under_way(frames);
-        let before = sim.receivers[0].results.contains_key(&token);
+        let (mut sim, token) = sim_after(frames);
+        let had_ended = sim.receivers[0].results.contains_key(&token);
         sim.is_offline = true;
         sim.close_connections();
         sim.advance(500_000);
-        assert!(before || fetch_result(&sim, 0, token).is_none(), "given up early, cut at {frames}");
+        assert!(had_ended || fetch_result(&sim, 0, token).is_none(), "given up early, cut at {frames}");
         sim.is_offline = false;
         sim.advance(100_000);
         assert_eq!(fetch_result(&sim, 0, token), Some(Ok(())), "cut at {frames}");
@@ -54,9 +54,9 @@
 }
 
 #[test]
-fn a_link_that_is_back_after_five_seconds_finds_both_ends_free() {
+fn both_ends_are_free_after_an_outage_of_five_seconds() {
     for frames in 0..60 {
-        let (mut sim, token) = under_way(frames);
+        let (mut sim, token) = sim_after(frames);
         sim.is_offline = true;
         sim.close_connections();
         sim.advance(MAX_IDLE_HOLD);
@@ -73,14 +73,14 @@
 }
 
 #[test]
-fn a_link_that_stalls_without_closing_is_cut_and_the_move_goes_on_over_another() {
-    let (mut sim, token) = under_way(6);
+fn a_stalled_connection_is_closed_and_the_transfer_resumes_on_another() {
+    let (mut sim, token) = sim_after(6);
     sim.is_offline = true;
     sim.advance(500_000);
     sim.is_offline = false;
     sim.advance(100_000);
     assert_eq!(fetch_result(&sim, 0, token), Some(Ok(())));
-    let (mut sim, token) = under_way(6);
+    let (mut sim, token) = sim_after(6);
     sim.is_offline = true;
     sim.advance(MAX_IDLE_HOLD);
     assert_eq!(fetch_result(&sim, 0, token), Some(Err(Cause::PeerLost)));
@@ -88,16 +88,16 @@
 }
 
 #[test]
-fn a_chunk_is_asked_for_again_so_many_times_and_no_more() {
-    let tries = u32::from(receiver::Limits::default().max_chunk_attempts);
-    for flips in [1, tries - 1] {
+fn a_corrupt_chunk_is_requested_again_up_to_the_limit() {
+    let max_attempts = u32::from(receiver::Limits::default().max_chunk_attempts);
+    for corrupt_chunks in [1, max_attempts - 1] {
         let mut sim = sim(1);
         sim.store(1, CHUNK_BYTES as usize).unwrap();
-        sim.chunks_to_corrupt = flips;
+        sim.chunks_to_corrupt = corrupt_chunks;
         let token = sim.fetch(0, 1, None).unwrap();
         sim.advance(TIME_STEP);
         assert_eq!(fetch_result(&sim, 0, token), Some(Ok(())));
-        assert_eq!(chunks_resent(&sim), flips);
+        assert_eq!(chunks_resent(&sim), corrupt_chunks);
     }
     let mut sim = sim(1);
     sim.store(1, CHUNK_BYTES as usize).unwrap();
@@ -105,15 +105,15 @@
     let token = sim.fetch(0, 1, None).unwrap();
     sim.advance(TIME_STEP);
     assert_eq!(fetch_result(&sim, 0, token), Some(Err(Cause::Corrupt)));
-    assert_eq!(chunks_resent(&sim), tries - 1);
+    assert_eq!(chunks_resent(&sim), max_attempts - 1);
     // Both ends are free, and the holder says so at once.
     assert_eq!(sim.freed, [(id(1), Cause::Corrupt)]);
     assert_eq!((sim.sender.held().0, sim.receivers[0].machine.usage()), (0, (0, 0, 0)));
 }
 
 #[test]
-fn connections_that_break_again_and_again_bring_a_move_to_an_end() {
-    let (mut sim, token) = under_way(0);
+fn repeated_connection_losses_end_a_transfer() {
+    let (mut sim, token) = sim_after(0);
     for _ in 0..=receiver::Limits::default().max_connection_losses {
         assert!(fetch_result(&sim, 0, token).is_none());
         // Far enough for the greeting and the offer, and for no chunk.
@@ -126,11 +126,11 @@
 }
 
 #[test]
-fn a_restarted_holder_never_goes_on_with_an_older_ones_state() {
+fn a_restarted_sender_never_resumes_a_transfer_of_the_process_before() {
     for frames in [2, 6, 12, 18] {
-        let (mut sim, token) = under_way(frames);
+        let (mut sim, token) = sim_after(frames);
         sim.restart_sender();
-        // The same request has been read again there: the same name, another state.
+        // The same request has been read again there: the same name, another cache.
         sim.store(1, LENGTH).unwrap();
         sim.advance(100_000);
         assert_eq!(fetch_result(&sim, 0, token), Some(Err(Cause::NotFound)), "{frames}");
@@ -142,8 +142,8 @@
 }
 
 #[test]
-fn a_read_that_takes_the_place_of_another_ends_its_move() {
-    let (mut sim, token) = under_way(6);
+fn a_newer_prefill_ends_the_transfer_of_the_older_cache() {
+    let (mut sim, token) = sim_after(6);
     sim.store(1, LENGTH).unwrap();
     sim.advance(TIME_STEP);
     assert_eq!(fetch_result(&sim, 0, token), Some(Err(Cause::Superseded)));
@@ -152,14 +152,14 @@
 }
 
 #[test]
-fn the_last_of_two_takers_gets_it_and_the_first_does_not_come_back() {
-    let (mut sim, first) = under_way(6);
+fn the_later_of_two_receivers_wins_and_the_earlier_cannot_resume() {
+    let (mut sim, first) = sim_after(6);
     let second = sim.fetch(1, 1, None).unwrap();
     sim.advance(TIME_STEP);
     assert_eq!(fetch_result(&sim, 0, first), Some(Err(Cause::Superseded)));
     assert_eq!(fetch_result(&sim, 1, second), Some(Ok(())));
     // The first is cut off meanwhile and has not heard: it comes back to take it up again.
-    let (mut sim, first) = under_way(6);
+    let (mut sim, first) = sim_after(6);
     sim.close_connections();
     let want = Want { token: 1, id: id(1), deadline_ms: 0, resume_incarnation: 0 };
     let hello =
@@ -169,7 +169,7 @@
     sim.advance(TIME_STEP);
     assert_eq!(fetch_result(&sim, 0, first), Some(Err(Cause::Superseded)));
     // Once it belongs to one receiver, no other gets it.
-    let (mut sim, first) = under_way(100);
+    let (mut sim, first) = sim_after(100);
     let second = sim.fetch(1, 1, None).unwrap();
     sim.advance(TIME_STEP);
     assert_eq!(fetch_result(&sim, 0, first), Some(Ok(())));
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn a_taker_that_has_not_heard_that_it_is_the_owner_hears_it_after_a_cut() {
+fn a_receiver_that_missed_the_grant_gets_it_after_a_reconnect() {
     let mut sim = sim(1);
     sim.store(1, CHUNK_BYTES as usize).unwrap();
     let token = sim.fetch(0, 1, None).unwrap();
@@ -206,10 +206,10 @@
 }
 
 #[test]
-fn a_release_frees_both_ends_before_the_offer_during_the_move_and_twice() {
+fn a_release_at_any_frame_even_repeated_frees_both_ends() {
     for frames in 0..40 {
         for at_receiver in [false, true] {
-            let (mut sim, token) = under_way(frames);
+            let (mut sim, token) = sim_after(frames);
             for _ in 0..2 {
                 match at_receiver {
                     false => sim.sender.release(&id(1)),
@@ -232,32 +232,32 @@
 }
 
 #[test]
-fn a_release_in_the_midst_of_a_read_frees_what_it_brings_and_no_later_read() {
+fn a_release_during_a_prefill_drops_its_cache_and_no_later_one() {
     let mut sim = sim(1);
-    let ticket = sim.sender.begin_prefill(id(1)).unwrap();
+    let prefill = sim.sender.begin_prefill(id(1)).unwrap();
     sim.sender.release(&id(1));
-    let state = content(1, 100);
-    let proof = std::sync::Arc::new(frosttrail_transfer::proof::Proof::compute(&state, CHUNK_BYTES).unwrap());
-    assert_eq!(sim.sender.store_prefill(0, ticket, state, proof), Err(Cause::Released));
+    let cache = content(1, 100);
+    let proof = std::sync::Arc::new(frosttrail_transfer::proof::Proof::compute(&cache, CHUNK_BYTES).unwrap());
+    assert_eq!(sim.sender.store_prefill(0, prefill, cache, proof), Err(Cause::Released));
     assert_eq!(sim.sender.held().0, 0);
     sim.store(1, 100).unwrap();
     assert_eq!(sim.sender.held().0, 1);
 }
 
 #[test]
-fn a_release_of_what_nobody_waits_for_leaves_a_read_and_a_move_alone() {
+fn a_release_of_the_unclaimed_spares_prefills_and_transfers() {
     let mut sim = sim(1);
-    let ticket = sim.sender.begin_prefill(id(1)).unwrap();
+    let prefill = sim.sender.begin_prefill(id(1)).unwrap();
     sim.sender.release_unclaimed(&id(1), None);
-    let state = content(1, 100);
-    let proof = std::sync::Arc::new(frosttrail_transfer::proof::Proof::compute(&state, CHUNK_BYTES).unwrap());
-    sim.sender.store_prefill(0, ticket, state, proof).unwrap();
+    let cache = content(1, 100);
+    let proof = std::sync::Arc::new(frosttrail_transfer::proof::Proof::compute(&cache, CHUNK_BYTES).unwrap());
+    sim.sender.store_prefill(0, prefill, cache, proof).unwrap();
     // Held, and nobody has come for it.
     sim.sender.release_unclaimed(&id(1), None);
     assert_eq!(sim.sender.held().0, 0);
     for frames in 1..40 {
         for given_up in [false, true] {
-            let (mut sim, token) = under_way(frames);
+            let (mut sim, token) = sim_after(frames);
             sim.sender.release_unclaimed(&id(1), None);
             if given_up {
                 sim.cancel_fetches(0, 1);
@@ -273,9 +273,9 @@
 }
 
 #[test]
-fn a_client_that_goes_in_the_midst_leaves_nothing_at_either_end() {
+fn a_cancelled_fetch_frees_both_ends() {
     for frames in 0..40 {
-        let (mut sim, token) = under_way(frames);
+        let (mut sim, token) = sim_after(frames);
         sim.cancel_fetches(0, 1);
         assert!(fetch_result(&sim, 0, token).is_some());
         assert!(sim.receivers[0].results[&token].is_ok() || sim.receivers[0].machine.usage() == (0, 0, 0));
@@ -285,7 +285,7 @@
 }
 
 #[test]
-fn a_drain_lets_go_on_what_is_held_refuses_what_is_new_and_frees_the_rest_in_time() {
+fn a_drain_completes_transfers_refuses_new_prefills_and_frees_the_rest_in_time() {
     let mut sim = sim(2);
     for name in 1..4 {
         sim.store(name, LENGTH).unwrap();
@@ -316,7 +316,7 @@
 }
 
 #[test]
-fn a_full_taker_lets_moves_wait_and_drops_none() {
+fn transfers_wait_for_receiver_memory_and_none_is_dropped() {
     let receiver = receiver::Limits {
         max_memory_bytes: LENGTH as u64 * 2,
         window_bytes: 4 * CHUNK_BYTES,
@@ -326,8 +326,8 @@
     for name in 1..7 {
         sim.store(name, LENGTH).unwrap();
     }
-    let due = |name: u8| (name == 6).then_some(800_000);
-    let tokens: Vec<u64> = (1..7).map(|name| sim.fetch(0, name, due(name)).unwrap()).collect();
+    let deadline = |name: u8| (name == 6).then_some(800_000);
+    let tokens: Vec<u64> = (1..7).map(|name| sim.fetch(0, name, deadline(name)).unwrap()).collect();
     sim.advance(TIME_STEP);
     let done =
         |sim: &Simulation| tokens.iter().map(|t| fetch_result(sim, 0, *t).is_some()).collect::<Vec<_>>();
@@ -357,7 +357,7 @@
 }
 
 #[test]
-fn a_small_state_does_not_pass_a_large_one_that_waits_for_memory() {
+fn a_small_reservation_does_not_overtake_a_large_one() {
     let mut memory = MemoryBudget::new(100);
     assert_eq!(memory.reserve(1, 60, u64::MAX), Reservation::Granted);
     assert_eq!(memory.reserve(2, 80, u64::MAX), Reservation::Queued);
@@ -371,7 +371,7 @@
 }
 
 #[test]
-fn a_holder_that_offers_another_state_after_a_cut_is_not_believed() {
+fn an_offer_of_another_cache_after_a_reconnect_ends_the_fetch() {
     let mut sim = sim(1);
     let receiver = &mut sim.receivers[0].machine;
     let token = receiver.fetch(0, id(1), 1, None).unwrap();
@@ -381,23 +381,23 @@
     };
     for (serial, incarnation) in [(1, 8), (2, 7)] {
         let token = receiver.fetch(0, id(1), 1, None).unwrap();
-        let named = |o: Offer| Offer { token, ..o };
+        let named = |offer: Offer| Offer { token, ..offer };
         receiver.add_connection(0, 5, Some(1));
         receiver.handle_offer(0, 5, named(offer(1, 7)));
         receiver.remove_connection(5);
         receiver.add_connection(0, 6, Some(1));
         receiver.handle_offer(0, 6, named(offer(serial, incarnation)));
-        let outs = std::iter::from_fn(|| receiver.next_action());
+        let actions = std::iter::from_fn(|| receiver.next_action());
         let failed =
-            |o: receiver::Action| matches!(o, receiver::Action::Failed(t, Cause::NotFound) if t == token);
-        assert!(outs.into_iter().any(failed), "{serial} {incarnation}");
+            |a: receiver::Action| matches!(a, receiver::Action::Failed(t, Cause::NotFound) if t == token);
+        assert!(actions.into_iter().any(failed), "{serial} {incarnation}");
         receiver.remove_connection(6);
     }
 }
 
 #[test]
-fn takers_may_not_ask_for_what_there_is_not_nor_holders_send_what_is_not_allowed() {
-    let (mut sim, _) = under_way(2);
+fn protocol_violations_are_rejected_at_both_ends() {
+    let (mut sim, _) = sim_after(2);
     let conn = 2;
     for range in [19..21, 3..3, u32::MAX - 1..u32::MAX] {
         assert_eq!(
--- a/transfer/tests/model.rs
+++ b/transfer/tests/model.rs
@@ -68,15 +68,15 @@
             Step::Store(name, length) => {
                 let _ = sim.store(name, usize::from(length) + 1);
             }
-            Step::Fetch(receiver, name, due) => {
-                let due = due.then_some(sim.now + 300_000);
+            Step::Fetch(receiver, name, has_deadline) => {
+                let deadline = has_deadline.then_some(sim.now + 300_000);
                 // One attempt is out at any moment: the one before has ended, though not all have heard.
                 sim.cancel_fetches(1 - receiver, name);
-                let _ = sim.fetch(receiver, name, due);
+                let _ = sim.fetch(receiver, name, deadline);
             }
             Step::CancelFetches(receiver, name) => sim.cancel_fetches(receiver, name),
             Step::DeliverFrames(count) => sim.deliver_frames(usize::from(count)),
-            Step::Advance(slices) => sim.advance(u64::from(slices) * TIME_STEP),
+            Step::Advance(steps) => sim.advance(u64::from(steps) * TIME_STEP),
             Step::CorruptChunks(chunks) => sim.chunks_to_corrupt = u32::from(chunks),
             Step::CloseConnections => sim.close_connections(),
             Step::SetOffline(is_offline) => sim.is_offline = is_offline,
@@ -85,8 +85,8 @@
             Step::ReleaseAtReceiver(receiver, name) => sim.receivers[receiver].machine.release(&id(name)),
             Step::DropReceived => sim.drop_received(),
             Step::RestartSender => sim.restart_sender(),
-            Step::Drain(slices) => {
-                sim.sender.drain(sim.now, sim.now + u64::from(slices) * TIME_STEP);
+            Step::Drain(steps) => {
+                sim.sender.drain(sim.now, sim.now + u64::from(steps) * TIME_STEP);
             }
         }
         sim.run_actions();
@@ -121,12 +121,12 @@
 }
 
 #[test]
-fn always_whole_or_freed_and_never_two_owners() {
+fn caches_arrive_complete_or_are_freed_and_never_have_two_owners() {
     QuickCheck::new().rng(Gen::from_size_and_seed(80, 7)).tests(1_500).quickcheck(run as fn(Vec<Step>));
 }
 
 #[test]
-fn a_fetch_over_a_good_link_brings_the_state_and_frees_the_holder() {
+fn a_fetch_over_a_good_link_delivers_the_cache_and_frees_the_sender() {
     let (sender, receiver) = small_limits();
     let mut sim = Simulation::new(2, sender, receiver);
     sim.store(1, 50_000).unwrap();
--- a/transfer/tests/service.rs
+++ b/transfer/tests/service.rs
@@ -15,16 +15,19 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout, Instant};
 
-const CHUNK: u32 = 16 << 10;
+const CHUNK_BYTES: u32 = 16 << 10;
 /// Longer than anything here should take.
-const LATEST: Duration = Duration::from_secs(20);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 /// The rule, and what a busy machine may add to it before the test says so.
-const RULE: Duration = Duration::from_millis(1_000);
+const MAX_TIME_TO_FREE: Duration = Duration::from_millis(1_000);
 
 fn config() -> Config {
-    let mut config =
-        Config { chunk_bytes: CHUNK, handshake_timeout: Duration::from_millis(300), ..Config::default() };
-    config.receiver.window_bytes = 8 * CHUNK;
+    let mut config = Config {
+        chunk_bytes: CHUNK_BYTES,
+        handshake_timeout: Duration::from_millis(300),
+        ..Config::default()
+    };
+    config.receiver.window_bytes = 8 * CHUNK_BYTES;
     config
 }
 
@@ -34,9 +37,9 @@
 
 /// Keeps the lines that a node writes.
 #[derive(Clone, Default)]
-struct Lines(Arc<Mutex<Vec<String>>>);
+struct CapturedLog(Arc<Mutex<Vec<String>>>);
 
-impl slog::Drain for Lines {
+impl slog::Drain for CapturedLog {
     type Ok = ();
     type Err = slog::Never;
 
@@ -48,7 +51,7 @@
     }
 }
 
-fn any() -> SocketAddr {
+fn any_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
@@ -62,14 +65,14 @@
     bytes.into()
 }
 
-fn same(whole: &ReceivedCache, state: &Bytes) -> bool {
-    whole.chunks().concat() == state[..]
+fn is_same(received: &ReceivedCache, cache: &Bytes) -> bool {
+    received.chunks().concat() == cache[..]
 }
 
-/// A holder, a taker, and the link between them.
+/// A sender, a taker, and the link between them.
 struct Pair {
-    holder: Node,
-    taker: Node,
+    sender: Node,
+    receiver: Node,
     link: Link,
 }
 
@@ -79,65 +82,65 @@
     }
 
     async fn with(config: Config) -> Self {
-        let holder = Node::new(config, 1, log());
-        let at = holder.listen(any()).await.unwrap();
+        let sender = Node::new(config, 1, log());
+        let at = sender.listen(any_address()).await.unwrap();
         let link = Link::start(at).await.unwrap();
-        Pair { holder, taker: Node::new(config, 2, log()), link }
+        Pair { sender, receiver: Node::new(config, 2, log()), link }
     }
 
-    async fn put(&self, name: &str, state: &Bytes) {
-        self.holder.begin_prefill(id(name)).unwrap().store(state.clone()).await.unwrap();
+    async fn store(&self, name: &str, cache: &Bytes) {
+        self.sender.begin_prefill(id(name)).unwrap().store(cache.clone()).await.unwrap();
     }
 
     async fn fetch(&self, name: &str) -> Result<ReceivedCache, FetchError> {
-        timeout(LATEST, self.taker.fetch(&id(name), &[self.link.address], None)).await.unwrap()
+        timeout(TEST_TIMEOUT, self.receiver.fetch(&id(name), &[self.link.address], None)).await.unwrap()
     }
 
     /// Both ends are free within the rule from now on.
-    async fn free_in_time(&self) {
-        let begin = Instant::now();
-        let both = async { tokio::join!(self.holder.wait_until_idle(), self.taker.wait_until_idle()) };
-        timeout(LATEST, both).await.unwrap();
-        assert!(begin.elapsed() <= RULE, "free after {:?}", begin.elapsed());
-        assert_eq!(self.taker.status().memory, 0);
+    async fn assert_free_in_time(&self) {
+        let start = Instant::now();
+        let both = async { tokio::join!(self.sender.wait_until_idle(), self.receiver.wait_until_idle()) };
+        timeout(TEST_TIMEOUT, both).await.unwrap();
+        assert!(start.elapsed() <= MAX_TIME_TO_FREE, "free after {:?}", start.elapsed());
+        assert_eq!(self.receiver.status().memory, 0);
     }
 
-    fn resent(&self, state: &Bytes) -> u64 {
-        self.holder.status().total.bytes_sent - state.len() as u64
+    fn bytes_resent(&self, cache: &Bytes) -> u64 {
+        self.sender.status().total.bytes_sent - cache.len() as u64
     }
 }
 
 #[tokio::test]
-async fn a_state_arrives_whole_and_leaves_the_holder() {
+async fn a_cache_arrives_complete_and_leaves_the_sender() {
     let pair = Pair::start().await;
-    for length in [1, CHUNK as usize, CHUNK as usize + 1, 3_000_000] {
-        let state = content(1, length);
-        pair.put("r1", &state).await;
-        let whole = pair.fetch("r1").await.unwrap();
-        assert!(same(&whole, &state));
-        assert_eq!((pair.holder.status().states, pair.taker.status().memory), (0, length as u64));
-        drop(whole);
-        assert_eq!(pair.taker.status().memory, 0);
+    for length in [1, CHUNK_BYTES as usize, CHUNK_BYTES as usize + 1, 3_000_000] {
+        let cache = content(1, length);
+        pair.store("r1", &cache).await;
+        let received = pair.fetch("r1").await.unwrap();
+        assert!(is_same(&received, &cache));
+        assert_eq!((pair.sender.status().states, pair.receiver.status().memory), (0, length as u64));
+        drop(received);
+        assert_eq!(pair.receiver.status().memory, 0);
     }
     assert_eq!(pair.fetch("r1").await.unwrap_err(), FetchError::Failed(Cause::OwnedElsewhere));
     assert_eq!(pair.fetch("r2").await.unwrap_err(), FetchError::Failed(Cause::NotFound));
-    assert_eq!(pair.taker.fetch(&id("r1"), &[], None).await.unwrap_err(), FetchError::NoSender);
+    assert_eq!(pair.receiver.fetch(&id("r1"), &[], None).await.unwrap_err(), FetchError::NoSender);
 }
 
 #[tokio::test]
-async fn the_holder_that_has_it_is_found_among_several() {
+async fn the_sender_that_has_the_cache_is_found_among_several() {
     let pair = Pair::start().await;
-    let state = content(2, 100_000);
-    pair.put("r1", &state).await;
+    let cache = content(2, 100_000);
+    pair.store("r1", &cache).await;
     let empty = Node::new(config(), 3, log());
-    let (empty_at, nobody) = (empty.listen(any()).await.unwrap(), any());
+    let (empty_at, nobody) = (empty.listen(any_address()).await.unwrap(), any_address());
     let from = [empty_at, pair.link.address, nobody];
-    assert!(same(&pair.taker.fetch(&id("r1"), &from, None).await.unwrap(), &state));
+    assert!(is_same(&pair.receiver.fetch(&id("r1"), &from, None).await.unwrap(), &cache));
 }
 
 #[tokio::test]
-async fn a_flipped_bit_anywhere_is_caught_and_the_state_arrives_all_the_same() {
-    let state = content(3, 10 * CHUNK as usize);
+async fn a_flipped_bit_anywhere_is_detected_and_the_cache_still_arrives() {
+    let cache = content(3, 10 * CHUNK_BYTES as usize);
     let mut rng = SmallRng::seed_from_u64(5);
     let (mut bad, mut faults) = (0, 0);
     for round in 0..60 {
@@ -145,15 +148,15 @@
         // The greeting, the offer with its hashes, headers, chunks; and what the taker says.
         let at = match round {
             0..20 => round * 24,
-            _ => rng.random_range(0..state.len() as u64),
+            _ => rng.random_range(0..cache.len() as u64),
         };
         let up = Event { way: Way::Up, at: rng.random_range(0..200), fault: Fault::Flip };
         let down = Event { way: Way::Down, at, fault: Fault::Flip };
         pair.link.script(&[down, up][..if round % 4 == 0 { 2 } else { 1 }]);
-        pair.put("r1", &state).await;
-        let whole = pair.fetch("r1").await.unwrap();
-        assert!(same(&whole, &state), "flipped at {at}");
-        let total = pair.taker.status().total;
+        pair.store("r1", &cache).await;
+        let received = pair.fetch("r1").await.unwrap();
+        assert!(is_same(&received, &cache), "flipped at {at}");
+        let total = pair.receiver.status().total;
         bad += total.chunks_bad;
         faults += total.faults;
     }
@@ -161,54 +164,61 @@
 }
 
 #[tokio::test]
-async fn a_link_that_spoils_every_chunk_ends_the_move_and_frees_both_ends() {
+async fn a_link_that_corrupts_every_chunk_ends_the_transfer_and_frees_both_ends() {
     let pair = Pair::start().await;
-    let state = content(4, CHUNK as usize);
+    let cache = content(4, CHUNK_BYTES as usize);
     // In each copy of the only chunk, one bit.
     let flips = (0..40).map(|n| Event { way: Way::Down, at: 4_000 + n * 8_000, fault: Fault::Flip });
     pair.link.script(&flips.collect::<Vec<_>>());
-    let mut reports = pair.holder.subscribe_freed();
-    pair.put("r1", &state).await;
+    let mut reports = pair.sender.subscribe_freed();
+    pair.store("r1", &cache).await;
     assert_eq!(pair.fetch("r1").await.unwrap_err(), FetchError::Failed(Cause::Corrupt));
-    pair.free_in_time().await;
+    pair.assert_free_in_time().await;
     assert_eq!(reports.recv().await, Some((id("r1"), Cause::Corrupt)));
-    assert_eq!(u32::from(config().receiver.max_chunk_attempts), pair.taker.status().total.chunks_bad as u32);
+    assert_eq!(
+        u32::from(config().receiver.max_chunk_attempts),
+        pair.receiver.status().total.chunks_bad as u32
+    );
 }
 
 #[tokio::test]
-async fn a_cut_at_any_byte_is_made_good_with_at_most_a_window_sent_again() {
-    let state = content(5, 12 * CHUNK as usize);
+async fn a_connection_lost_at_any_byte_resends_at_most_a_window() {
+    let cache = content(5, 12 * CHUNK_BYTES as usize);
     let mut rng = SmallRng::seed_from_u64(9);
     // Around the greeting and the offer, at each chunk's header and in its midst, and anywhere.
-    let frame = u64::from(CHUNK) + 24;
+    let frame = u64::from(CHUNK_BYTES) + 24;
     let headers = (0..12).flat_map(|n| [510 + n * frame, 534 + n * frame, 8_000 + n * frame]);
     let places =
         [0, 20, 54, 80].into_iter().chain(headers).chain((0..20).map(|_| rng.random_range(0..190_000)));
     for at in places {
         let pair = Pair::start().await;
         pair.link.script(&[Event { way: Way::Down, at, fault: Fault::Cut }]);
-        pair.put("r1", &state).await;
-        assert!(same(&pair.fetch("r1").await.unwrap(), &state), "cut at {at}");
+        pair.store("r1", &cache).await;
+        assert!(is_same(&pair.fetch("r1").await.unwrap(), &cache), "cut at {at}");
         let window = u64::from(config().receiver.window_bytes);
-        assert!(pair.resent(&state) <= window, "{} bytes sent again, cut at {at}", pair.resent(&state));
+        assert!(
+            pair.bytes_resent(&cache) <= window,
+            "{} bytes sent again, cut at {at}",
+            pair.bytes_resent(&cache)
+        );
         // The grant may have been lost, and said again.
-        timeout(LATEST, pair.holder.wait_until_idle()).await.unwrap();
+        timeout(TEST_TIMEOUT, pair.sender.wait_until_idle()).await.unwrap();
     }
     for at in (0..400).step_by(13) {
         let pair = Pair::start().await;
         pair.link.script(&[Event { way: Way::Up, at, fault: Fault::Cut }]);
-        pair.put("r1", &state).await;
-        assert!(same(&pair.fetch("r1").await.unwrap(), &state), "cut upwards at {at}");
+        pair.store("r1", &cache).await;
+        assert!(is_same(&pair.fetch("r1").await.unwrap(), &cache), "cut upwards at {at}");
     }
 }
 
 #[tokio::test]
-async fn a_link_that_is_gone_or_silent_for_half_a_second_is_waited_for_and_for_more_is_not() {
-    let state = content(6, 40 * CHUNK as usize);
+async fn an_outage_of_half_a_second_is_survived_and_a_longer_one_frees_both_ends() {
+    let cache = content(6, 40 * CHUNK_BYTES as usize);
     for fault in [Fault::Cut, Fault::Stall] {
         let pair = Pair::start().await;
         pair.link.script(&[Event { way: Way::Down, at: 200_000, fault }]);
-        pair.put("r1", &state).await;
+        pair.store("r1", &cache).await;
         let back = async {
             while pair.link.carried().1 < 200_000 {
                 sleep(Duration::from_millis(1)).await;
@@ -219,13 +229,13 @@
             pair.link.stall(false);
             pair.link.dark(false);
         };
-        let (whole, ()) = tokio::join!(pair.fetch("r1"), back);
-        assert!(same(&whole.unwrap(), &state), "{fault:?}");
-        assert!(pair.resent(&state) <= u64::from(config().receiver.window_bytes));
+        let (received, ()) = tokio::join!(pair.fetch("r1"), back);
+        assert!(is_same(&received.unwrap(), &cache), "{fault:?}");
+        assert!(pair.bytes_resent(&cache) <= u64::from(config().receiver.window_bytes));
 
         let pair = Pair::start().await;
         pair.link.script(&[Event { way: Way::Down, at: 200_000, fault }]);
-        pair.put("r1", &state).await;
+        pair.store("r1", &cache).await;
         let gone = async {
             while pair.link.carried().1 < 200_000 {
                 sleep(Duration::from_millis(1)).await;
@@ -234,7 +244,7 @@
             if fault == Fault::Cut {
                 pair.link.cut();
             }
-            pair.free_in_time().await;
+            pair.assert_free_in_time().await;
         };
         let (end, ()) = tokio::join!(pair.fetch("r1"), gone);
         assert_eq!(end.unwrap_err(), FetchError::Failed(Cause::PeerLost), "{fault:?}");
@@ -242,59 +252,59 @@
 }
 
 #[tokio::test]
-async fn a_fetch_that_is_dropped_and_a_release_at_either_end_leave_nothing() {
-    let state = content(7, 2_000_000);
+async fn a_dropped_fetch_and_a_release_at_either_end_free_both_ends() {
+    let cache = content(7, 2_000_000);
     for end in 0..3 {
         let pair = Pair::start().await;
         pair.link.rate(4_000_000);
-        pair.put("r1", &state).await;
+        pair.store("r1", &cache).await;
         let fetch = pair.fetch("r1");
         if end == 0 {
             assert!(timeout(Duration::from_millis(100), fetch).await.is_err());
-            let status = pair.taker.status();
+            let status = pair.receiver.status();
             assert_eq!((status.fetching, status.memory), (0, 0), "given up with the future");
             // Nobody else comes for it; or somebody does, and it is there.
             sleep(Duration::from_millis(300)).await;
             pair.link.rate(0);
-            assert!(same(&pair.fetch("r1").await.unwrap(), &state));
+            assert!(is_same(&pair.fetch("r1").await.unwrap(), &cache));
         } else {
             let release = async {
                 sleep(Duration::from_millis(100)).await;
-                let node = if end == 1 { &pair.holder } else { &pair.taker };
+                let node = if end == 1 { &pair.sender } else { &pair.receiver };
                 (0..2).for_each(|_| node.release(&id("r1")));
                 Instant::now()
             };
             let (ended, at) = tokio::join!(fetch, release);
             assert_eq!(ended.unwrap_err(), FetchError::Failed(Cause::Released));
-            pair.free_in_time().await;
-            assert!(at.elapsed() < RULE / 2, "free after {:?}", at.elapsed());
+            pair.assert_free_in_time().await;
+            assert!(at.elapsed() < MAX_TIME_TO_FREE / 2, "free after {:?}", at.elapsed());
         }
-        pair.free_in_time().await;
+        pair.assert_free_in_time().await;
     }
     // A server that knows nothing of it passes the word on to those it is connected with.
     let pair = Pair::start().await;
-    pair.put("r1", &state).await;
+    pair.store("r1", &cache).await;
     let third = Node::new(config(), 3, log());
     assert!(third.fetch(&id("other"), &[pair.link.address], None).await.is_err());
-    let mut reports = pair.holder.subscribe_freed();
+    let mut reports = pair.sender.subscribe_freed();
     third.release(&id("r1"));
-    pair.free_in_time().await;
+    pair.assert_free_in_time().await;
     assert_eq!(reports.recv().await, Some((id("r1"), Cause::Released)));
 }
 
 #[tokio::test]
-async fn a_restarted_holder_is_not_taken_for_the_one_before() {
-    let state = content(8, 2_000_000);
+async fn a_restarted_sender_is_not_mistaken_for_the_process_before() {
+    let cache = content(8, 2_000_000);
     let mut pair = Pair::start().await;
     pair.link.script(&[Event { way: Way::Down, at: 1_000_000, fault: Fault::Stall }]);
-    pair.put("r1", &state).await;
+    pair.store("r1", &cache).await;
     let again = async {
         while pair.link.carried().1 < 1_000_000 {
             sleep(Duration::from_millis(1)).await;
         }
     };
     let (r1, from) = (id("r1"), [pair.link.address]);
-    let fetch = pair.taker.fetch(&r1, &from, None);
+    let fetch = pair.receiver.fetch(&r1, &from, None);
     tokio::pin!(fetch);
     tokio::select! {
         _ = &mut fetch => panic!("it has stalled"),
@@ -303,135 +313,135 @@
     // Another process at the same address, which has read the same request anew.
     let other = Node::new(config(), 9, log());
     other.begin_prefill(id("r1")).unwrap().store(content(9, 2_000_000)).await.unwrap();
-    let link = Link::start(other.listen(any()).await.unwrap()).await.unwrap();
-    pair.holder = other;
+    let link = Link::start(other.listen(any_address()).await.unwrap()).await.unwrap();
+    pair.sender = other;
     pair.link.forward_to(link.address);
     pair.link.cut();
     pair.link.stall(false);
-    assert_eq!(timeout(LATEST, fetch).await.unwrap().unwrap_err(), FetchError::Failed(Cause::NotFound));
+    assert_eq!(timeout(TEST_TIMEOUT, fetch).await.unwrap().unwrap_err(), FetchError::Failed(Cause::NotFound));
 }
 
 #[tokio::test]
-async fn many_moves_over_one_slow_link_all_arrive_and_nothing_is_lost() {
+async fn many_transfers_over_one_slow_link_all_arrive() {
     let mut config = config();
     config.receiver.max_memory_bytes = 20 * 100_000;
     let pair = Pair::with(config).await;
     pair.link.rate(20_000_000);
     let states: Vec<Bytes> = (0..64).map(|n| content(n, 100_000)).collect();
-    let moves = states.iter().enumerate().map(|(n, state)| {
+    let transfers = states.iter().enumerate().map(|(n, cache)| {
         let (pair, name) = (&pair, format!("r{n}"));
         async move {
-            pair.put(&name, state).await;
-            let whole = pair.fetch(&name).await.unwrap();
-            assert!(same(&whole, state) && pair.taker.status().memory <= 20 * 100_000);
+            pair.store(&name, cache).await;
+            let received = pair.fetch(&name).await.unwrap();
+            assert!(is_same(&received, cache) && pair.receiver.status().memory <= 20 * 100_000);
         }
     });
-    futures_util::future::join_all(moves).await;
-    pair.free_in_time().await;
-    assert_eq!(pair.holder.status().total.bytes_sent, 64 * 100_000, "each byte once");
+    futures_util::future::join_all(transfers).await;
+    pair.assert_free_in_time().await;
+    assert_eq!(pair.sender.status().total.bytes_sent, 64 * 100_000, "each byte once");
 }
 
 #[tokio::test]
-async fn a_taker_that_reads_nothing_holds_up_no_other() {
+async fn a_stalled_receiver_does_not_block_others() {
     let mut config = config();
-    config.sender.max_in_flight_bytes = 4 * u64::from(CHUNK);
+    config.sender.max_in_flight_bytes = 4 * u64::from(CHUNK_BYTES);
     let pair = Pair::with(config).await;
-    let stuck = Node::new(config, 3, log());
+    let stalled = Node::new(config, 3, log());
     let slow = Link::start(pair.link.target()).await.unwrap();
     slow.rate(20_000);
-    let state = content(1, 1_000_000);
-    pair.put("slow", &state).await;
-    pair.put("r1", &state).await;
+    let cache = content(1, 1_000_000);
+    pair.store("slow", &cache).await;
+    pair.store("r1", &cache).await;
     let (slow_id, from) = (id("slow"), [slow.address]);
-    let stuck = stuck.fetch(&slow_id, &from, None);
-    tokio::pin!(stuck);
+    let stalled = stalled.fetch(&slow_id, &from, None);
+    tokio::pin!(stalled);
     let begun = async {
-        while pair.holder.status().in_flight == 0 {
+        while pair.sender.status().in_flight == 0 {
             sleep(Duration::from_millis(1)).await;
         }
     };
     tokio::select! {
-        _ = &mut stuck => panic!("a second's worth is 20 kB"),
+        _ = &mut stalled => panic!("a second's worth is 20 kB"),
         () = begun => {}
     }
-    let begin = Instant::now();
-    assert!(same(&pair.fetch("r1").await.unwrap(), &state));
-    assert!(begin.elapsed() < RULE, "{:?}", begin.elapsed());
+    let start = Instant::now();
+    assert!(is_same(&pair.fetch("r1").await.unwrap(), &cache));
+    assert!(start.elapsed() < MAX_TIME_TO_FREE, "{:?}", start.elapsed());
 }
 
 #[tokio::test]
-async fn a_drain_ends_in_time_with_what_could_move_moved() {
+async fn a_drain_ends_in_time_and_completes_transfers() {
     let pair = Pair::start().await;
-    let mut reports = pair.holder.subscribe_freed();
-    let state = content(1, 1_000_000);
+    let mut reports = pair.sender.subscribe_freed();
+    let cache = content(1, 1_000_000);
     for name in ["r1", "r2"] {
-        pair.put(name, &state).await;
+        pair.store(name, &cache).await;
     }
     pair.link.rate(4_000_000);
     let drain = async {
-        while pair.holder.status().sending == 0 {
+        while pair.sender.status().sending == 0 {
             sleep(Duration::from_millis(1)).await;
         }
-        pair.holder.drain(Duration::from_millis(600));
-        assert!(pair.holder.begin_prefill(id("r3")).is_err());
-        let begin = Instant::now();
-        pair.holder.wait_until_idle().await;
-        begin.elapsed()
+        pair.sender.drain(Duration::from_millis(600));
+        assert!(pair.sender.begin_prefill(id("r3")).is_err());
+        let start = Instant::now();
+        pair.sender.wait_until_idle().await;
+        start.elapsed()
     };
     let (moved, took) = tokio::join!(pair.fetch("r1"), drain);
-    assert!(same(&moved.unwrap(), &state));
+    assert!(is_same(&moved.unwrap(), &cache));
     assert!(took <= Duration::from_millis(700), "{took:?}");
     assert_eq!(reports.recv().await, Some((id("r2"), Cause::Drained)));
 }
 
 #[tokio::test]
-async fn a_pushed_state_arrives_over_a_link_that_is_cut() {
-    let state = content(1, 1_000_000);
+async fn a_pushed_cache_arrives_over_a_link_that_is_cut() {
+    let cache = content(1, 1_000_000);
     let service = Node::new(Config { push_policy: PushPolicy::Deliver, ..config() }, 2, log());
     let mut arrived = service.subscribe_pushed();
-    let link = Link::start(service.listen(any()).await.unwrap()).await.unwrap();
+    let link = Link::start(service.listen(any_address()).await.unwrap()).await.unwrap();
     link.script(&[300_000, 700_000].map(|at| Event { way: Way::Up, at, fault: Fault::Cut }));
     let from = Node::new(config(), 1, log());
-    from.begin_prefill(id("r1")).unwrap().store(state.clone()).await.unwrap();
-    timeout(LATEST, from.push(&id("r1"), link.address)).await.unwrap().unwrap();
+    from.begin_prefill(id("r1")).unwrap().store(cache.clone()).await.unwrap();
+    timeout(TEST_TIMEOUT, from.push(&id("r1"), link.address)).await.unwrap().unwrap();
     let got = arrived.recv().await.unwrap();
-    assert!(got.id == id("r1") && same(&got.cache, &state));
+    assert!(got.id == id("r1") && is_same(&got.cache, &cache));
     assert!(from.status().total.bytes_sent <= 1_000_000 + 2 * u64::from(config().receiver.window_bytes));
     // One that takes nothing says so, and one that is not there is not waited for.
     let closed = Node::new(config(), 3, log());
-    let at = closed.listen(any()).await.unwrap();
-    from.begin_prefill(id("r2")).unwrap().store(state.clone()).await.unwrap();
+    let at = closed.listen(any_address()).await.unwrap();
+    from.begin_prefill(id("r2")).unwrap().store(cache.clone()).await.unwrap();
     assert_eq!(from.push(&id("r2"), at).await, Err(Cause::Unwanted));
-    from.begin_prefill(id("r3")).unwrap().store(state).await.unwrap();
+    from.begin_prefill(id("r3")).unwrap().store(cache).await.unwrap();
     drop(link);
-    let begin = Instant::now();
-    assert_eq!(from.push(&id("r3"), any()).await, Err(Cause::Expired));
-    assert!(begin.elapsed() <= RULE);
+    let start = Instant::now();
+    assert_eq!(from.push(&id("r3"), any_address()).await, Err(Cause::Expired));
+    assert!(start.elapsed() <= MAX_TIME_TO_FREE);
 }
 
 #[tokio::test]
-async fn a_node_beside_a_box_holds_what_it_was_handed_for_whoever_fetches_it() {
-    let state = content(1, 1_000_000);
+async fn a_node_beside_a_server_holds_pushed_caches_until_they_are_fetched() {
+    let cache = content(1, 1_000_000);
     let pair = Pair::with(Config { push_policy: PushPolicy::Store, ..config() }).await;
     let from = Node::new(config(), 9, log());
-    from.begin_prefill(id("r1")).unwrap().store(state.clone()).await.unwrap();
+    from.begin_prefill(id("r1")).unwrap().store(cache.clone()).await.unwrap();
     from.push(&id("r1"), pair.link.address).await.unwrap();
-    assert!(same(&pair.fetch("r1").await.unwrap(), &state));
-    assert_eq!((pair.holder.status().memory, pair.holder.status().state_bytes), (0, 0));
+    assert!(is_same(&pair.fetch("r1").await.unwrap(), &cache));
+    assert_eq!((pair.sender.status().memory, pair.sender.status().state_bytes), (0, 0));
     // Told to drain, it takes no more.
-    pair.holder.drain(RULE);
-    from.begin_prefill(id("r2")).unwrap().store(state).await.unwrap();
+    pair.sender.drain(MAX_TIME_TO_FREE);
+    from.begin_prefill(id("r2")).unwrap().store(cache).await.unwrap();
     assert_eq!(from.push(&id("r2"), pair.link.address).await, Err(Cause::Drained));
 }
 
 #[tokio::test]
-async fn bad_input_ends_its_connection_with_one_line_and_touches_nothing_else() {
-    let lines = Lines::default();
+async fn bad_input_closes_its_connection_with_one_log_line_and_affects_nothing_else() {
+    let lines = CapturedLog::default();
     let log = slog::Logger::root(lines.clone(), slog::o!());
-    let holder = Node::new(config(), 1, log);
-    let at = holder.listen(any()).await.unwrap();
-    let state = content(1, 1_000_000);
-    holder.begin_prefill(id("r1")).unwrap().store(state.clone()).await.unwrap();
+    let sender = Node::new(config(), 1, log);
+    let at = sender.listen(any_address()).await.unwrap();
+    let cache = content(1, 1_000_000);
+    sender.begin_prefill(id("r1")).unwrap().store(cache.clone()).await.unwrap();
     let greeting = {
         // A node's own greeting, for those that go wrong behind it.
         let mut stream = TcpStream::connect(at).await.unwrap();
@@ -454,32 +464,32 @@
         behind(&greeting),
     ];
     sleep(Duration::from_millis(50)).await;
-    let taker = Node::new(config(), 2, self::log());
+    let receiver = Node::new(config(), 2, self::log());
     let link = Link::start(at).await.unwrap();
     link.rate(2_000_000);
     let (r1, from) = (id("r1"), [link.address]);
-    let fetch = taker.fetch(&r1, &from, None);
+    let fetch = receiver.fetch(&r1, &from, None);
     let bad = async {
         for case in &cases {
             let before = lines.0.lock().unwrap().len();
             let mut stream = TcpStream::connect(at).await.unwrap();
             let _ = stream.write_all(case).await;
-            let begin = Instant::now();
+            let start = Instant::now();
             let _ = stream.read_to_end(&mut Vec::new()).await;
-            assert!(begin.elapsed() < RULE, "it ends in time");
+            assert!(start.elapsed() < MAX_TIME_TO_FREE, "it ends in time");
             let new = lines.0.lock().unwrap()[before..].to_vec();
             assert_eq!(new, ["closed a connection after a protocol violation"], "{case:?}");
         }
     };
-    let (whole, ()) = tokio::join!(fetch, bad);
-    assert!(same(&whole.unwrap(), &state), "the move beside them goes on");
+    let (received, ()) = tokio::join!(fetch, bad);
+    assert!(is_same(&received.unwrap(), &cache), "the move beside them goes on");
 }
 
 #[tokio::test]
-async fn a_node_tells_how_it_is() {
+async fn a_node_reports_its_status() {
     let pair = Pair::start().await;
-    pair.put("r1", &content(1, 5_000)).await;
-    let status = query_status(pair.link.address, LATEST).await.unwrap();
+    pair.store("r1", &content(1, 5_000)).await;
+    let status = query_status(pair.link.address, TEST_TIMEOUT).await.unwrap();
     assert_eq!((status.incarnation, status.states, status.state_bytes), (1, 1, 5_000));
-    assert!(query_status(any(), LATEST).await.is_err());
+    assert!(query_status(any_address(), TEST_TIMEOUT).await.is_err());
 }
--- a/transfer/tests/support/mod.rs
+++ b/transfer/tests/support/mod.rs
@@ -25,9 +25,9 @@
 
 /// Bytes that no other state has.
 pub fn content(serial: u64, length: usize) -> Bytes {
-    let mut out = serial.to_be_bytes().repeat(length / 8 + 1);
-    out.truncate(length);
-    out.into()
+    let mut bytes = serial.to_be_bytes().repeat(length / 8 + 1);
+    bytes.truncate(length);
+    bytes.into()
 }
 
 /// What ended a fetch.
@@ -74,11 +74,11 @@
 impl Simulation {
     pub fn new(receivers: usize, sender: sender::Limits, receiver: receiver::Limits) -> Self {
         let timeouts = Timeouts::default();
-        let receiver = |process: usize| SimulatedReceiver {
+        let receiver = |index: usize| SimulatedReceiver {
             machine: Receiver::new(timeouts, receiver),
             results: HashMap::new(),
             open_fetches: HashMap::new(),
-            incarnation: process as Incarnation + 1,
+            incarnation: index as Incarnation + 1,
             wants_connection: false,
         };
         Simulation {
@@ -101,19 +101,24 @@
 
     pub fn store(&mut self, name: u8, length: usize) -> Result<(), Cause> {
         self.last_id += 1;
-        let state = content(self.last_id, length);
-        let proof = Arc::new(Proof::compute(&state, CHUNK_BYTES).unwrap());
-        let ticket = self.sender.begin_prefill(id(name))?;
-        self.sender.store_prefill(self.now, ticket, state.clone(), proof)?;
-        self.all_content.entry(id(name)).or_default().push(state.clone());
-        self.latest_content.insert(id(name), state);
+        let cache = content(self.last_id, length);
+        let proof = Arc::new(Proof::compute(&cache, CHUNK_BYTES).unwrap());
+        let prefill = self.sender.begin_prefill(id(name))?;
+        self.sender.store_prefill(self.now, prefill, cache.clone(), proof)?;
+        self.all_content.entry(id(name)).or_default().push(cache.clone());
+        self.latest_content.insert(id(name), cache);
         self.unclaimed_since.remove(&id(name));
         self.run_actions();
         Ok(())
     }
 
-    pub fn fetch(&mut self, receiver: usize, name: u8, due: Option<Micros>) -> Result<TransferToken, Cause> {
-        let token = self.receivers[receiver].machine.fetch(self.now, id(name), 1, due)?;
+    pub fn fetch(
+        &mut self,
+        receiver: usize,
+        name: u8,
+        deadline: Option<Micros>,
+    ) -> Result<TransferToken, Cause> {
+        let token = self.receivers[receiver].machine.fetch(self.now, id(name), 1, deadline)?;
         self.receivers[receiver].open_fetches.insert(token, id(name));
         self.run_actions();
         Ok(token)
@@ -128,8 +133,8 @@
 
     /// The receiver's request has gone.
     pub fn cancel_fetches(&mut self, receiver: usize, name: u8) {
-        let open = self.receivers[receiver].open_fetches.iter().filter(|(_, i)| **i == id(name));
-        for token in open.map(|(t, _)| *t).collect::<Vec<_>>() {
+        let open = self.receivers[receiver].open_fetches.iter().filter(|(_, request)| **request == id(name));
+        for token in open.map(|(token, _)| *token).collect::<Vec<_>>() {
             self.receivers[receiver].machine.cancel(token);
         }
         self.run_actions();
@@ -164,7 +169,7 @@
             if self.is_offline || !std::mem::take(&mut self.receivers[receiver].wants_connection) {
                 continue;
             }
-            if self.connections.values().any(|w| w.receiver == receiver) {
+            if self.connections.values().any(|connection| connection.receiver == receiver) {
                 continue;
             }
             self.last_id += 1;
@@ -186,8 +191,8 @@
 
     /// Carries out what the machines say, and checks what must always hold.
     pub fn run_actions(&mut self) {
-        while let Some(out) = self.sender.next_action() {
-            match out {
+        while let Some(action) = self.sender.next_action() {
+            match action {
                 sender::Action::Send(conn, frame) => {
                     if let Some(connection) = self.connections.get_mut(&conn) {
                         connection.to_receiver.push_back(frame);
@@ -198,8 +203,8 @@
             }
         }
         for receiver in 0..self.receivers.len() {
-            while let Some(out) = self.receivers[receiver].machine.next_action() {
-                match out {
+            while let Some(action) = self.receivers[receiver].machine.next_action() {
+                match action {
                     receiver::Action::Send(conn, frame) => {
                         if let Some(connection) = self.connections.get_mut(&conn) {
                             connection.to_sender.push_back(frame);
@@ -207,11 +212,11 @@
                     }
                     receiver::Action::Connect(_) => self.receivers[receiver].wants_connection = true,
                     receiver::Action::VerifyChunk(chunk) => {
-                        let good = chunk.proof.verifies(chunk.index, &chunk.data);
-                        self.receivers[receiver].machine.handle_verification(chunk, good);
+                        let is_valid = chunk.proof.verifies(chunk.index, &chunk.data);
+                        self.receivers[receiver].machine.handle_verification(chunk, is_valid);
                     }
-                    receiver::Action::Completed(token, _, state) => {
-                        self.finish_fetch(receiver, token, Ok(state))
+                    receiver::Action::Completed(token, _, cache) => {
+                        self.finish_fetch(receiver, token, Ok(cache))
                     }
                     receiver::Action::Failed(token, cause) => self.finish_fetch(receiver, token, Err(cause)),
                 }
@@ -233,29 +238,30 @@
         self.check_invariants();
     }
 
-    fn finish_fetch(&mut self, receiver: usize, token: TransferToken, end: FetchResult) {
+    fn finish_fetch(&mut self, receiver: usize, token: TransferToken, result: FetchResult) {
         let id = self.receivers[receiver].open_fetches.remove(&token).expect("a fetch ends once");
-        if let Ok(state) = &end {
-            let whole: Vec<u8> = state.chunks.iter().flatten().copied().collect();
-            let is = self.latest_content.get(&id).is_some_and(|c| c[..] == whole[..]);
-            // A later read may have taken the name since; then it is an earlier state.
-            let was = self.all_content.get(&id).is_some_and(|a| a.iter().any(|c| c[..] == whole[..]));
-            assert!(was, "a spoilt state became visible");
-            assert!(!is || !self.sender.holds(&id), "{id} has two owners");
+        if let Ok(cache) = &result {
+            let received: Vec<u8> = cache.chunks.iter().flatten().copied().collect();
+            let is_latest = self.latest_content.get(&id).is_some_and(|c| c[..] == received[..]);
+            // A later read may have taken the name since; then it is an earlier cache.
+            let was_stored =
+                self.all_content.get(&id).is_some_and(|a| a.iter().any(|c| c[..] == received[..]));
+            assert!(was_stored, "a spoilt state became visible");
+            assert!(!is_latest || !self.sender.holds(&id), "{id} has two owners");
         }
-        self.receivers[receiver].results.insert(token, end);
+        self.receivers[receiver].results.insert(token, result);
     }
 
     fn check_invariants(&mut self) {
         for receiver in &self.receivers {
-            let owned = receiver.results.values().flatten().map(|s| s.length).sum::<u64>();
+            let owned = receiver.results.values().flatten().map(|cache| cache.length).sum::<u64>();
             assert!(receiver.machine.usage().2 >= owned, "what is handed out stays counted");
         }
         let held: Vec<RequestId> =
             self.latest_content.keys().filter(|id| self.sender.holds(id)).cloned().collect();
         self.unclaimed_since.retain(|id, _| held.contains(id));
         for id in held {
-            if self.receivers.iter().any(|t| t.open_fetches.values().any(|open| *open == id)) {
+            if self.receivers.iter().any(|receiver| receiver.open_fetches.values().any(|open| *open == id)) {
                 self.unclaimed_since.remove(&id);
             } else {
                 let since = *self.unclaimed_since.entry(id.clone()).or_insert(self.now);
@@ -268,21 +274,22 @@
     fn deliver_one_each(&mut self) -> bool {
         let mut connections: Vec<ConnectionId> = self.connections.keys().copied().collect();
         connections.sort_unstable();
-        let mut any = false;
+        let mut is_any_delivered = false;
         for conn in connections {
             let Some(connection) = self.connections.get_mut(&conn) else { continue };
             let receiver = connection.receiver;
-            let (up, down) = (connection.to_sender.pop_front(), connection.to_receiver.pop_front());
-            any |= up.is_some() || down.is_some();
-            if let Some(frame) = up {
+            let (to_sender, to_receiver) =
+                (connection.to_sender.pop_front(), connection.to_receiver.pop_front());
+            is_any_delivered |= to_sender.is_some() || to_receiver.is_some();
+            if let Some(frame) = to_sender {
                 self.deliver_to_sender(conn, frame);
             }
-            if let Some(frame) = down {
+            if let Some(frame) = to_receiver {
                 self.deliver_to_receiver(conn, receiver, frame);
             }
             self.run_actions();
         }
-        any
+        is_any_delivered
     }
 
     fn deliver_to_sender(&mut self, conn: ConnectionId, frame: Frame) {
@@ -341,8 +348,8 @@
             let silent: Vec<ConnectionId> = self
                 .connections
                 .iter()
-                .filter(|(_, w)| now - w.last_activity[0] > silence)
-                .map(|(c, _)| *c)
+                .filter(|(_, connection)| now - connection.last_activity[0] > silence)
+                .map(|(conn, _)| *conn)
                 .collect();
             for conn in silent {
                 self.close_connection(conn);
@@ -358,9 +365,9 @@
     /// What the takers have got is dropped.
     pub fn drop_received(&mut self) {
         for receiver in &mut self.receivers {
-            for (_, end) in receiver.results.drain() {
-                if let Ok(state) = end {
-                    receiver.machine.release_memory(state.length);
+            for (_, result) in receiver.results.drain() {
+                if let Ok(cache) = result {
+                    receiver.machine.release_memory(cache.length);
                 }
             }
         }
--- a/transfer/tests/wire.rs
+++ b/transfer/tests/wire.rs
@@ -13,20 +13,20 @@
 use tokio_util::codec::{Decoder, Encoder};
 
 #[derive(Clone, Debug)]
-struct Any(Frame);
+struct AnyFrame(Frame);
 
-impl Arbitrary for Any {
+impl Arbitrary for AnyFrame {
     fn arbitrary(g: &mut Gen) -> Self {
         let (token, number) = (u64::arbitrary(g), u32::arbitrary(g));
         let text: String = (0..1 + number % 128).map(|i| char::from(b'!' + (i % 90) as u8)).collect();
         let id = RequestId::new(&text).unwrap();
         let cause = Cause::from_wire(1 + (number % 11) as u8).unwrap();
         let data: Bytes = Vec::<u8>::arbitrary(g).into();
-        Any(match u8::arbitrary(g) % 16 {
+        AnyFrame(match u8::arbitrary(g) % 16 {
             0 => Frame::Want(Want { token, id, deadline_ms: number, resume_incarnation: u64::arbitrary(g) }),
             1 => {
-                let state: Bytes = vec![7; 1 + number as usize % 20_000].into();
-                let proof = Arc::new(Proof::compute(&state, 4_096).unwrap());
+                let cache: Bytes = vec![7; 1 + number as usize % 20_000].into();
+                let proof = Arc::new(Proof::compute(&cache, 4_096).unwrap());
                 Frame::Offer(Offer { token, incarnation: u64::arbitrary(g), limit_ms: number, proof })
             }
             2 => Frame::Ask(token, Vec::<Range<u32>>::arbitrary(g)),
@@ -51,7 +51,7 @@
     Frame::Hello(Hello { version, features: 5, incarnation: 9, window_bytes: 1 << 20 })
 }
 
-fn bytes(frames: &[Frame]) -> BytesMut {
+fn encode(frames: &[Frame]) -> BytesMut {
     let (mut codec, mut out) = (Codec::default(), BytesMut::new());
     for frame in frames {
         codec.encode(frame, &mut out).unwrap();
@@ -60,15 +60,15 @@
 }
 
 /// Reads what comes in pieces of this size to the end or the first error.
-fn read(bytes: &[u8], piece: usize) -> Result<Vec<Frame>, WireError> {
-    let (mut codec, mut held, mut frames) = (Codec::default(), BytesMut::new(), Vec::new());
+fn decode(bytes: &[u8], piece: usize) -> Result<Vec<Frame>, WireError> {
+    let (mut codec, mut buffer, mut frames) = (Codec::default(), BytesMut::new(), Vec::new());
     for part in bytes.chunks(piece) {
-        held.extend_from_slice(part);
-        while let Some(frame) = codec.decode(&mut held)? {
+        buffer.extend_from_slice(part);
+        while let Some(frame) = codec.decode(&mut buffer)? {
             frames.push(frame);
         }
     }
-    while let Some(frame) = codec.decode_eof(&mut held)? {
+    while let Some(frame) = codec.decode_eof(&mut buffer)? {
         frames.push(frame);
     }
     Ok(frames)
@@ -79,44 +79,45 @@
 }
 
 #[test]
-fn what_was_written_is_read_in_pieces_of_any_size() {
-    fn run(frames: Vec<Any>, piece: u8) -> bool {
+fn frames_decode_from_pieces_of_any_size() {
+    fn run(frames: Vec<AnyFrame>, piece: u8) -> bool {
         let all: Vec<Frame> =
             std::iter::once(hello(VERSION)).chain(frames.into_iter().map(|f| f.0)).collect();
-        read(&bytes(&all), usize::from(piece) + 1).unwrap() == all
+        decode(&encode(&all), usize::from(piece) + 1).unwrap() == all
     }
-    seeded(500).quickcheck(run as fn(Vec<Any>, u8) -> bool);
+    seeded(500).quickcheck(run as fn(Vec<AnyFrame>, u8) -> bool);
 }
 
 #[test]
-fn a_flipped_bit_is_an_error_or_in_a_chunks_bytes() {
-    fn run(frame: Any, at: usize) -> bool {
-        let greeting = bytes(&[hello(VERSION)]).len();
-        let mut all = bytes(&[hello(VERSION), frame.0.clone(), Frame::Beat]);
+fn a_flipped_bit_is_an_error_or_confined_to_chunk_data() {
+    fn run(frame: AnyFrame, at: usize) -> bool {
+        let greeting = encode(&[hello(VERSION)]).len();
+        let mut all = encode(&[hello(VERSION), frame.0.clone(), Frame::Beat]);
         let at = greeting * 8 + at % ((all.len() - greeting) * 8);
         all[at / 8] ^= 1 << (at % 8);
-        match read(&all, 999) {
+        match decode(&all, 999) {
             Err(_) => true,
             Ok(frames) => match (&frame.0, &frames[1]) {
-                (Frame::Chunk(t, i, data), Frame::Chunk(token, index, spoilt)) => {
+                (Frame::Chunk(sent_token, sent_index, data), Frame::Chunk(token, index, corrupted)) => {
                     // Framing holds, so that this chunk alone is asked for again.
-                    (t, i, data.len()) == (token, index, spoilt.len()) && data != spoilt
+                    (sent_token, sent_index, data.len()) == (token, index, corrupted.len())
+                        && data != corrupted
                 }
                 _ => false,
             },
         }
     }
-    seeded(3_000).quickcheck(run as fn(Any, usize) -> bool);
+    seeded(3_000).quickcheck(run as fn(AnyFrame, usize) -> bool);
 }
 
 #[test]
-fn noise_is_never_a_panic_and_never_makes_room_for_much() {
+fn noise_never_panics_and_never_reserves_much_memory() {
     fn run(noise: Vec<u8>, greeted: bool) -> bool {
-        let mut held = if greeted { bytes(&[hello(VERSION)]) } else { BytesMut::new() };
-        held.extend_from_slice(&noise);
+        let mut buffer = if greeted { encode(&[hello(VERSION)]) } else { BytesMut::new() };
+        buffer.extend_from_slice(&noise);
         let mut codec = Codec::default();
-        while let Ok(Some(_)) = codec.decode(&mut held) {}
-        held.capacity() <= 2 * (MAX_CHUNK_BYTES as usize)
+        while let Ok(Some(_)) = codec.decode(&mut buffer) {}
+        buffer.capacity() <= 2 * (MAX_CHUNK_BYTES as usize)
     }
     seeded(2_000).quickcheck(run as fn(Vec<u8>, bool) -> bool);
 }
@@ -131,14 +132,14 @@
 }
 
 #[test]
-fn errors_say_what_is_wrong() {
-    let error = |bytes: &[u8]| read(bytes, 64).unwrap_err().to_string();
-    let after = |rest: &[u8]| error(&[&bytes(&[hello(VERSION)])[..], rest].concat());
+fn errors_name_the_problem() {
+    let error = |bytes: &[u8]| decode(bytes, 64).unwrap_err().to_string();
+    let after = |rest: &[u8]| error(&[&encode(&[hello(VERSION)])[..], rest].concat());
     assert_eq!(error(b"GET / HTTP/1.1\r\nhost: x\r\n\r\n"), "not the transfer protocol");
-    assert_eq!(error(&bytes(&[hello(2)])), "the peer speaks version 2 of the protocol, this node version 1");
-    assert_eq!(error(&bytes(&[Frame::Beat])), "a hello frame is missing or repeated");
-    assert_eq!(error(&bytes(&[hello(1), hello(1)])), "a hello frame is missing or repeated");
-    assert_eq!(error(&bytes(&[hello(1)])[..30]), "the connection ended within a frame");
+    assert_eq!(error(&encode(&[hello(2)])), "the peer speaks version 2 of the protocol, this node version 1");
+    assert_eq!(error(&encode(&[Frame::Beat])), "a hello frame is missing or repeated");
+    assert_eq!(error(&encode(&[hello(1), hello(1)])), "a hello frame is missing or repeated");
+    assert_eq!(error(&encode(&[hello(1)])[..30]), "the connection ended within a frame");
     assert_eq!(after(&header(0, 99)), "unknown frame kind 99");
     assert_eq!(
         after(&header(u32::MAX, 5)),
@@ -163,15 +164,15 @@
 }
 
 #[test]
-fn a_state_is_proven_chunk_by_chunk() {
-    let state: Bytes = (0..50_000u32).map(|i| (i % 251) as u8).collect::<Vec<_>>().into();
-    let proof = Proof::compute(&state, 4_096).unwrap();
+fn a_cache_is_verified_chunk_by_chunk() {
+    let cache: Bytes = (0..50_000u32).map(|i| (i % 251) as u8).collect::<Vec<_>>().into();
+    let proof = Proof::compute(&cache, 4_096).unwrap();
     let shape = proof.layout();
     assert_eq!(
         (shape.chunk_count(), shape.chunk_length(12), shape.chunk_length(13)),
         (13, 50_000 - 12 * 4_096, 0)
     );
-    for (index, chunk) in state.chunks(4_096).enumerate() {
+    for (index, chunk) in cache.chunks(4_096).enumerate() {
         let index = index as u32;
         assert!(proof.verifies(index, chunk));
         assert!(!proof.verifies(index + 1, chunk) && !proof.verifies(index, &chunk[1..]));
