--- a/transfer/benches/transfer.rs
+++ b/transfer/benches/transfer.rs
@@ -1,5 +1,5 @@
-//! What the page on transfer quotes: `cargo bench -p frosttrail-transfer`, some two minutes. Each end has a
-//! thread and a runtime of its own, as two servers have.
+//! Benchmarks behind the figures in the documentation of transfers: `cargo bench -p frosttrail-transfer` takes
+//! about two minutes. Each end has its own thread and runtime, like two servers.
 
 use std::alloc::System;
 use std::net::SocketAddr;
@@ -54,7 +54,7 @@
     bytes as f64 / MIB as f64 / time.as_secs_f64()
 }
 
-/// Runs the holder's end on a thread of its own, until the returned sender is dropped.
+/// Runs one end on its own thread until the returned channel sender is dropped.
 fn on_own_thread<F>(
     run: impl FnOnce() -> F + Send + 'static,
 ) -> (SocketAddr, tokio::sync::oneshot::Sender<()>)
@@ -85,14 +85,15 @@
     (at, Box::new(node))
 }
 
-/// States that wait here for longer than a second, as the measurement wants all of them to be there first.
+/// Extends the time limits: a measurement stores all KV caches first, which takes longer than they are held
+/// by default.
 fn with_long_timeouts(mut config: Config) -> Config {
     config.timeouts.hold_ttl = 60_000_000;
     config.timeouts.transfer_timeout = 600_000_000;
     config
 }
 
-/// A link of a rate, on a thread of its own.
+/// Starts a link with a rate limit on its own thread.
 fn start_slow_link(to: SocketAddr, rate: usize) -> (SocketAddr, tokio::sync::oneshot::Sender<()>) {
     on_own_thread(move || async move {
         let link = Link::start(to).await.unwrap();
@@ -119,7 +120,7 @@
         plain_rates.push(runtime().block_on(async {
             let mut stream = TcpStream::connect(at).await.unwrap();
             let start = Instant::now();
-            // As a taker would have it: in pieces that are kept.
+            // Like a receiver: in pieces that are kept.
             let (mut got, mut kept) = (0, Vec::new());
             while got < 64 * MIB {
                 let mut piece = bytes::BytesMut::with_capacity(256 << 10);
@@ -134,7 +135,7 @@
         let (at, _end) = on_own_thread(move || start_sender(config, states));
         transfer_rates.push(runtime().block_on(async {
             let node = Node::new(config, 8, log());
-            // A connection is there, as it is between servers that work.
+            // Connected beforehand, like servers in operation.
             drop(node.fetch(&id("warm"), &[at], None).await.unwrap());
             let start = Instant::now();
             let received = node.fetch(&id("r"), &[at], None).await.unwrap();
@@ -201,7 +202,7 @@
     runtime().block_on(async {
         let node = Node::new(config, 8, log());
         let start = Instant::now();
-        // Sixteen are due: together they need 160 ms of the link, and have 400.
+        // Sixteen have a deadline of 400 ms; together they need 160 ms of the link.
         let from = [link];
         let names: Vec<RequestId> = (0..TRANSFERS).map(id).collect();
         let transfers = names.iter().enumerate().map(|(n, name)| {
@@ -214,7 +215,7 @@
         });
         let half = async {
             sleep(Duration::from_secs_f64(TRANSFERS as f64 * 0.25 / 50.0)).await;
-            // Those without a time; what has ended has got all of its cache.
+            // Transfers without a deadline; one that has ended has received its whole KV cache.
             let rest = node.progress();
             let share = |n: usize| {
                 let under_way = rest.iter().find(|(name, ..)| *name == id(n));
@@ -280,7 +281,7 @@
     });
 }
 
-/// One seeded fault in the midst of a move that is not mended; how long until both ends are free.
+/// Time until both ends are free after one seeded, permanent fault during a transfer.
 async fn time_to_free_after_fault(config: Config, seed: u64) -> Duration {
     let mut rng = SmallRng::seed_from_u64(seed);
     let sender = Node::new(config, 1, log());
@@ -315,7 +316,7 @@
     if kind < 5 {
         let _ = fetch.await;
     } else {
-        // The client has gone, and nobody says so to the holder but the end of the fetch itself.
+        // The client has gone: the sender learns it only from the end of the fetch.
         tokio::select! {
             biased;
             _ = &mut fetch => {}
@@ -350,13 +351,13 @@
             (held - before) / TRANSFERS
         );
         let node = Node::new(config, 2, log());
-        // Warm, then stalled with all moves begun.
+        // Connect first, then stall the link and start all transfers.
         drop(node.fetch(&id("none"), &[link.address], None).await);
         let base = ALLOCATED.allocated();
         link.stall(true);
         let from = [link.address];
         let transfers: Vec<_> = names.iter().map(|n| node.fetch(n, &from, None)).collect();
-        // Counted while they are there.
+        // Measured while the transfers exist.
         let count = async {
             sleep(Duration::from_millis(100)).await;
             ALLOCATED.allocated() - base
@@ -369,7 +370,7 @@
     });
 }
 
-/// Moves that are half done: all that is allocated besides the chunks that are there.
+/// Transfers that are half done: all allocated memory besides the received chunks.
 fn busy_memory() {
     const TRANSFERS: usize = 100;
     runtime().block_on(async {
@@ -420,7 +421,7 @@
         ("memory", memory),
         ("busy", busy_memory),
     ];
-    // `-- NAME` runs one of them.
+    // `-- NAME` runs only that benchmark.
     let wanted: Vec<String> = std::env::args().skip(1).filter(|a| !a.starts_with('-')).collect();
     for (_, part) in parts.iter().filter(|(name, _)| wanted.is_empty() || wanted.iter().any(|w| w == name)) {
         part();
--- a/transfer/tests/hard_cases.rs
+++ b/transfer/tests/hard_cases.rs
@@ -1,4 +1,4 @@
-//! One failure at a time, over the machines alone: what each guard is for.
+//! One failure at a time, simulated over the state machines without sockets. Each test covers one safeguard.
 
 mod support;
 
@@ -18,7 +18,7 @@
     Simulation::new(receivers, sender, receiver)
 }
 
-/// A sim in which taker 0 fetches `r1`, and so many frames have passed each way.
+/// A simulation in which receiver 0 fetches `r1` and `frames` frames have been delivered each way.
 fn sim_after(frames: usize) -> (Simulation, u64) {
     let mut sim = sim(2);
     sim.store(1, LENGTH).unwrap();
@@ -27,7 +27,7 @@
     (sim, token)
 }
 
-/// How a fetch ended; `None` while it goes on.
+/// The result of a fetch; `None` while it is under way.
 fn fetch_result(sim: &Simulation, receiver: usize, token: u64) -> Option<Result<(), Cause>> {
     sim.receivers[receiver].results.get(&token).map(|e| e.as_ref().map(|_| ()).map_err(|c| *c))
 }
@@ -59,7 +59,7 @@
         let (mut sim, token) = sim_after(frames);
         sim.is_offline = true;
         sim.close_connections();
-        sim.advance(MAX_IDLE_HOLD);
+        sim.advance(MAX_TIME_TO_FREE);
         assert!(sim.receivers[0].results.contains_key(&token));
         assert_eq!(sim.sender.held(), (0, 0), "cut at {frames}");
         sim.drop_received();
@@ -82,7 +82,7 @@
     assert_eq!(fetch_result(&sim, 0, token), Some(Ok(())));
     let (mut sim, token) = sim_after(6);
     sim.is_offline = true;
-    sim.advance(MAX_IDLE_HOLD);
+    sim.advance(MAX_TIME_TO_FREE);
     assert_eq!(fetch_result(&sim, 0, token), Some(Err(Cause::PeerLost)));
     assert_eq!(sim.sender.held(), (0, 0));
 }
@@ -106,7 +106,7 @@
     sim.advance(TIME_STEP);
     assert_eq!(fetch_result(&sim, 0, token), Some(Err(Cause::Corrupt)));
     assert_eq!(chunks_resent(&sim), max_attempts - 1);
-    // Both ends are free, and the holder says so at once.
+    // Both ends are free, and the sender reports it at once.
     assert_eq!(sim.freed, [(id(1), Cause::Corrupt)]);
     assert_eq!((sim.sender.held().0, sim.receivers[0].machine.usage()), (0, (0, 0, 0)));
 }
@@ -116,12 +116,12 @@
     let (mut sim, token) = sim_after(0);
     for _ in 0..=receiver::Limits::default().max_connection_losses {
         assert!(fetch_result(&sim, 0, token).is_none());
-        // Far enough for the greeting and the offer, and for no chunk.
+        // Enough for the want and the offer, but not for a chunk.
         sim.deliver_frames(2);
         sim.close_connections();
     }
     assert_eq!(fetch_result(&sim, 0, token), Some(Err(Cause::PeerLost)));
-    sim.advance(MAX_IDLE_HOLD);
+    sim.advance(MAX_TIME_TO_FREE);
     assert_eq!(sim.sender.held(), (0, 0));
 }
 
@@ -130,11 +130,11 @@
     for frames in [2, 6, 12, 18] {
         let (mut sim, token) = sim_after(frames);
         sim.restart_sender();
-        // The same request has been read again there: the same name, another cache.
+        // The same request has been prefilled again there: the same id, another KV cache.
         sim.store(1, LENGTH).unwrap();
         sim.advance(100_000);
         assert_eq!(fetch_result(&sim, 0, token), Some(Err(Cause::NotFound)), "{frames}");
-        // Whoever comes for the new one gets the new one: the world compares.
+        // A new fetch gets the new KV cache; the simulation compares the contents.
         let token = sim.fetch(0, 1, None).unwrap();
         sim.advance(100_000);
         assert_eq!(fetch_result(&sim, 0, token), Some(Ok(())));
@@ -158,7 +158,7 @@
     sim.advance(TIME_STEP);
     assert_eq!(fetch_result(&sim, 0, first), Some(Err(Cause::Superseded)));
     assert_eq!(fetch_result(&sim, 1, second), Some(Ok(())));
-    // The first is cut off meanwhile and has not heard: it comes back to take it up again.
+    // The first receiver is disconnected when the second claims the KV cache, and then tries to resume.
     let (mut sim, first) = sim_after(6);
     sim.close_connections();
     let want = Want { token: 1, id: id(1), deadline_ms: 0, resume_incarnation: 0 };
@@ -168,7 +168,7 @@
     sim.sender.handle_want(sim.now, 900, want).unwrap();
     sim.advance(TIME_STEP);
     assert_eq!(fetch_result(&sim, 0, first), Some(Err(Cause::Superseded)));
-    // Once it belongs to one receiver, no other gets it.
+    // Once one receiver owns the KV cache, no other gets it.
     let (mut sim, first) = sim_after(100);
     let second = sim.fetch(1, 1, None).unwrap();
     sim.advance(TIME_STEP);
@@ -181,18 +181,18 @@
     let mut sim = sim(1);
     sim.store(1, CHUNK_BYTES as usize).unwrap();
     let token = sim.fetch(0, 1, None).unwrap();
-    // Want, offer, ask, chunk and complete have passed; the grant has not.
+    // Want, offer, ask, chunk and complete are delivered; the grant is not.
     while sim.sender.held().0 == 1 {
         assert!(fetch_result(&sim, 0, token).is_none());
         sim.deliver_frames(1);
     }
-    assert!(fetch_result(&sim, 0, token).is_none(), "nobody's for now");
+    assert!(fetch_result(&sim, 0, token).is_none(), "no result before the grant arrives");
     sim.close_connections();
     sim.advance(TIME_STEP);
     assert_eq!(fetch_result(&sim, 0, token), Some(Ok(())));
     sim.drop_received();
-    assert!(sim.is_last_cache_freed(1), "given away, the holder's copy has gone");
-    // Not for ever: a note of who owns what is gone after a second, and so is the receiver's copy.
+    assert!(sim.is_last_cache_freed(1), "the sender keeps a copy of a cache that it handed over");
+    // After a second the sender forgets whom it handed the cache to, and the receiver drops its copy.
     sim.store(2, CHUNK_BYTES as usize).unwrap();
     let token = sim.fetch(0, 2, None).unwrap();
     while sim.sender.held().0 == 1 {
@@ -200,7 +200,7 @@
     }
     sim.is_offline = true;
     sim.close_connections();
-    sim.advance(MAX_IDLE_HOLD);
+    sim.advance(MAX_TIME_TO_FREE);
     assert_eq!(fetch_result(&sim, 0, token), Some(Err(Cause::PeerLost)));
     assert_eq!(sim.receivers[0].machine.usage(), (0, 0, 0));
 }
@@ -219,11 +219,11 @@
             }
             sim.advance(TIME_STEP);
             let ended = fetch_result(&sim, 0, token).unwrap();
-            // Released before its taker has come, it is not there for the receiver.
+            // Released before the want is delivered, the KV cache is not found.
             let cause = if frames == 0 && !at_receiver { Cause::NotFound } else { Cause::Released };
             assert!(ended.is_ok() || ended == Err(cause), "{ended:?} at {frames}");
-            // Before the receiver's word has reached the sender, the state waits for its time to end.
-            sim.advance(MAX_IDLE_HOLD);
+            // If the receiver's release does not reach the sender, the KV cache is held until it expires.
+            sim.advance(MAX_TIME_TO_FREE);
             sim.drop_received();
             assert_eq!(sim.sender.held(), (0, 0), "{frames}");
             assert_eq!(sim.receivers[0].machine.usage(), (0, 0, 0), "{frames}");
@@ -252,7 +252,7 @@
     let cache = content(1, 100);
     let proof = std::sync::Arc::new(frosttrail_transfer::proof::Proof::compute(&cache, CHUNK_BYTES).unwrap());
     sim.sender.store_prefill(0, prefill, cache, proof).unwrap();
-    // Held, and nobody has come for it.
+    // The KV cache is held and unclaimed.
     sim.sender.release_unclaimed(&id(1), None);
     assert_eq!(sim.sender.held().0, 0);
     for frames in 1..40 {
@@ -263,10 +263,10 @@
                 sim.cancel_fetches(0, 1);
                 sim.run_actions();
                 sim.advance(TIME_STEP);
-                assert_eq!(sim.sender.held().0, 0, "gone with its taker at {frames}");
+                assert_eq!(sim.sender.held().0, 0, "still held after its receiver gave up at {frames}");
             } else {
-                sim.advance(MAX_IDLE_HOLD);
-                assert!(fetch_result(&sim, 0, token).unwrap().is_ok(), "taken at {frames}");
+                sim.advance(MAX_TIME_TO_FREE);
+                assert!(fetch_result(&sim, 0, token).unwrap().is_ok(), "not delivered, released at {frames}");
             }
         }
     }
@@ -279,7 +279,7 @@
         sim.cancel_fetches(0, 1);
         assert!(fetch_result(&sim, 0, token).is_some());
         assert!(sim.receivers[0].results[&token].is_ok() || sim.receivers[0].machine.usage() == (0, 0, 0));
-        sim.advance(MAX_IDLE_HOLD);
+        sim.advance(MAX_TIME_TO_FREE);
         assert_eq!(sim.sender.held(), (0, 0));
     }
 }
@@ -297,10 +297,14 @@
     let held = sim.fetch(1, 2, None).unwrap();
     let unknown = sim.fetch(1, 4, None).unwrap();
     sim.advance(TIME_STEP);
-    assert_eq!(fetch_result(&sim, 0, under_way), Some(Ok(())), "a move under way goes on");
-    assert_eq!(fetch_result(&sim, 1, held), Some(Ok(())), "what was read before may be taken");
+    assert_eq!(fetch_result(&sim, 0, under_way), Some(Ok(())), "a transfer under way must complete");
+    assert_eq!(
+        fetch_result(&sim, 1, held),
+        Some(Ok(())),
+        "a cache stored before the drain must be available"
+    );
     assert_eq!(fetch_result(&sim, 1, unknown), Some(Err(Cause::Drained)));
-    // r3 is being taken by one who gets no further.
+    // r3 is being fetched when its receiver loses contact.
     let late = sim.fetch(0, 3, None).unwrap();
     sim.deliver_frames(4);
     sim.is_offline = true;
@@ -308,10 +312,10 @@
     assert_eq!(sim.sender.held().0, 1);
     sim.advance(300_000);
     assert_eq!(sim.sender.held(), (0, 0));
-    assert_eq!(sim.freed, [(id(3), Cause::Drained)], "reported, so that it is read anew");
+    assert_eq!(sim.freed, [(id(3), Cause::Drained)], "the freed cache must be reported, for another prefill");
     sim.is_offline = false;
     sim.advance(200_000);
-    // The offer had told the taker until when.
+    // The offer carried the time limit of the drain.
     assert_eq!(fetch_result(&sim, 0, late), Some(Err(Cause::Expired)));
 }
 
@@ -333,12 +337,12 @@
         |sim: &Simulation| tokens.iter().map(|t| fetch_result(sim, 0, *t).is_some()).collect::<Vec<_>>();
     assert_eq!(done(&sim), [true, true, false, false, false, false]);
     assert_eq!(sim.receivers[0].machine.usage(), (4, 4, LENGTH as u64 * 2));
-    // Longer than a state is held without its receiver, as its taker is there.
-    sim.advance(2 * MAX_IDLE_HOLD);
+    // Held beyond the hold time, as the receiver stays connected.
+    sim.advance(2 * MAX_TIME_TO_FREE);
     assert_eq!(sim.sender.held().0, 4);
     sim.drop_received();
     sim.advance(TIME_STEP);
-    // The one with a time goes before those that came first.
+    // The fetch with a deadline goes before earlier ones without.
     assert!(
         sim.receivers[0].results.contains_key(&tokens[5])
             && sim.receivers[0].results.contains_key(&tokens[2])
@@ -361,8 +365,12 @@
     let mut memory = MemoryBudget::new(100);
     assert_eq!(memory.reserve(1, 60, u64::MAX), Reservation::Granted);
     assert_eq!(memory.reserve(2, 80, u64::MAX), Reservation::Queued);
-    assert_eq!(memory.reserve(3, 20, u64::MAX), Reservation::Queued, "there is room, and it comes later");
-    assert_eq!(memory.reserve(4, 30, 7), Reservation::Granted, "it is due first");
+    assert_eq!(
+        memory.reserve(3, 20, u64::MAX),
+        Reservation::Queued,
+        "it fits, but must wait behind the larger one"
+    );
+    assert_eq!(memory.reserve(4, 30, 7), Reservation::Granted, "it has the earliest deadline");
     assert_eq!(memory.reserve(5, 101, 7), Reservation::Impossible);
     memory.release(60);
     assert_eq!((memory.admit_next(), memory.reserved_bytes()), (None, 30));
@@ -409,7 +417,10 @@
     assert_eq!(sim.sender.handle_want(0, conn, again), Err(sender::ProtocolError::DuplicateToken));
     let receiver = &mut sim.receivers[0].machine;
     let flood = (0..5).map(|_| receiver.handle_chunk(conn, 1, 0, content(0, CHUNK_BYTES as usize)));
-    assert!(flood.collect::<Result<Vec<_>, _>>().is_ok(), "known or not, what was dealt with is credited");
+    assert!(
+        flood.collect::<Result<Vec<_>, _>>().is_ok(),
+        "processed chunks must be credited, even of unknown transfers"
+    );
     let large = content(0, 5 * CHUNK_BYTES as usize);
     assert_eq!(receiver.handle_chunk(conn, 1, 0, large), Err(sender::ProtocolError::WindowExceeded));
 }
--- a/transfer/tests/link.rs
+++ b/transfer/tests/link.rs
@@ -1,5 +1,5 @@
-//! Who goes next on a shared link, against random arrivals: bounds hold, nobody is left out, bytes are
-//! shared, and those with a time come first while it lasts.
+//! The link scheduler under random arrivals: limits hold, no peer starves, flows share by bytes, and flows
+//! with a deadline come first until it passes.
 
 use std::collections::HashMap;
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// The plain version: what each flow has ready and what each peer has in flight.
+/// Reference model: each flow's peer and next chunk, and each peer's credit and bytes in flight.
 #[derive(Default)]
 struct ReferenceModel {
     flows: HashMap<u64, (u64, u64)>,
@@ -82,13 +82,13 @@
                 let picked = link.pick_next(u64::from(now));
                 if let Some(flow) = picked {
                     let (peer, ready) = model.flows[&flow];
-                    assert!(ready > 0, "it has nothing to send");
+                    assert!(ready > 0, "picked a flow without a chunk");
                     let (credit, in_flight) =
                         (model.credit.get_mut(&peer).unwrap(), model.in_flight.entry(peer).or_default());
-                    assert!(*credit >= ready, "more than the peer lets come");
+                    assert!(*credit >= ready, "chunk exceeds the credit of its peer");
                     assert!(
                         *in_flight == 0 || total_in_flight + ready <= MAX_IN_FLIGHT_BYTES,
-                        "more in flight than is allowed"
+                        "too many bytes in flight"
                     );
                     *credit -= ready;
                     *in_flight += ready;
@@ -98,10 +98,7 @@
                         let in_flight = model.in_flight.get(peer).copied().unwrap_or_default();
                         *ready > 0 && model.credit[peer] >= *ready && in_flight == 0
                     };
-                    assert!(
-                        !model.flows.values().any(may_send),
-                        "a peer with nothing in flight was left out"
-                    );
+                    assert!(!model.flows.values().any(may_send), "a peer with nothing in flight starves");
                 }
             }
         }
@@ -114,7 +111,7 @@
     QuickCheck::new().rng(Gen::from_size_and_seed(120, 3)).tests(3_000).quickcheck(run as fn(Vec<Step>));
 }
 
-/// Takes one chunk after another; each arrives at once. Bytes by flow.
+/// Sends chunks that are acknowledged at once; returns the bytes sent by flow.
 fn send_chunks(
     link: &mut LinkScheduler,
     sizes: &HashMap<u64, u32>,
@@ -171,9 +168,9 @@
     let deadline = |flow: u64| [None, None, Some(500), Some(200)][flow as usize];
     let mut link = scheduler_with(&sizes, deadline);
     let sent_bytes = send_chunks(&mut link, &sizes, 800, 100);
-    assert_eq!(sent_bytes[&3], 700_000, "the earliest has seven of eight");
+    assert_eq!(sent_bytes[&3], 700_000, "the earliest deadline gets seven of eight chunks");
     assert!(!sent_bytes.contains_key(&2) && sent_bytes[&0] + sent_bytes[&1] == 100_000);
-    // Its time has passed: the next has what it had, and it shares with the rest.
+    // Its deadline has passed: the next deadline takes its place, and it shares with the rest.
     let sent_bytes = send_chunks(&mut link, &sizes, 800, 300);
     assert_eq!(sent_bytes[&2], 700_000);
     assert!(sent_bytes[&0] >= 30_000 && sent_bytes[&1] >= 30_000);
@@ -187,7 +184,7 @@
         link.add_flow(peer, peer, None);
         link.set_next_chunk(peer, 1_000);
     }
-    // All but the last take nothing; they fill what they may.
+    // All but the last peer stall; they fill their share of the limit.
     let mut last = 0;
     for _ in 0..10_000 {
         match link.pick_next(0) {
--- a/transfer/tests/model.rs
+++ b/transfer/tests/model.rs
@@ -1,5 +1,6 @@
-//! Random steps over a sender, two takers and connections that fail in every way: always whole or freed
-//! within a second, never two owners, never an unproven byte visible, memory within its bound.
+//! Random steps over a simulated sender, two receivers and failing connections. KV caches must arrive
+//! complete or be freed within a second and never have two owners, unverified bytes must never be visible,
+//! and memory must stay within its limit.
 
 mod support;
 
@@ -47,7 +48,7 @@
     }
 }
 
-/// Room for about two of the larger states.
+/// Enough for about two of the larger KV caches.
 const MAX_MEMORY_BYTES: u64 = 100_000;
 
 fn small_limits() -> (sender::Limits, receiver::Limits) {
@@ -70,7 +71,8 @@
             }
             Step::Fetch(receiver, name, has_deadline) => {
                 let deadline = has_deadline.then_some(sim.now + 300_000);
-                // One attempt is out at any moment: the one before has ended, though not all have heard.
+                // A request has one attempt at a time: the earlier one has ended, but the sender may not know
+                // yet.
                 sim.cancel_fetches(1 - receiver, name);
                 let _ = sim.fetch(receiver, name, deadline);
             }
@@ -91,12 +93,12 @@
         }
         sim.run_actions();
         for receiver in &sim.receivers {
-            assert!(receiver.machine.usage().2 <= MAX_MEMORY_BYTES, "over its memory");
+            assert!(receiver.machine.usage().2 <= MAX_MEMORY_BYTES, "receiver exceeds its memory limit");
         }
         let in_flight = sim.sender.transfers().1;
         assert!(in_flight <= 8 * u64::from(CHUNK_BYTES), "{in_flight} bytes in flight");
     }
-    // Whatever has happened: with the requests gone, dark or not, nothing is left after a second.
+    // Once all requests have ended, nothing may be left after a second, offline or not.
     let is_offline = sim.is_offline;
     for receiver in 0..2 {
         for name in 0..3 {
@@ -104,18 +106,18 @@
         }
     }
     sim.drop_received();
-    sim.advance(MAX_IDLE_HOLD);
-    assert_eq!(sim.sender.held(), (0, 0), "left at the sender, dark: {is_offline}");
+    sim.advance(MAX_TIME_TO_FREE);
+    assert_eq!(sim.sender.held(), (0, 0), "left at the sender, offline: {is_offline}");
     for receiver in &sim.receivers {
-        assert_eq!(receiver.machine.usage(), (0, 0, 0), "left at a receiver, dark: {is_offline}");
+        assert_eq!(receiver.machine.usage(), (0, 0, 0), "left at a receiver, offline: {is_offline}");
     }
-    // And it all still works.
+    // A new fetch still works.
     sim.is_offline = false;
     sim.chunks_to_corrupt = 0;
     if !sim.sender.is_draining() {
         sim.store(9, 30_000).unwrap();
         let token = sim.fetch(0, 9, None).unwrap();
-        sim.advance(MAX_IDLE_HOLD);
+        sim.advance(MAX_TIME_TO_FREE);
         assert!(sim.receivers[0].results[&token].is_ok(), "{:?}", sim.receivers[0].results[&token]);
     }
 }
@@ -134,5 +136,5 @@
     sim.advance(TIME_STEP);
     assert!(sim.receivers[0].results[&token].is_ok());
     assert_eq!(sim.sender.held(), (0, 0));
-    assert!(sim.times_sent.values().all(|n| *n == 1), "each chunk once");
+    assert!(sim.times_sent.values().all(|n| *n == 1), "a chunk was sent more than once");
 }
--- a/transfer/tests/service.rs
+++ b/transfer/tests/service.rs
@@ -1,4 +1,4 @@
-//! Nodes on loopback with the stand-in link between them: what a bad link, a bad peer or an early end does.
+//! Nodes on loopback, connected by the stand-in link: faulty links, faulty peers and early ends.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -16,9 +16,9 @@
 use tokio::time::{sleep, timeout, Instant};
 
 const CHUNK_BYTES: u32 = 16 << 10;
-/// Longer than anything here should take.
+/// Longer than any operation here should take.
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
-/// The rule, and what a busy machine may add to it before the test says so.
+/// Both ends must be free within this time; it includes the margin for a busy machine.
 const MAX_TIME_TO_FREE: Duration = Duration::from_millis(1_000);
 
 fn config() -> Config {
@@ -35,7 +35,7 @@
     slog::Logger::root(slog::Discard, slog::o!())
 }
 
-/// Keeps the lines that a node writes.
+/// Captures the log messages of a node, from info on.
 #[derive(Clone, Default)]
 struct CapturedLog(Arc<Mutex<Vec<String>>>);
 
@@ -69,7 +69,7 @@
     received.chunks().concat() == cache[..]
 }
 
-/// A sender, a taker, and the link between them.
+/// A sender, a receiver, and the link between them.
 struct Pair {
     sender: Node,
     receiver: Node,
@@ -96,7 +96,7 @@
         timeout(TEST_TIMEOUT, self.receiver.fetch(&id(name), &[self.link.address], None)).await.unwrap()
     }
 
-    /// Both ends are free within the rule from now on.
+    /// Waits until both ends are free, and checks that it takes no longer than allowed.
     async fn assert_free_in_time(&self) {
         let start = Instant::now();
         let both = async { tokio::join!(self.sender.wait_until_idle(), self.receiver.wait_until_idle()) };
@@ -145,7 +145,7 @@
     let (mut bad, mut faults) = (0, 0);
     for round in 0..60 {
         let pair = Pair::start().await;
-        // The greeting, the offer with its hashes, headers, chunks; and what the taker says.
+        // Hits the hello, the offer with its hashes, headers and chunks, and the receiver's frames.
         let at = match round {
             0..20 => round * 24,
             _ => rng.random_range(0..cache.len() as u64),
@@ -167,7 +167,7 @@
 async fn a_link_that_corrupts_every_chunk_ends_the_transfer_and_frees_both_ends() {
     let pair = Pair::start().await;
     let cache = content(4, CHUNK_BYTES as usize);
-    // In each copy of the only chunk, one bit.
+    // One flipped bit in each copy of the only chunk.
     let flips = (0..40).map(|n| Event { way: Way::Down, at: 4_000 + n * 8_000, fault: Fault::Flip });
     pair.link.script(&flips.collect::<Vec<_>>());
     let mut reports = pair.sender.subscribe_freed();
@@ -185,7 +185,7 @@
 async fn a_connection_lost_at_any_byte_resends_at_most_a_window() {
     let cache = content(5, 12 * CHUNK_BYTES as usize);
     let mut rng = SmallRng::seed_from_u64(9);
-    // Around the greeting and the offer, at each chunk's header and in its midst, and anywhere.
+    // Around the hello and the offer, at each chunk's header and middle, and at random places.
     let frame = u64::from(CHUNK_BYTES) + 24;
     let headers = (0..12).flat_map(|n| [510 + n * frame, 534 + n * frame, 8_000 + n * frame]);
     let places =
@@ -201,7 +201,7 @@
             "{} bytes sent again, cut at {at}",
             pair.bytes_resent(&cache)
         );
-        // The grant may have been lost, and said again.
+        // The grant may have been lost and sent again.
         timeout(TEST_TIMEOUT, pair.sender.wait_until_idle()).await.unwrap();
     }
     for at in (0..400).step_by(13) {
@@ -262,8 +262,8 @@
         if end == 0 {
             assert!(timeout(Duration::from_millis(100), fetch).await.is_err());
             let status = pair.receiver.status();
-            assert_eq!((status.fetching, status.memory), (0, 0), "given up with the future");
-            // Nobody else comes for it; or somebody does, and it is there.
+            assert_eq!((status.fetching, status.memory), (0, 0), "dropping the future must end the fetch");
+            // The KV cache remains available to another fetch.
             sleep(Duration::from_millis(300)).await;
             pair.link.rate(0);
             assert!(is_same(&pair.fetch("r1").await.unwrap(), &cache));
@@ -281,7 +281,7 @@
         }
         pair.assert_free_in_time().await;
     }
-    // A server that knows nothing of it passes the word on to those it is connected with.
+    // A server that does not know the request forwards the release to connected nodes.
     let pair = Pair::start().await;
     pair.store("r1", &cache).await;
     let third = Node::new(config(), 3, log());
@@ -307,10 +307,10 @@
     let fetch = pair.receiver.fetch(&r1, &from, None);
     tokio::pin!(fetch);
     tokio::select! {
-        _ = &mut fetch => panic!("it has stalled"),
+        _ = &mut fetch => panic!("the fetch must stall"),
         () = again => {}
     }
-    // Another process at the same address, which has read the same request anew.
+    // Another process at the same address, which has prefilled the same request again.
     let other = Node::new(config(), 9, log());
     other.begin_prefill(id("r1")).unwrap().store(content(9, 2_000_000)).await.unwrap();
     let link = Link::start(other.listen(any_address()).await.unwrap()).await.unwrap();
@@ -338,7 +338,7 @@
     });
     futures_util::future::join_all(transfers).await;
     pair.assert_free_in_time().await;
-    assert_eq!(pair.sender.status().total.bytes_sent, 64 * 100_000, "each byte once");
+    assert_eq!(pair.sender.status().total.bytes_sent, 64 * 100_000, "a byte was sent more than once");
 }
 
 #[tokio::test]
@@ -407,7 +407,7 @@
     let got = arrived.recv().await.unwrap();
     assert!(got.id == id("r1") && is_same(&got.cache, &cache));
     assert!(from.status().total.bytes_sent <= 1_000_000 + 2 * u64::from(config().receiver.window_bytes));
-    // One that takes nothing says so, and one that is not there is not waited for.
+    // A node that accepts no pushes refuses them, and an unreachable one is given up in time.
     let closed = Node::new(config(), 3, log());
     let at = closed.listen(any_address()).await.unwrap();
     from.begin_prefill(id("r2")).unwrap().store(cache.clone()).await.unwrap();
@@ -428,7 +428,7 @@
     from.push(&id("r1"), pair.link.address).await.unwrap();
     assert!(is_same(&pair.fetch("r1").await.unwrap(), &cache));
     assert_eq!((pair.sender.status().memory, pair.sender.status().state_bytes), (0, 0));
-    // Told to drain, it takes no more.
+    // A draining node accepts no pushes.
     pair.sender.drain(MAX_TIME_TO_FREE);
     from.begin_prefill(id("r2")).unwrap().store(cache).await.unwrap();
     assert_eq!(from.push(&id("r2"), pair.link.address).await, Err(Cause::Drained));
@@ -443,13 +443,13 @@
     let cache = content(1, 1_000_000);
     sender.begin_prefill(id("r1")).unwrap().store(cache.clone()).await.unwrap();
     let greeting = {
-        // A node's own greeting, for those that go wrong behind it.
+        // A valid hello frame, for the cases that go wrong after it.
         let mut stream = TcpStream::connect(at).await.unwrap();
         let mut bytes = vec![0; 54];
         stream.read_exact(&mut bytes).await.unwrap();
         bytes
     };
-    // That one said nothing and went: half a greeting.
+    // That connection closes during the handshake.
     let noise = content(3, 5_000);
     let behind = |rest: &[u8]| [&greeting, rest].concat();
     let mut huge = [&u32::MAX.to_be_bytes()[..], &[5], &[0; 15]].concat();
@@ -476,13 +476,13 @@
             let _ = stream.write_all(case).await;
             let start = Instant::now();
             let _ = stream.read_to_end(&mut Vec::new()).await;
-            assert!(start.elapsed() < MAX_TIME_TO_FREE, "it ends in time");
+            assert!(start.elapsed() < MAX_TIME_TO_FREE, "the connection must close in time");
             let new = lines.0.lock().unwrap()[before..].to_vec();
             assert_eq!(new, ["closed a connection after a protocol violation"], "{case:?}");
         }
     };
     let (received, ()) = tokio::join!(fetch, bad);
-    assert!(is_same(&received.unwrap(), &cache), "the move beside them goes on");
+    assert!(is_same(&received.unwrap(), &cache), "the transfer under way must not be affected");
 }
 
 #[tokio::test]
--- a/transfer/tests/support/mod.rs
+++ b/transfer/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! A simulation in memory: one sender, some receivers, and connections between them that lose, delay, cut and
-//! corrupt. Time is a number.
+//! An in-memory simulation of one sender, several receivers and connections that delay, lose and corrupt
+//! frames, on a simulated clock.
 #![allow(dead_code)]
 
 use std::collections::{HashMap, VecDeque};
@@ -14,23 +14,23 @@
 use frosttrail_transfer::{ConnectionId, Incarnation, Micros, Timeouts, TransferToken};
 
 pub const CHUNK_BYTES: u32 = 4_096;
-/// The rule: with no attempt out, a state is taken or freed within this time.
-pub const MAX_IDLE_HOLD: Micros = 1_000_000;
-/// Time moves on by this much at a time.
+/// Without an active attempt, a KV cache must be transferred or freed within this time.
+pub const MAX_TIME_TO_FREE: Micros = 1_000_000;
+/// Step of the simulated clock.
 pub const TIME_STEP: Micros = 20_000;
 
 pub fn id(name: u8) -> RequestId {
     RequestId::new(&format!("r{name}")).unwrap()
 }
 
-/// Bytes that no other state has.
+/// Content of a KV cache, different for each serial number.
 pub fn content(serial: u64, length: usize) -> Bytes {
     let mut bytes = serial.to_be_bytes().repeat(length / 8 + 1);
     bytes.truncate(length);
     bytes.into()
 }
 
-/// What ended a fetch.
+/// The result of a fetch.
 pub type FetchResult = Result<KvCache, Cause>;
 
 pub struct SimulatedReceiver {
@@ -45,7 +45,7 @@
     receiver: usize,
     to_sender: VecDeque<Frame>,
     to_receiver: VecDeque<Frame>,
-    /// When something last came, at the holder and at the receiver.
+    /// When data last arrived, at the sender and at the receiver.
     last_activity: [Micros; 2],
 }
 
@@ -56,16 +56,16 @@
     pub receivers: Vec<SimulatedReceiver>,
     connections: HashMap<ConnectionId, SimulatedConnection>,
     last_id: u64,
-    /// No new connections, and nothing passes on those there are.
+    /// While set, no connections are established and no frames are delivered.
     pub is_offline: bool,
-    /// So many of the next chunks are corrupted on their way.
+    /// Number of chunks to corrupt in transit, from the next one on.
     pub chunks_to_corrupt: u32,
     pub times_sent: HashMap<(usize, TransferToken, u32), u32>,
-    /// Content of each state by id, as it was put last.
+    /// The latest content stored for each request.
     pub latest_content: HashMap<RequestId, Bytes>,
-    /// All that was ever put under an id.
+    /// All contents ever stored for each request.
     all_content: HashMap<RequestId, Vec<Bytes>>,
-    /// Since when a state has been held with no fetch for it open.
+    /// Since when a KV cache has been held without an open fetch for it.
     unclaimed_since: HashMap<RequestId, Micros>,
     pub freed: Vec<(RequestId, Cause)>,
     limits: sender::Limits,
@@ -124,14 +124,14 @@
         Ok(token)
     }
 
-    /// Whether the holder has let go of the bytes that were put last under the name.
+    /// Whether the sender has freed the bytes that were stored last under the name.
     pub fn is_last_cache_freed(&mut self, name: u8) -> bool {
         let last = self.all_content.get_mut(&id(name)).and_then(Vec::pop);
         drop(self.latest_content.remove(&id(name)));
         last.is_some_and(|bytes| bytes.is_unique())
     }
 
-    /// The receiver's request has gone.
+    /// Cancels a receiver's fetches, as when their request ends.
     pub fn cancel_fetches(&mut self, receiver: usize, name: u8) {
         let open = self.receivers[receiver].open_fetches.iter().filter(|(_, request)| **request == id(name));
         for token in open.map(|(token, _)| *token).collect::<Vec<_>>() {
@@ -140,7 +140,7 @@
         self.run_actions();
     }
 
-    /// Another process in the holder's place.
+    /// Replaces the sender by another process.
     pub fn restart_sender(&mut self) {
         self.close_connections();
         self.last_id += 1;
@@ -189,7 +189,7 @@
         }
     }
 
-    /// Carries out what the machines say, and checks what must always hold.
+    /// Carries out the actions of the state machines, and checks the invariants.
     pub fn run_actions(&mut self) {
         while let Some(action) = self.sender.next_action() {
             match action {
@@ -223,7 +223,8 @@
             }
         }
         while let Some((conn, token, index, data)) = self.sender.next_chunk(self.now) {
-            let connection = self.connections.get_mut(&conn).expect("chunks go only where a connection is");
+            let connection =
+                self.connections.get_mut(&conn).expect("chunks are only sent on open connections");
             *self.times_sent.entry((connection.receiver, token, index)).or_default() += 1;
             let data = if self.chunks_to_corrupt > 0 {
                 self.chunks_to_corrupt -= 1;
@@ -239,14 +240,14 @@
     }
 
     fn finish_fetch(&mut self, receiver: usize, token: TransferToken, result: FetchResult) {
-        let id = self.receivers[receiver].open_fetches.remove(&token).expect("a fetch ends once");
+        let id = self.receivers[receiver].open_fetches.remove(&token).expect("a fetch ends only once");
         if let Ok(cache) = &result {
             let received: Vec<u8> = cache.chunks.iter().flatten().copied().collect();
             let is_latest = self.latest_content.get(&id).is_some_and(|c| c[..] == received[..]);
-            // A later read may have taken the name since; then it is an earlier cache.
+            // A later prefill of the request may have replaced the cache; then this is an earlier one.
             let was_stored =
                 self.all_content.get(&id).is_some_and(|a| a.iter().any(|c| c[..] == received[..]));
-            assert!(was_stored, "a spoilt state became visible");
+            assert!(was_stored, "a corrupt cache became visible");
             assert!(!is_latest || !self.sender.holds(&id), "{id} has two owners");
         }
         self.receivers[receiver].results.insert(token, result);
@@ -255,7 +256,10 @@
     fn check_invariants(&mut self) {
         for receiver in &self.receivers {
             let owned = receiver.results.values().flatten().map(|cache| cache.length).sum::<u64>();
-            assert!(receiver.machine.usage().2 >= owned, "what is handed out stays counted");
+            assert!(
+                receiver.machine.usage().2 >= owned,
+                "delivered caches must stay in the memory accounting"
+            );
         }
         let held: Vec<RequestId> =
             self.latest_content.keys().filter(|id| self.sender.holds(id)).cloned().collect();
@@ -265,12 +269,12 @@
                 self.unclaimed_since.remove(&id);
             } else {
                 let since = *self.unclaimed_since.entry(id.clone()).or_insert(self.now);
-                assert!(self.now - since <= MAX_IDLE_HOLD, "{id} is held for longer than a second");
+                assert!(self.now - since <= MAX_TIME_TO_FREE, "{id} is held for longer than a second");
             }
         }
     }
 
-    /// One frame each way on each connection.
+    /// Delivers one frame each way on each connection; returns whether there was any.
     fn deliver_one_each(&mut self) -> bool {
         let mut connections: Vec<ConnectionId> = self.connections.keys().copied().collect();
         connections.sort_unstable();
@@ -300,7 +304,7 @@
             Frame::Complete(token) => self.sender.handle_complete(self.now, conn, token),
             Frame::GiveUp(token, cause) => self.sender.handle_give_up(self.now, conn, token, cause),
             Frame::Release(id) => self.sender.release_unclaimed(&id, Some(conn)),
-            other => panic!("{other:?} to a holder"),
+            other => panic!("{other:?} sent to a sender"),
         }
     }
 
@@ -312,11 +316,11 @@
             Frame::Grant(token) => machine.handle_grant(conn, token),
             Frame::Abort(token, cause) => machine.handle_abort(conn, token, cause),
             Frame::Drain(_) => {}
-            other => panic!("{other:?} to a receiver"),
+            other => panic!("{other:?} sent to a receiver"),
         }
     }
 
-    /// So many frames pass, with no time in between.
+    /// Delivers up to `count` frames each way without advancing the clock.
     pub fn deliver_frames(&mut self, count: usize) {
         self.open_connections();
         self.run_actions();
@@ -329,7 +333,7 @@
         }
     }
 
-    /// Time passes, and on connections that are up all that there is to say. What has been silent is cut.
+    /// Advances the clock, delivers all frames unless offline, and closes silent connections.
     pub fn advance(&mut self, time: Micros) {
         let end = self.now + time;
         while self.now < end {
@@ -362,7 +366,7 @@
         }
     }
 
-    /// What the takers have got is dropped.
+    /// Drops the KV caches that the receivers have received.
     pub fn drop_received(&mut self) {
         for receiver in &mut self.receivers {
             for (_, result) in receiver.results.drain() {
--- a/transfer/tests/wire.rs
+++ b/transfer/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The wire: what was written is read, and whatever a link may do to bytes is noticed.
+//! The codec: encoded frames decode to themselves, and corrupted bytes are detected.
 
 use std::ops::Range;
 use std::sync::Arc;
@@ -59,7 +59,7 @@
     out
 }
 
-/// Reads what comes in pieces of this size to the end or the first error.
+/// Decodes bytes that arrive in pieces of this size, up to the end or the first error.
 fn decode(bytes: &[u8], piece: usize) -> Result<Vec<Frame>, WireError> {
     let (mut codec, mut buffer, mut frames) = (Codec::default(), BytesMut::new(), Vec::new());
     for part in bytes.chunks(piece) {
@@ -99,7 +99,7 @@
             Err(_) => true,
             Ok(frames) => match (&frame.0, &frames[1]) {
                 (Frame::Chunk(sent_token, sent_index, data), Frame::Chunk(token, index, corrupted)) => {
-                    // Framing holds, so that this chunk alone is asked for again.
+                    // Framing is intact, so only this chunk needs to be requested again.
                     (sent_token, sent_index, data.len()) == (token, index, corrupted.len())
                         && data != corrupted
                 }
@@ -122,7 +122,7 @@
     seeded(2_000).quickcheck(run as fn(Vec<u8>, bool) -> bool);
 }
 
-/// A header with this length and kind whose checksum fits.
+/// A header with this length and kind and a valid checksum.
 fn header(length: u32, kind: u8) -> Vec<u8> {
     let mut header = [&length.to_be_bytes()[..], &[kind], &[0; 15]].concat();
     let sum = crc32c::crc32c(&header);
@@ -177,7 +177,7 @@
         assert!(proof.verifies(index, chunk));
         assert!(!proof.verifies(index + 1, chunk) && !proof.verifies(index, &chunk[1..]));
     }
-    // Neither another length nor another chunk size passes with the same hashes.
+    // The same hashes are rejected with another length or chunk size.
     let with = |length, chunk| {
         Proof::from_parts(
             ChunkLayout::new(length, chunk).unwrap(),
