--- a/transfer/benches/transfer.rs
+++ b/transfer/benches/transfer.rs
@@ -1,5 +1,5 @@
-//! Benchmarks behind the figures in the documentation of transfers: `cargo bench -p frosttrail-transfer` takes
-//! about two minutes. Each end has its own thread and runtime, like two servers.
+//! Benchmarks behind the figures in the documentation of transfers. `cargo bench -p frosttrail-transfer`
+//! takes about two minutes. Each end has its own thread and runtime, like two servers.
 
 use std::alloc::System;
 use std::net::SocketAddr;
@@ -75,11 +75,11 @@
 
 async fn start_sender(
     config: Config,
-    states: Vec<(RequestId, Bytes)>,
+    caches: Vec<(RequestId, Bytes)>,
 ) -> (SocketAddr, Box<dyn std::any::Any>) {
     let node = Node::new(config, 7, log());
     let at = node.listen(any_address()).await.unwrap();
-    for (id, cache) in states {
+    for (id, cache) in caches {
         node.begin_prefill(id).unwrap().store(cache).await.unwrap();
     }
     (at, Box::new(node))
@@ -131,8 +131,8 @@
             per_second(64 * MIB, start.elapsed())
         }));
         let config = with_long_timeouts(Config::default());
-        let states = vec![(id("warm"), content(2, MIB)), (id("r"), cache.clone())];
-        let (at, _end) = on_own_thread(move || start_sender(config, states));
+        let caches = vec![(id("warm"), content(2, MIB)), (id("r"), cache.clone())];
+        let (at, _end) = on_own_thread(move || start_sender(config, caches));
         transfer_rates.push(runtime().block_on(async {
             let node = Node::new(config, 8, log());
             // Connected beforehand, like servers in operation.
@@ -175,8 +175,8 @@
     for rate in [10 * MIB, 100 * MIB] {
         let cache = content(1, rate * 2);
         let config = with_long_timeouts(Config::default());
-        let states = vec![(id("r"), cache.clone())];
-        let (at, _end) = on_own_thread(move || start_sender(config, states));
+        let caches = vec![(id("r"), cache.clone())];
+        let (at, _end) = on_own_thread(move || start_sender(config, caches));
         let (link, _link) = start_slow_link(at, rate);
         runtime().block_on(async {
             let node = Node::new(config, 8, log());
@@ -196,8 +196,8 @@
     const TRANSFERS: usize = 256;
     let rate = 50 * MIB;
     let config = Config { chunk_bytes: 16 << 10, ..with_long_timeouts(Config::default()) };
-    let states = (0..TRANSFERS).map(|n| (id(n), content(n as u64, MIB / 2))).collect();
-    let (at, _end) = on_own_thread(move || start_sender(config, states));
+    let caches = (0..TRANSFERS).map(|n| (id(n), content(n as u64, MIB / 2))).collect();
+    let (at, _end) = on_own_thread(move || start_sender(config, caches));
     let (link, _link) = start_slow_link(at, rate);
     runtime().block_on(async {
         let node = Node::new(config, 8, log());
--- a/transfer/src/link.rs
+++ b/transfer/src/link.rs
@@ -72,7 +72,7 @@
                 self.flows.remove(flow);
             }
         }
-        self.flows.retain(|_, state| state.peer != peer);
+        self.flows.retain(|_, flow_state| flow_state.peer != peer);
     }
 
     /// Records that the peer has processed this many bytes and accepts as many more.
@@ -98,23 +98,23 @@
 
     /// Sets the size of the flow's next chunk; 0 if there is none to send.
     pub fn set_next_chunk(&mut self, flow: FlowId, bytes: u32) {
-        let Some(state) = self.flows.get_mut(&flow) else { return };
-        let Some(peer) = self.peers.get_mut(&state.peer) else { return };
-        if let Some(deadline) = state.deadline {
+        let Some(flow_state) = self.flows.get_mut(&flow) else { return };
+        let Some(peer) = self.peers.get_mut(&flow_state.peer) else { return };
+        if let Some(deadline) = flow_state.deadline {
             peer.deadline_flows.remove(&(deadline, flow));
         }
-        peer.fair_flows.remove(&(state.start_tag, flow));
-        state.next_chunk_bytes = bytes;
+        peer.fair_flows.remove(&(flow_state.start_tag, flow));
+        flow_state.next_chunk_bytes = bytes;
         if bytes == 0 {
             return;
         }
-        match state.deadline {
+        match flow_state.deadline {
             Some(deadline) => {
                 peer.deadline_flows.insert((deadline, flow));
             }
             None => {
-                state.start_tag = state.start_tag.max(self.virtual_time);
-                peer.fair_flows.insert((state.start_tag, flow));
+                flow_state.start_tag = flow_state.start_tag.max(self.virtual_time);
+                peer.fair_flows.insert((flow_state.start_tag, flow));
             }
         }
     }
@@ -137,18 +137,18 @@
         };
         self.consecutive_deadline_chunks =
             if has_deadline { self.consecutive_deadline_chunks + 1 } else { 0 };
-        let state = self.flows.get_mut(&flow)?;
-        let peer = self.peers.get_mut(&state.peer)?;
-        let bytes = u64::from(state.next_chunk_bytes);
+        let flow_state = self.flows.get_mut(&flow)?;
+        let peer = self.peers.get_mut(&flow_state.peer)?;
+        let bytes = u64::from(flow_state.next_chunk_bytes);
         peer.credit_bytes -= bytes;
         peer.in_flight_bytes += bytes;
         self.in_flight_bytes += bytes;
-        match (has_deadline, state.deadline) {
+        match (has_deadline, flow_state.deadline) {
             (true, Some(deadline)) => peer.deadline_flows.remove(&(deadline, flow)),
-            _ => peer.fair_flows.remove(&(state.start_tag, flow)),
+            _ => peer.fair_flows.remove(&(flow_state.start_tag, flow)),
         };
-        state.next_chunk_bytes = 0;
-        state.start_tag += bytes;
+        flow_state.next_chunk_bytes = 0;
+        flow_state.start_tag += bytes;
         Some(flow)
     }
 
@@ -160,10 +160,10 @@
                 peer.deadline_flows.first().copied().filter(|(deadline, _)| *deadline < now)
             {
                 peer.deadline_flows.remove(&(deadline, flow));
-                if let Some(state) = self.flows.get_mut(&flow) {
-                    state.deadline = None;
-                    state.start_tag = state.start_tag.max(self.virtual_time);
-                    peer.fair_flows.insert((state.start_tag, flow));
+                if let Some(flow_state) = self.flows.get_mut(&flow) {
+                    flow_state.deadline = None;
+                    flow_state.start_tag = flow_state.start_tag.max(self.virtual_time);
+                    peer.fair_flows.insert((flow_state.start_tag, flow));
                 }
             }
         }
--- a/transfer/src/receiver.rs
+++ b/transfer/src/receiver.rs
@@ -16,7 +16,7 @@
 use crate::wire::{Frame, Offer, RequestId, Want};
 use crate::{ConnectionId, Micros, Timeouts, TransferToken};
 
-/// Identifies a sender that connections can be opened to; the service maps it to an address.
+/// Identifies a sender to fetch from; the service maps it to an address or to a process that has connected.
 pub type RouteId = u64;
 
 /// Limits of a receiver.
--- a/transfer/src/service/connection.rs
+++ b/transfer/src/service/connection.rs
@@ -48,7 +48,8 @@
 }
 
 impl CloseReason {
-    /// Whether the peer violated the protocol.
+    /// Whether the peer is at fault: it violated the protocol, sent no hello frame in time, or overflowed its
+    /// outgoing queue by not reading.
     fn is_fault(&self) -> bool {
         match self {
             CloseReason::Wire(e) => !matches!(e, WireError::Io(_) | WireError::Truncated),
@@ -121,10 +122,10 @@
     true
 }
 
-/// Logs why a connection was closed: protocol violations as info, all else as debug.
+/// Logs why a connection was closed: faults of the peer as info, all else as debug.
 fn log_close(log: &Logger, reason: &CloseReason) {
     if reason.is_fault() {
-        info!(log, "closed a connection after a protocol violation"; "why" => %reason);
+        info!(log, "closed a faulty connection"; "why" => %reason);
     } else {
         debug!(log, "connection closed"; "why" => %reason);
     }
@@ -168,7 +169,7 @@
     mut writer: impl AsyncWrite + Unpin,
     write_ended: CancellationToken,
 ) {
-    let _write_failed = write_ended.drop_guard();
+    let _cancel_on_drop = write_ended.drop_guard();
     let heartbeat_interval = Duration::from_micros(manager.config.timeouts.heartbeat_interval);
     let mut codec = Codec::default();
     let mut bytes = BytesMut::new();
--- a/transfer/src/service/hub.rs
+++ b/transfer/src/service/hub.rs
@@ -52,6 +52,7 @@
 /// Notifies the caller that waits for a push to end.
 type PushWaiter = oneshot::Sender<Result<(), Cause>>;
 
+/// The state that the manager's lock guards.
 struct Inner {
     sender: Sender,
     receiver: Receiver,
@@ -78,6 +79,7 @@
     pub(crate) clock: Clock,
     pub(crate) incarnation: Incarnation,
     pub(crate) log: Logger,
+    /// Notified on each event, to wake the expiry task while it has no deadline to wait for.
     deadlines_changed: Notify,
     /// Cancelled when the node shuts down; closes all connections.
     pub(crate) closing: CancellationToken,
@@ -258,13 +260,13 @@
     /// next transfer that needs the route starts another one.
     pub(crate) fn keep_dialing(&self, route: RouteId) -> bool {
         let mut inner = self.lock();
-        let needed = inner.needs_route(route);
-        if !needed {
+        let is_needed = inner.needs_route(route);
+        if !is_needed {
             // Dropping the handle aborts the calling task, which is about to end.
             inner.dialers.remove(&route);
             inner.routes_by_address.retain(|_, r| *r != route);
         }
-        needed
+        is_needed
     }
 
     /// Registers a connection after the handshake. `route` is given if this node opened the connection.
@@ -354,7 +356,7 @@
                 let text = serde_json::to_vec(&self.status_of(inner)).unwrap_or_default();
                 inner.send(conn, Frame::Status(text.into()));
             }
-            Frame::Drain(left_ms) => info!(self.log, "sender is draining"; "left_ms" => left_ms),
+            Frame::Drain(left_ms) => info!(self.log, "peer is draining"; "left_ms" => left_ms),
             Frame::Hello(_) | Frame::Beat | Frame::Status(_) => {}
         }
         Ok(())
--- a/transfer/src/service/status.rs
+++ b/transfer/src/service/status.rs
@@ -56,9 +56,9 @@
     pub bytes_sent: u64,
     /// Received chunks that failed verification.
     pub chunks_bad: u64,
-    /// Connections lost while moves were under way.
+    /// Connections lost while transfers were under way.
     pub cuts: u64,
-    /// Connections closed because the peer violated the protocol.
+    /// Connections closed because the peer was at fault.
     pub faults: u64,
 }
 
--- a/transfer/tests/service.rs
+++ b/transfer/tests/service.rs
@@ -327,8 +327,8 @@
     config.receiver.max_memory_bytes = 20 * 100_000;
     let pair = Pair::with(config).await;
     pair.link.rate(20_000_000);
-    let states: Vec<Bytes> = (0..64).map(|n| content(n, 100_000)).collect();
-    let transfers = states.iter().enumerate().map(|(n, cache)| {
+    let caches: Vec<Bytes> = (0..64).map(|n| content(n, 100_000)).collect();
+    let transfers = caches.iter().enumerate().map(|(n, cache)| {
         let (pair, name) = (&pair, format!("r{n}"));
         async move {
             pair.store(&name, cache).await;
@@ -442,7 +442,7 @@
     let at = sender.listen(any_address()).await.unwrap();
     let cache = content(1, 1_000_000);
     sender.begin_prefill(id("r1")).unwrap().store(cache.clone()).await.unwrap();
-    let greeting = {
+    let hello = {
         // A valid hello frame, for the cases that go wrong after it.
         let mut stream = TcpStream::connect(at).await.unwrap();
         let mut bytes = vec![0; 54];
@@ -451,17 +451,17 @@
     };
     // That connection closes during the handshake.
     let noise = content(3, 5_000);
-    let behind = |rest: &[u8]| [&greeting, rest].concat();
+    let behind = |rest: &[u8]| [&hello, rest].concat();
     let mut huge = [&u32::MAX.to_be_bytes()[..], &[5], &[0; 15]].concat();
     huge.extend(crc32c::crc32c(&huge).to_be_bytes());
     let cases = [
         noise.to_vec(),
         b"GET / HTTP/1.1\r\n\r\n".to_vec(),
-        greeting[..30].to_vec(),
+        hello[..30].to_vec(),
         Vec::new(),
         behind(&noise),
         behind(&huge),
-        behind(&greeting),
+        behind(&hello),
     ];
     sleep(Duration::from_millis(50)).await;
     let receiver = Node::new(config(), 2, self::log());
@@ -478,7 +478,7 @@
             let _ = stream.read_to_end(&mut Vec::new()).await;
             assert!(start.elapsed() < MAX_TIME_TO_FREE, "the connection must close in time");
             let new = lines.0.lock().unwrap()[before..].to_vec();
-            assert_eq!(new, ["closed a connection after a protocol violation"], "{case:?}");
+            assert_eq!(new, ["closed a faulty connection"], "{case:?}");
         }
     };
     let (received, ()) = tokio::join!(fetch, bad);
--- a/transfer/tests/wire.rs
+++ b/transfer/tests/wire.rs
@@ -91,9 +91,9 @@
 #[test]
 fn a_flipped_bit_is_an_error_or_confined_to_chunk_data() {
     fn run(frame: AnyFrame, at: usize) -> bool {
-        let greeting = encode(&[hello(VERSION)]).len();
+        let hello_bytes = encode(&[hello(VERSION)]).len();
         let mut all = encode(&[hello(VERSION), frame.0.clone(), Frame::Beat]);
-        let at = greeting * 8 + at % ((all.len() - greeting) * 8);
+        let at = hello_bytes * 8 + at % ((all.len() - hello_bytes) * 8);
         all[at / 8] ^= 1 << (at % 8);
         match decode(&all, 999) {
             Err(_) => true,
@@ -112,8 +112,8 @@
 
 #[test]
 fn noise_never_panics_and_never_reserves_much_memory() {
-    fn run(noise: Vec<u8>, greeted: bool) -> bool {
-        let mut buffer = if greeted { encode(&[hello(VERSION)]) } else { BytesMut::new() };
+    fn run(noise: Vec<u8>, has_hello: bool) -> bool {
+        let mut buffer = if has_hello { encode(&[hello(VERSION)]) } else { BytesMut::new() };
         buffer.extend_from_slice(&noise);
         let mut codec = Codec::default();
         while let Ok(Some(_)) = codec.decode(&mut buffer) {}
