--- a/transfer/src/memory.rs
+++ b/transfer/src/memory.rs
@@ -1,75 +1,77 @@
-//! A taker's memory. A move gets room for its whole state before its first chunk is asked for: were moves
-//! let in by parts, a full memory could hold nothing but parts, and none of them would end. No I/O.
+//! Memory budget of a receiver. A transfer reserves memory for its whole KV cache before it requests its
+//! first chunk: with partial reservations the budget could fill up with incomplete caches, none of which
+//! could ever complete. No I/O.
 
 use std::collections::BTreeMap;
 
-use crate::{Micros, Token};
+use crate::{Micros, TransferToken};
 
-/// What became of a wish for room.
+/// Outcome of a reservation request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Room {
-    /// It is there, and set aside.
-    Now,
-    /// It comes once others have ended.
-    Later,
-    /// There will never be so much.
-    Never,
+pub enum Reservation {
+    /// The memory is reserved.
+    Granted,
+    /// The request waits until other reservations are released.
+    Queued,
+    /// The request exceeds the whole budget.
+    Impossible,
 }
 
-/// Memory for states, in bytes.
+/// A budget for KV caches, in bytes.
 #[derive(Debug)]
-pub struct Memory {
-    most: u64,
-    used: u64,
-    waiting: BTreeMap<(Micros, Token), u64>,
+pub struct MemoryBudget {
+    max_bytes: u64,
+    reserved_bytes: u64,
+    queue: BTreeMap<(Micros, TransferToken), u64>,
 }
 
-impl Memory {
-    /// So much in all.
-    pub fn new(most: u64) -> Self {
-        Memory { most, used: 0, waiting: BTreeMap::new() }
+impl MemoryBudget {
+    /// A budget of `max_bytes`.
+    pub fn new(max_bytes: u64) -> Self {
+        MemoryBudget { max_bytes, reserved_bytes: 0, queue: BTreeMap::new() }
     }
 
-    /// Wants room by `due`. Those due first get it first, then those that came first; a smaller one does
-    /// not pass a larger one, which might wait for ever.
-    pub fn want(&mut self, token: Token, bytes: u64, due: Micros) -> Room {
-        if bytes > self.most {
-            return Room::Never;
+    /// Reserves memory, or queues the request. The queue is ordered by deadline, then by token, that is by
+    /// arrival. A small request does not overtake a large one, which could otherwise wait for ever.
+    pub fn reserve(&mut self, token: TransferToken, bytes: u64, deadline: Micros) -> Reservation {
+        if bytes > self.max_bytes {
+            return Reservation::Impossible;
         }
-        let first = self.waiting.first_key_value().is_none_or(|(k, _)| (due, token) < *k);
-        if first && self.used + bytes <= self.most {
-            self.used += bytes;
-            return Room::Now;
+        let is_first = self.queue.first_key_value().is_none_or(|(key, _)| (deadline, token) < *key);
+        if is_first && self.reserved_bytes + bytes <= self.max_bytes {
+            self.reserved_bytes += bytes;
+            return Reservation::Granted;
         }
-        self.waiting.insert((due, token), bytes);
-        Room::Later
+        self.queue.insert((deadline, token), bytes);
+        Reservation::Queued
     }
 
-    /// No longer waits.
-    pub fn leave(&mut self, token: Token, due: Micros) {
-        self.waiting.remove(&(due, token));
+    /// Removes a request from the queue.
+    pub fn cancel(&mut self, token: TransferToken, deadline: Micros) {
+        self.queue.remove(&(deadline, token));
     }
 
-    /// So much is free again.
-    pub fn give_back(&mut self, bytes: u64) {
-        self.used -= bytes;
+    /// Returns reserved memory.
+    pub fn release(&mut self, bytes: u64) {
+        self.reserved_bytes -= bytes;
     }
 
-    /// The next one that waited and has its room now.
-    pub fn admit(&mut self) -> Option<Token> {
-        let first = self.waiting.first_entry().filter(|e| self.used + e.get() <= self.most)?;
+    /// Grants the first queued request if it fits now.
+    pub fn admit_next(&mut self) -> Option<TransferToken> {
+        let first =
+            self.queue.first_entry().filter(|entry| self.reserved_bytes + entry.get() <= self.max_bytes)?;
         let (_, token) = *first.key();
-        self.used += first.remove();
+        self.reserved_bytes += first.remove();
         Some(token)
     }
 
-    /// Bytes set aside.
-    pub fn used(&self) -> u64 {
-        self.used
+    /// Bytes that are reserved.
+    pub fn reserved_bytes(&self) -> u64 {
+        self.reserved_bytes
     }
 
-    /// How many wait.
-    pub fn waiting(&self) -> usize {
-        self.waiting.len()
+    /// Number of queued requests.
+    pub fn queued_count(&self) -> usize {
+        self.queue.len()
     }
 }
