--- a/core/src/request.rs
+++ b/core/src/request.rs
@@ -236,7 +236,7 @@
     async fn attempt(&self, open: &mut OpenCall, prepared: Prepared, call: &B::Call) -> Next<B::Events> {
         let Prepared { server, after, permit, stop_at, takes_effect } = prepared;
         let id = open.entry.id.clone();
-        open.run.sent(takes_effect);
+        open.run.record_send(takes_effect);
         open.entry.attempt_is_out = true;
         let waited = {
             let attempt = async {
@@ -293,7 +293,7 @@
         };
         let entry = &mut open.entry;
         self.releases.told(server, outcome, self.clock.now());
-        open.run.ended();
+        open.run.record_end();
         entry.attempt_is_out = false;
         match reply {
             AttemptReply::Stream(events) => {
--- a/src/facade.rs
+++ b/src/facade.rs
@@ -74,18 +74,18 @@
 
 /// A request that has not been left, and its latest attempt.
 #[derive(Default)]
-struct Open {
+struct OpenRequest {
     attempts: u32,
-    started: bool,
+    has_started: bool,
     /// Server and send time of the attempt that is out.
-    out: Option<(Id, Micros)>,
+    in_flight: Option<(Id, Micros)>,
 }
 
 /// The decision module, its timers and the numbers of its attempts.
 pub struct Facade {
     router: Router,
-    open: HashMap<Id, Open>,
-    bells: BTreeSet<(Micros, u64)>,
+    open_requests: HashMap<Id, OpenRequest>,
+    timers: BTreeSet<(Micros, u64)>,
     actions: Vec<Action>,
     guard: Guard,
 }
@@ -96,31 +96,31 @@
         Facade {
             guard: Guard::new(&settings),
             router: Router::new(settings, seed),
-            open: HashMap::new(),
-            bells: BTreeSet::new(),
+            open_requests: HashMap::new(),
+            timers: BTreeSet::new(),
             actions: Vec::new(),
         }
     }
 
     /// Takes a request; `None` if its id is that of one still open, of which the module knows.
     pub fn submit(&mut self, now: Micros, query: Query) -> Option<Decisions> {
-        if self.open.contains_key(&query.id) {
+        if self.open_requests.contains_key(&query.id) {
             return None;
         }
-        self.open.insert(query.id.clone(), Open::default());
-        self.guard.asked(&query);
+        self.open_requests.insert(query.id.clone(), OpenRequest::default());
+        self.guard.register_request(&query);
         Some(self.handle(now, Event::Query(query)))
     }
 
     /// Tells what became of a request.
     pub fn report(&mut self, now: Micros, id: &Id, report: Report) -> Decisions {
         match report {
-            Report::Started => self.started(now, id),
+            Report::Started => self.answer_started(now, id),
             Report::Ended { outcome, cached_tokens, load } => {
-                let ended = self.result(now, id, outcome, cached_tokens, load);
+                let ended = self.end_attempt(now, id, outcome, cached_tokens, load);
                 ended.map_or_else(Decisions::default, |event| self.handle(now, event))
             }
-            Report::Closed => self.left(now, id),
+            Report::Closed => self.close_request(now, id),
         }
     }
 
@@ -131,13 +131,13 @@
         form: ListUpdateKind,
         entries: Vec<ServerEntry>,
     ) -> Decisions {
-        self.guard.members(form, &entries);
+        self.guard.update_servers(form, &entries);
         self.handle(now, Event::Members { form, entries })
     }
 
     /// The caller is about to stop: answers every request that has not begun to stream.
     pub fn close(&mut self, now: Micros) -> Decisions {
-        self.guard.closing();
+        self.guard.begin_closing();
         self.handle(now, Event::Closing)
     }
 
@@ -168,7 +168,7 @@
 
     /// The server's start as the decisions know it; `None` where it takes nothing new.
     pub fn server_started(&self, server: &Id) -> Option<Micros> {
-        self.guard.started(server)
+        self.guard.started_at(server)
     }
 
     /// Whether an attempt at a server may take effect: it does more there than a prefill.
@@ -182,8 +182,8 @@
     }
 
     /// The part of what all routers share that is this one's.
-    pub fn set_quota_share(&mut self, now: Micros, part: f64) -> Decisions {
-        self.handle(now, Event::QuotaShare { share: part })
+    pub fn set_quota_share(&mut self, now: Micros, share: f64) -> Decisions {
+        self.handle(now, Event::QuotaShare { share })
     }
 
     /// A probe came back.
@@ -199,101 +199,101 @@
 
     /// When [`Facade::fire_timers`] is due.
     pub fn next_timer_at(&self) -> Option<Micros> {
-        self.bells.first().map(|(at, _)| *at)
+        self.timers.first().map(|(at, _)| *at)
     }
 
     /// Rings every timer that is due.
     pub fn fire_timers(&mut self, now: Micros) -> Decisions {
-        let mut verdicts = Decisions::default();
-        while let Some(&(at, token)) = self.bells.first() {
+        let mut decisions = Decisions::default();
+        while let Some(&(at, token)) = self.timers.first() {
             if at > now {
                 break;
             }
-            self.bells.pop_first();
-            self.feed(now, Event::TimerFired { token }, &mut verdicts);
+            self.timers.pop_first();
+            self.process_event(now, Event::TimerFired { token }, &mut decisions);
         }
-        verdicts
+        decisions
     }
 
     /// How many entries are kept under ids that others give; it stays bounded however long a day is.
     pub fn entry_count(&self) -> usize {
-        self.router.entry_count() + self.open.len() + self.bells.len()
+        self.router.entry_count() + self.open_requests.len() + self.timers.len()
     }
 
-    fn started(&mut self, now: Micros, id: &Id) -> Decisions {
-        let Some(open) = self.open.get_mut(id) else { return Decisions::default() };
-        let Some((_, sent)) = &open.out else { return Decisions::default() };
-        open.started = true;
-        self.guard.answer_began(id);
+    fn answer_started(&mut self, now: Micros, id: &Id) -> Decisions {
+        let Some(open) = self.open_requests.get_mut(id) else { return Decisions::default() };
+        let Some((_, sent)) = &open.in_flight else { return Decisions::default() };
+        open.has_started = true;
+        self.guard.record_answer_start(id);
         let (attempt, elapsed) = (open.attempts - 1, now.saturating_sub(*sent));
         self.handle(now, Event::AnswerStarted { id: id.clone(), attempt, elapsed })
     }
 
     /// The end of the attempt that is out, if one is.
-    fn result(
+    fn end_attempt(
         &mut self,
         now: Micros,
         id: &Id,
         outcome: Outcome,
-        kept: u64,
+        cached_tokens: u64,
         load: Option<LoadReport>,
     ) -> Option<Event> {
-        let open = self.open.get_mut(id)?;
-        let (server, sent) = open.out.take()?;
-        self.guard.attempt_ended(id, outcome);
+        let open = self.open_requests.get_mut(id)?;
+        let (server, sent) = open.in_flight.take()?;
+        self.guard.record_attempt_end(id, outcome);
         Some(Event::AttemptEnded {
             id: id.clone(),
             attempt: open.attempts - 1,
             server,
             outcome,
             elapsed: now.saturating_sub(sent),
-            cached_tokens: kept,
-            finished: open.started || outcome == Outcome::Served,
+            cached_tokens,
+            finished: open.has_started || outcome == Outcome::Served,
             load,
         })
     }
 
-    fn left(&mut self, now: Micros, id: &Id) -> Decisions {
-        let mut verdicts = self.handle(now, Event::ClientGone { id: id.clone() });
-        if let Some(called_off) = self.result(now, id, Outcome::Cancelled, 0, None) {
-            self.feed(now, called_off, &mut verdicts);
+    fn close_request(&mut self, now: Micros, id: &Id) -> Decisions {
+        let mut decisions = self.handle(now, Event::ClientGone { id: id.clone() });
+        if let Some(cancelled) = self.end_attempt(now, id, Outcome::Cancelled, 0, None) {
+            self.process_event(now, cancelled, &mut decisions);
         }
-        self.open.remove(id);
-        self.guard.left(id);
-        verdicts
+        self.open_requests.remove(id);
+        self.guard.remove_request(id);
+        decisions
     }
 
     fn handle(&mut self, now: Micros, event: Event) -> Decisions {
-        let mut verdicts = Decisions::default();
-        self.feed(now, event, &mut verdicts);
-        verdicts
+        let mut decisions = Decisions::default();
+        self.process_event(now, event, &mut decisions);
+        decisions
     }
 
-    fn feed(&mut self, now: Micros, event: Event, verdicts: &mut Decisions) {
+    fn process_event(&mut self, now: Micros, event: Event, decisions: &mut Decisions) {
         let mut actions = std::mem::take(&mut self.actions);
         self.router.handle(now, event, &mut actions);
         for action in actions.drain(..) {
-            self.carry(now, action, verdicts);
+            self.apply_action(now, action, decisions);
         }
         self.actions = actions;
     }
 
-    fn carry(&mut self, now: Micros, action: Action, verdicts: &mut Decisions) {
-        let (id, verdict) = match action {
+    fn apply_action(&mut self, now: Micros, action: Action, decisions: &mut Decisions) {
+        let (id, decision) = match action {
             Action::Send { id, server, stop_at, send_by } => {
-                if let Err(violation) = self.guard.send(now, &id, &server) {
-                    return self.withhold(now, id, server, violation, verdicts);
+                if let Err(violation) = self.guard.authorize_send(now, &id, &server) {
+                    return self.reject_send(now, id, server, violation, decisions);
                 }
-                let open = self.open.entry(id.clone()).or_default();
+                let open = self.open_requests.entry(id.clone()).or_default();
                 open.attempts += 1;
-                open.out = Some((server.clone(), now));
+                open.in_flight = Some((server.clone(), now));
                 (id, Decision::Send { server, stop_at, send_by })
             }
             Action::Cancel { id, .. } => (id, Decision::Cancel),
-            Action::Refuse { id, retry_after } => match self.guard.answer(&id, true) {
+            Action::Refuse { id, retry_after } => match self.guard.authorize_answer(&id, true) {
                 Ok(()) => (id, Decision::Refuse { retry_after }),
                 Err(violation) => {
-                    verdicts.violations.push((id.clone(), violation));
+                    decisions.violations.push((id.clone(), violation));
                     if violation == Violation::SecondAnswer {
                         return;
                     }
@@ -301,30 +301,37 @@
                     (id, Decision::Fail)
                 }
             },
-            Action::Fail { id } => match self.guard.answer(&id, false) {
+            Action::Fail { id } => match self.guard.authorize_answer(&id, false) {
                 Ok(()) => (id, Decision::Fail),
-                Err(violation) => return verdicts.violations.push((id, violation)),
+                Err(violation) => return decisions.violations.push((id, violation)),
             },
             Action::ReleaseCache { id } => (id, Decision::Release),
             Action::MoveStream { id } => (id, Decision::Move),
-            Action::Probe { server } => return verdicts.probes.push(server),
-            Action::Watch => return verdicts.watch = true,
+            Action::Probe { server } => return decisions.probes.push(server),
+            Action::Watch => return decisions.watch = true,
             Action::SetTimer { delay, token } => {
-                self.bells.insert((now + delay, token));
+                self.timers.insert((now + delay, token));
                 return;
             }
-            Action::Log(line) => return verdicts.log.push(line),
+            Action::Log(line) => return decisions.log.push(line),
         };
-        verdicts.requests.push((id, verdict));
+        decisions.requests.push((id, decision));
     }
 
     /// An attempt that would break a rule does not go out; to the decisions it has ended as never sent.
-    fn withhold(&mut self, now: Micros, id: Id, server: Id, violation: Violation, verdicts: &mut Decisions) {
-        verdicts.violations.push((id.clone(), violation));
-        let Some(open) = self.open.get_mut(&id) else { return };
+    fn reject_send(
+        &mut self,
+        now: Micros,
+        id: Id,
+        server: Id,
+        violation: Violation,
+        decisions: &mut Decisions,
+    ) {
+        decisions.violations.push((id.clone(), violation));
+        let Some(open) = self.open_requests.get_mut(&id) else { return };
         open.attempts += 1;
         let (attempt, outcome) = (open.attempts - 1, Outcome::NotSent);
-        let finished = open.started;
+        let finished = open.has_started;
         let event = Event::AttemptEnded {
             id,
             attempt,
@@ -335,6 +342,6 @@
             finished,
             load: None,
         };
-        self.feed(now, event, verdicts);
+        self.process_event(now, event, decisions);
     }
 }
--- a/src/guard.rs
+++ b/src/guard.rs
@@ -58,34 +58,34 @@
 
 /// Where a server stands, for keyed repeats.
 #[derive(Clone, Copy)]
-struct Place {
+struct ServerPlacement {
     zone: usize,
-    cell: u64,
-    decodes: bool,
-    started: Micros,
+    rack: u64,
+    can_decode: bool,
+    started_at: Micros,
 }
 
-struct Account {
+struct RequestRecord {
     effect: Effect,
     max_attempts: u32,
     attempts: u32,
     /// The server of the attempt that is out, and when it was sent.
-    out: Option<(Option<Place>, Micros)>,
+    in_flight: Option<(Option<ServerPlacement>, Micros)>,
     /// The first attempt that may have run.
-    ran: Option<(Option<Place>, Micros)>,
+    first_execution: Option<(Option<ServerPlacement>, Micros)>,
     /// Its client is back for the rest of an answer.
-    came_back: bool,
-    ended: bool,
+    resumes_stream: bool,
+    is_ended: bool,
 }
 
 /// The account of what has gone out.
 #[derive(Default)]
 pub struct Guard {
     roles: Vec<Role>,
-    open: HashSet<Id>,
-    places: HashMap<Id, Place>,
-    requests: HashMap<Id, Account>,
-    closing: bool,
+    accepting: HashSet<Id>,
+    placements: HashMap<Id, ServerPlacement>,
+    requests: HashMap<Id, RequestRecord>,
+    is_closing: bool,
 }
 
 impl Guard {
@@ -95,141 +95,147 @@
     }
 
     /// News of the list.
-    pub fn members(&mut self, form: ListUpdateKind, entries: &[ServerEntry]) {
+    pub fn update_servers(&mut self, form: ListUpdateKind, entries: &[ServerEntry]) {
         if matches!(form, ListUpdateKind::Full | ListUpdateKind::StaleCopy) {
-            self.open.clear();
-            self.places.clear();
+            self.accepting.clear();
+            self.placements.clear();
         }
         for entry in entries {
-            let decodes = self.roles.get(entry.kind).is_none_or(|role| *role != Role::Prefill);
-            let place = Place { zone: entry.zone, cell: entry.rack, decodes, started: entry.started };
+            let can_decode = self.roles.get(entry.kind).is_none_or(|role| *role != Role::Prefill);
+            let placement =
+                ServerPlacement { zone: entry.zone, rack: entry.rack, can_decode, started_at: entry.started };
             match entry.health {
                 Health::Up => {
-                    self.open.insert(entry.server.clone());
-                    self.places.insert(entry.server.clone(), place);
+                    self.accepting.insert(entry.server.clone());
+                    self.placements.insert(entry.server.clone(), placement);
                 }
                 Health::Draining | Health::Gone => {
-                    self.open.remove(&entry.server);
+                    self.accepting.remove(&entry.server);
                 }
             }
         }
     }
 
     /// When a server that takes something new was told to have started.
-    pub fn started(&self, server: &Id) -> Option<Micros> {
-        self.open.get(server).and_then(|server| self.places.get(server)).map(|place| place.started)
+    pub fn started_at(&self, server: &Id) -> Option<Micros> {
+        self.accepting
+            .get(server)
+            .and_then(|server| self.placements.get(server))
+            .map(|placement| placement.started_at)
     }
 
     /// Whether an attempt at a server may take effect: it does more there than a prefill.
     pub fn takes_effect(&self, server: &Id) -> bool {
-        self.places.get(server).is_none_or(|place| place.decodes)
+        self.placements.get(server).is_none_or(|placement| placement.can_decode)
     }
 
     /// A request has come.
-    pub fn asked(&mut self, query: &Query) {
+    pub fn register_request(&mut self, query: &Query) {
         let class = &query.class;
-        let account = Account {
+        let record = RequestRecord {
             effect: class.effect,
             max_attempts: class.max_attempts,
             attempts: 0,
-            out: None,
-            ran: None,
-            came_back: query.resumes_stream,
-            ended: false,
+            in_flight: None,
+            first_execution: None,
+            resumes_stream: query.resumes_stream,
+            is_ended: false,
         };
-        self.requests.insert(query.id.clone(), account);
+        self.requests.insert(query.id.clone(), record);
     }
 
     /// The conductor is about to stop.
-    pub fn closing(&mut self) {
-        self.closing = true;
+    pub fn begin_closing(&mut self) {
+        self.is_closing = true;
     }
 
     /// The attempt that was out has ended.
-    pub fn attempt_ended(&mut self, id: &Id, outcome: Outcome) {
-        let Some(account) = self.requests.get_mut(id) else { return };
-        let Some((place, sent)) = account.out.take() else { return };
-        let effective = place.is_none_or(|place| place.decodes);
-        if effective && !outcome.never_ran() && account.ran.is_none() {
-            account.ran = Some((place, sent));
+    pub fn record_attempt_end(&mut self, id: &Id, outcome: Outcome) {
+        let Some(record) = self.requests.get_mut(id) else { return };
+        let Some((placement, sent)) = record.in_flight.take() else { return };
+        let takes_effect = placement.is_none_or(|placement| placement.can_decode);
+        if takes_effect && !outcome.never_ran() && record.first_execution.is_none() {
+            record.first_execution = Some((placement, sent));
         }
     }
 
     /// An answer has begun: it is the client's, and nothing more goes out.
-    pub fn answer_began(&mut self, id: &Id) {
-        if let Some(account) = self.requests.get_mut(id) {
-            account.ended = true;
+    pub fn record_answer_start(&mut self, id: &Id) {
+        if let Some(record) = self.requests.get_mut(id) {
+            record.is_ended = true;
         }
     }
 
     /// Its client has gone, or has all of its answer.
-    pub fn left(&mut self, id: &Id) {
+    pub fn remove_request(&mut self, id: &Id) {
         self.requests.remove(id);
     }
 
     /// Whether an attempt may go out; if so, it is out.
-    pub fn send(&mut self, now: Micros, id: &Id, server: &Id) -> Result<(), Violation> {
-        let place = self.places.get(server).copied();
-        let account = self.requests.get_mut(id).ok_or(Violation::AfterEnd)?;
-        if self.closing {
+    pub fn authorize_send(&mut self, now: Micros, id: &Id, server: &Id) -> Result<(), Violation> {
+        let placement = self.placements.get(server).copied();
+        let record = self.requests.get_mut(id).ok_or(Violation::AfterEnd)?;
+        if self.is_closing {
             return Err(Violation::Closing);
         }
-        if account.ended {
+        if record.is_ended {
             return Err(Violation::AfterEnd);
         }
-        if account.out.is_some() {
+        if record.in_flight.is_some() {
             return Err(Violation::ConcurrentAttempts);
         }
-        if account.attempts >= account.max_attempts {
+        if record.attempts >= record.max_attempts {
             return Err(Violation::TooManyAttempts);
         }
-        if !self.open.contains(server) {
+        if !self.accepting.contains(server) {
             return Err(Violation::ServerNotAccepting);
         }
-        if !account.may_repeat(now, place) {
+        if !record.may_repeat(now, placement) {
             return Err(Violation::UnsafeRepeat);
         }
-        account.attempts += 1;
-        account.out = Some((place, now));
+        record.attempts += 1;
+        record.in_flight = Some((placement, now));
         Ok(())
     }
 
     /// Whether a final answer may be given; if so, it is.
-    pub fn answer(&mut self, id: &Id, refused: bool) -> Result<(), Violation> {
-        let account = self.requests.get_mut(id).ok_or(Violation::SecondAnswer)?;
-        if account.ended {
+    pub fn authorize_answer(&mut self, id: &Id, refused: bool) -> Result<(), Violation> {
+        let record = self.requests.get_mut(id).ok_or(Violation::SecondAnswer)?;
+        if record.is_ended {
             return Err(Violation::SecondAnswer);
         }
-        account.ended = true;
-        match refused && !account.may_be_refused() {
+        record.is_ended = true;
+        match refused && !record.may_be_refused() {
             true => Err(Violation::UnsafeRefusal),
             false => Ok(()),
         }
     }
 }
 
-impl Account {
-    fn may_repeat(&self, now: Micros, to: Option<Place>) -> bool {
-        let Some((first, sent)) = self.ran else { return true };
+impl RequestRecord {
+    fn may_repeat(&self, now: Micros, to: Option<ServerPlacement>) -> bool {
+        let Some((first, sent)) = self.first_execution else { return true };
         match self.effect {
             Effect::Safe => true,
             Effect::Unsafe => false,
             Effect::Keyed { scope, window } => {
-                let same = match (scope, first, to) {
+                let in_scope = match (scope, first, to) {
                     (DedupScope::All, ..) => true,
                     (DedupScope::Zone, Some(first), Some(to)) => first.zone == to.zone,
-                    (DedupScope::Rack, Some(first), Some(to)) => first.cell == to.cell,
+                    (DedupScope::Rack, Some(first), Some(to)) => first.rack == to.rack,
                     _ => false,
                 };
-                same && now < sent + window
+                in_scope && now < sent + window
             }
         }
     }
 
     /// What is out at a server that decodes may run yet.
     fn may_be_refused(&self) -> bool {
-        let out = self.out.is_some_and(|(place, _)| place.is_none_or(|place| place.decodes));
+        let may_run_yet = self
+            .in_flight
+            .is_some_and(|(placement, _)| placement.is_none_or(|placement| placement.can_decode));
         let harmless = matches!(self.effect, Effect::Safe | Effect::Keyed { scope: DedupScope::All, .. });
-        harmless || (self.ran.is_none() && !out && !self.came_back)
+        harmless || (self.first_execution.is_none() && !may_run_yet && !self.resumes_stream)
     }
 }
--- a/src/scheduler/handover.rs
+++ b/src/scheduler/handover.rs
@@ -10,14 +10,15 @@
 use crate::interface::{Id, Micros};
 
 /// Sessions whose last reader is handed over: the latest ones.
-const SESSIONS_MAX: usize = 4_096;
+const MAX_SESSIONS: usize = 4_096;
 /// Two clocks are set to the wall clock's milliseconds: starts this close are one.
-const SAME_START: Micros = 10_000;
+const SAME_START_TOLERANCE: Micros = 10_000;
 
 /// What a router has learned.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
-    pace: [f64; 3],
+    #[serde(rename = "pace")]
+    us_per_token: [f64; 3],
     tenants: Vec<TenantSnapshot>,
     #[serde(rename = "workers")]
     servers: Vec<ServerSnapshot>,
@@ -33,15 +34,23 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct ServerSnapshot {
     id: Id,
-    /// `None`: long ago.
-    started_before: Option<Micros>,
-    rate: f64,
-    rate_before: Micros,
-    fails: u32,
-    open_for: Micros,
-    full: u32,
-    rests_for: Micros,
-    cold_next_in: Micros,
+    /// Time since the start of the server; `None` for long ago.
+    #[serde(rename = "started_before")]
+    started_ago: Option<Micros>,
+    #[serde(rename = "rate")]
+    completion_rate: f64,
+    #[serde(rename = "rate_before")]
+    rate_age: Micros,
+    #[serde(rename = "fails")]
+    consecutive_failures: u32,
+    #[serde(rename = "open_for")]
+    breaker_open_for: Micros,
+    #[serde(rename = "full")]
+    consecutive_rejections: u32,
+    #[serde(rename = "rests_for")]
+    backoff_for: Micros,
+    #[serde(rename = "cold_next_in")]
+    next_slow_start_send_in: Micros,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -50,7 +59,8 @@
     #[serde(rename = "worker")]
     server: Id,
     prompt_tokens: u64,
-    before: Micros,
+    #[serde(rename = "before")]
+    age: Micros,
 }
 
 impl Snapshot {
@@ -66,27 +76,27 @@
         let listed = self.servers.iter().filter(|server| !server.id.is_empty());
         let servers = listed.map(|server| ServerSnapshot {
             id: server.id.clone(),
-            started_before: (server.started > 0).then(|| now.saturating_sub(server.started)),
-            rate: server.rate,
-            rate_before: now.saturating_sub(server.rate_at),
-            fails: server.fails,
-            open_for: server.open_until.saturating_sub(now),
-            full: server.full,
-            rests_for: server.rest.saturating_sub(now),
-            cold_next_in: server.cold_next.saturating_sub(now),
+            started_ago: (server.started_at > 0).then(|| now.saturating_sub(server.started_at)),
+            completion_rate: server.completion_rate,
+            rate_age: now.saturating_sub(server.rate_updated_at),
+            consecutive_failures: server.consecutive_failures,
+            breaker_open_for: server.breaker_open_until.saturating_sub(now),
+            consecutive_rejections: server.consecutive_rejections,
+            backoff_for: server.backoff_until.saturating_sub(now),
+            next_slow_start_send_in: server.next_slow_start_send_at.saturating_sub(now),
         });
-        let tenants = self.settings.tenants.iter().zip(&self.quotas);
+        let tenants = self.settings.tenants.iter().zip(&self.quota_levels);
         let tenants = tenants.map(|(t, quota)| TenantSnapshot { name: t.name.clone(), quota_left: quota.0 });
-        let mut sessions: Vec<_> = self.kept.iter().collect();
+        let mut sessions: Vec<_> = self.cached_sessions.iter().collect();
         sessions.sort_by_key(|(_, kept)| std::cmp::Reverse(kept.2));
-        let sessions = sessions.into_iter().take(SESSIONS_MAX).map(|(id, kept)| SessionSnapshot {
+        let sessions = sessions.into_iter().take(MAX_SESSIONS).map(|(id, kept)| SessionSnapshot {
             id: id.clone(),
             server: self.servers[kept.0].id.clone(),
             prompt_tokens: kept.1,
-            before: now.saturating_sub(kept.2),
+            age: now.saturating_sub(kept.2),
         });
         Snapshot {
-            pace: self.pace,
+            us_per_token: self.us_per_token,
             tenants: tenants.collect(),
             servers: servers.collect(),
             sessions: sessions.collect(),
@@ -96,48 +106,50 @@
     /// Takes over what a snapshot of this age says of servers that are listed, and leaves the rest in it for
     /// when they are.
     pub fn restore(&mut self, now: Micros, age: Micros, snapshot: &mut Snapshot) {
-        if snapshot.pace.iter().all(|pace| *pace > 0.0 && pace.is_finite()) {
-            self.pace = std::mem::take(&mut snapshot.pace);
+        if snapshot.us_per_token.iter().all(|pace| *pace > 0.0 && pace.is_finite()) {
+            self.us_per_token = std::mem::take(&mut snapshot.us_per_token);
         }
         for tenant in snapshot.tenants.drain(..) {
             if let Some(i) = self.settings.tenant(&tenant.name) {
-                self.quotas[i] = (tenant.quota_left, now.saturating_sub(age));
+                self.quota_levels[i] = (tenant.quota_left, now.saturating_sub(age));
             }
         }
         let (known, unknown) = std::mem::take(&mut snapshot.servers)
             .into_iter()
-            .partition::<Vec<_>, _>(|server| self.index.contains_key(&server.id));
+            .partition::<Vec<_>, _>(|server| self.server_indices.contains_key(&server.id));
         snapshot.servers = unknown;
         for server in known {
             self.restore_server(now, age, &server);
         }
         let (known, unknown) = std::mem::take(&mut snapshot.sessions)
             .into_iter()
-            .partition::<Vec<_>, _>(|session| self.index.contains_key(&session.server));
+            .partition::<Vec<_>, _>(|session| self.server_indices.contains_key(&session.server));
         snapshot.sessions = unknown;
         for session in known {
-            let at = now.saturating_sub(age + session.before);
-            let kept = (self.index[&session.server], session.prompt_tokens, at);
-            self.kept.entry(session.id).or_insert(kept);
+            let at = now.saturating_sub(age + session.age);
+            let kept = (self.server_indices[&session.server], session.prompt_tokens, at);
+            self.cached_sessions.entry(session.id).or_insert(kept);
         }
     }
 
-    fn restore_server(&mut self, now: Micros, age: Micros, of: &ServerSnapshot) {
-        let server = &mut self.servers[self.index[&of.id]];
-        let started = of.started_before.map_or(0, |before| now.saturating_sub(age + before));
-        if server.started > started + SAME_START {
+    fn restore_server(&mut self, now: Micros, age: Micros, snapshot: &ServerSnapshot) {
+        let server = &mut self.servers[self.server_indices[&snapshot.id]];
+        let started = snapshot.started_ago.map_or(0, |before| now.saturating_sub(age + before));
+        if server.started_at > started + SAME_START_TOLERANCE {
             // It has restarted since: nothing of this is true any more.
             return;
         }
         let left = |span: Micros| now + span.saturating_sub(age);
-        server.started = server.started.max(started);
-        server.rate = of.rate;
-        server.rate_at = now.saturating_sub(age + of.rate_before);
-        (server.fails, server.open_until) = (of.fails, left(of.open_for));
-        (server.full, server.rest) = (of.full, left(of.rests_for));
-        server.cold_next = left(of.cold_next_in);
-        let w = self.index[&of.id];
-        self.index_server(w);
+        server.started_at = server.started_at.max(started);
+        server.completion_rate = snapshot.completion_rate;
+        server.rate_updated_at = now.saturating_sub(age + snapshot.rate_age);
+        (server.consecutive_failures, server.breaker_open_until) =
+            (snapshot.consecutive_failures, left(snapshot.breaker_open_for));
+        (server.consecutive_rejections, server.backoff_until) =
+            (snapshot.consecutive_rejections, left(snapshot.backoff_for));
+        server.next_slow_start_send_at = left(snapshot.next_slow_start_send_in);
+        let server_index = self.server_indices[&snapshot.id];
+        self.reindex_server(server_index);
         self.fleet.rates_changed();
     }
 }
@@ -149,7 +161,8 @@
 /// What is open at one server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 struct ServerWork {
-    reads: u32,
+    #[serde(rename = "reads")]
+    prefills: u32,
     streams: u32,
     tokens: u64,
 }
@@ -166,16 +179,16 @@
 
 impl ServerWork {
     fn of(server: &Server) -> Self {
-        ServerWork { reads: server.reads, streams: server.streams, tokens: server.tokens }
+        ServerWork { prefills: server.prefills, streams: server.streams, tokens: server.charged_tokens }
     }
 
     fn count_at(self, server: &mut Server) {
-        (server.reads, server.streams, server.tokens) = (self.reads, self.streams, self.tokens);
+        (server.prefills, server.streams, server.charged_tokens) = (self.prefills, self.streams, self.tokens);
     }
 
     fn plus(self, other: Self) -> Self {
         ServerWork {
-            reads: self.reads.saturating_add(other.reads),
+            prefills: self.prefills.saturating_add(other.prefills),
             streams: self.streams.saturating_add(other.streams),
             tokens: self.tokens.saturating_add(other.tokens),
         }
@@ -183,7 +196,7 @@
 
     fn minus(self, other: Self) -> Self {
         ServerWork {
-            reads: self.reads.saturating_sub(other.reads),
+            prefills: self.prefills.saturating_sub(other.prefills),
             streams: self.streams.saturating_sub(other.streams),
             tokens: self.tokens.saturating_sub(other.tokens),
         }
@@ -194,7 +207,7 @@
     /// What this router has open at servers.
     pub fn open_work(&self) -> OpenWork {
         let own = self.servers.iter().filter_map(|server| {
-            let foreign = self.foreign.0.get(&server.id).copied().unwrap_or_default();
+            let foreign = self.foreign_work.0.get(&server.id).copied().unwrap_or_default();
             let work = ServerWork::of(server).minus(foreign);
             (work != ServerWork::default()).then(|| (server.id.clone(), work))
         });
@@ -204,24 +217,24 @@
     /// What other processes of the same conductor have open counts as this router's own, in place of what
     /// they had before.
     pub fn set_foreign_work(&mut self, foreign: OpenWork) {
-        let before = std::mem::replace(&mut self.foreign, foreign);
+        let before = std::mem::replace(&mut self.foreign_work, foreign);
         for (id, work) in &before.0 {
-            let Some(&w) = self.index.get(id) else { continue };
-            let server = &mut self.servers[w];
+            let Some(&server_index) = self.server_indices.get(id) else { continue };
+            let server = &mut self.servers[server_index];
             ServerWork::of(server).minus(*work).count_at(server);
         }
         // What is not listed here is not counted, so that it is not taken off again either.
-        self.foreign.0.retain(|id, _| self.index.contains_key(id));
-        for (id, work) in &self.foreign.0 {
-            let server = &mut self.servers[self.index[id]];
+        self.foreign_work.0.retain(|id, _| self.server_indices.contains_key(id));
+        for (id, work) in &self.foreign_work.0 {
+            let server = &mut self.servers[self.server_indices[id]];
             ServerWork::of(server).plus(*work).count_at(server);
         }
         let touched: Vec<usize> = before
             .0
             .keys()
-            .chain(self.foreign.0.keys())
-            .filter_map(|id| self.index.get(id).copied())
+            .chain(self.foreign_work.0.keys())
+            .filter_map(|id| self.server_indices.get(id).copied())
             .collect();
-        touched.into_iter().for_each(|w| self.index_server(w));
+        touched.into_iter().for_each(|server_index| self.reindex_server(server_index));
     }
 }
--- a/src/scheduler/health.rs
+++ b/src/scheduler/health.rs
@@ -5,121 +5,141 @@
 use crate::rate::decay;
 
 /// Where parts are below one request: a wait of over this share of the aim rests the server.
-const REST_AIM: f64 = 0.25;
+const BACKOFF_TARGET_SHARE: f64 = 0.25;
 /// Quiet for this many times the usual while a peer answers: suspect.
-const QUIET: f64 = 4.0;
-const QUIET_FLOOR: Micros = 400_000;
+const SILENCE_MULTIPLE: f64 = 4.0;
+const MIN_SILENCE: Micros = 400_000;
 /// Longest time for which a circuit breaker is open.
-const OPEN_MOST: Micros = 8_000_000;
+const MAX_BREAKER_TIMEOUT: Micros = 8_000_000;
 /// Servers of one zone that fail in a row, with no answer from there, before it is cut off.
-const ZONE_TRIP: usize = 3;
+const ZONE_FAILURE_THRESHOLD: usize = 3;
 /// Weight of the latest sample in a stage's pace.
-const BLEND: f64 = 0.1;
+const PACE_SAMPLE_WEIGHT: f64 = 0.1;
 /// Tokens' worth of fixed cost in a stage's pace.
-const FIXED_TOKENS: f64 = 500.0;
+const FIXED_COST_TOKENS: f64 = 500.0;
 
 impl Router {
     /// Some servers of this zone failed one after another and none answered: rather the zone's network or
     /// power than each of them. One trial at a time is for all of the zone.
-    pub(super) fn cut_off(&self, zone: &usize) -> bool {
-        self.zones.get(zone).is_some_and(|z| z.failed.len() >= ZONE_TRIP && self.now < z.next)
+    pub(super) fn is_zone_cut_off(&self, zone: &usize) -> bool {
+        self.zones.get(zone).is_some_and(|zone| {
+            zone.failed_servers.len() >= ZONE_FAILURE_THRESHOLD && self.now < zone.next_trial_at
+        })
     }
 
     /// A time with up to half more or less of it, so that routers do not try again in step.
-    pub(super) fn spread(&self, span: Micros, w: usize) -> Micros {
-        (span as f64 * (0.5 + share_of(mix(self.servers[w].hash ^ self.seed ^ self.now)))) as Micros
+    pub(super) fn jitter(&self, span: Micros, server_index: usize) -> Micros {
+        (span as f64 * (0.5 + share_of(mix(self.servers[server_index].hash ^ self.seed ^ self.now))))
+            as Micros
     }
 
-    pub(super) fn await_zone(&mut self, w: usize) {
-        let (now, spread) = (self.now, self.spread(OPEN_FIRST, w));
-        let zone = self.zones.entry(self.servers[w].zone).or_default();
-        if zone.failed.len() >= ZONE_TRIP && now >= zone.next {
-            zone.next = now + (spread << zone.trials.min(4));
-            zone.trials += 1;
+    pub(super) fn schedule_zone_trial(&mut self, server_index: usize) {
+        let (now, spread) = (self.now, self.jitter(INITIAL_BREAKER_TIMEOUT, server_index));
+        let zone = self.zones.entry(self.servers[server_index].zone).or_default();
+        if zone.failed_servers.len() >= ZONE_FAILURE_THRESHOLD && now >= zone.next_trial_at {
+            zone.next_trial_at = now + (spread << zone.trial_count.min(4));
+            zone.trial_count += 1;
         }
     }
 
     /// Breaker closed, or open long enough for one trial; not quiet while peers answer.
-    pub(super) fn healthy(&self, w: usize) -> bool {
-        let server = &self.servers[w];
-        if server.fails >= TRIP {
-            return self.now >= server.open_until && server.reads + server.streams == 0;
+    pub(super) fn is_healthy(&self, server_index: usize) -> bool {
+        let server = &self.servers[server_index];
+        if server.consecutive_failures >= BREAKER_FAILURE_THRESHOLD {
+            return self.now >= server.breaker_open_until && server.prefills + server.streams == 0;
         }
-        let Some(pending) = server.pending else { return true };
-        let limit = self.patience(server.role, 2_000, QUIET).max(QUIET_FLOOR);
-        self.now < pending + limit || self.heard[server.role as usize] <= pending + limit / 2
+        let Some(pending) = server.unanswered_since else { return true };
+        let limit = self.expected_duration(server.role, 2_000, SILENCE_MULTIPLE).max(MIN_SILENCE);
+        self.now < pending + limit || self.last_response_at[server.role as usize] <= pending + limit / 2
     }
 
-    pub(super) fn patience(&self, stage: Stage, tokens: u64, times: f64) -> Micros {
-        (self.pace[stage as usize] * (tokens as f64 + FIXED_TOKENS) * times) as Micros
+    pub(super) fn expected_duration(&self, stage: Stage, tokens: u64, times: f64) -> Micros {
+        (self.us_per_token[stage as usize] * (tokens as f64 + FIXED_COST_TOKENS) * times) as Micros
     }
 
-    pub(super) fn sample(&mut self, stage: Stage, elapsed: Micros, tokens: u64) {
-        let usual = &mut self.pace[stage as usize];
-        *usual += (elapsed as f64 / (tokens as f64 + FIXED_TOKENS) - *usual) * BLEND;
+    pub(super) fn record_pace(&mut self, stage: Stage, elapsed: Micros, tokens: u64) {
+        let usual = &mut self.us_per_token[stage as usize];
+        *usual += (elapsed as f64 / (tokens as f64 + FIXED_COST_TOKENS) - *usual) * PACE_SAMPLE_WEIGHT;
         self.fleet.health_changed();
     }
 
-    pub(super) fn succeeded(&mut self, id: &Id, w: usize, stage: Stage, elapsed: Micros, tokens: u64) {
-        if stage != Stage::Write {
-            self.keep(id, w);
+    pub(super) fn record_success(
+        &mut self,
+        id: &Id,
+        server_index: usize,
+        stage: Stage,
+        elapsed: Micros,
+        tokens: u64,
+    ) {
+        if stage != Stage::Decode {
+            self.remember_session(id, server_index);
         }
-        self.sample(stage, elapsed, tokens);
-        self.ease(w, elapsed);
-        let server = &mut self.servers[w];
-        server.full = 0;
-        server.rate = decay(server.rate, self.now - server.rate_at) + 1.0 / 4.0;
-        server.rate_at = self.now;
+        self.record_pace(stage, elapsed, tokens);
+        self.throttle_after_wait(server_index, elapsed);
+        let server = &mut self.servers[server_index];
+        server.consecutive_rejections = 0;
+        server.completion_rate = decay(server.completion_rate, self.now - server.rate_updated_at) + 1.0 / 4.0;
+        server.rate_updated_at = self.now;
         self.fleet.rates_changed();
-        self.heard(w);
+        self.record_response(server_index);
     }
 
     /// Parts of less than one request are kept in time. A server rests where the wait cost much of the aim;
     /// for routers that can't ask, a role whose parts together are below one rests after each wait until, on
     /// average, no more of this router's wait there than its part: by twice the usual wait at most.
-    pub(super) fn ease(&mut self, w: usize, elapsed: Micros) {
-        if !self.many() {
+    pub(super) fn throttle_after_wait(&mut self, server_index: usize, elapsed: Micros) {
+        if !self.has_fractional_shares() {
             return;
         }
-        let rest = |t: Micros, part: f64| REST_MOST.min((t as f64 * (1.0 / part - 1.0).max(0.0)) as Micros);
-        if !self.asks() && self.servers[w].fails < TRIP {
-            let role = self.servers[w].role;
-            let usual = elapsed.min(self.patience(role, 2_000, 2.0));
-            let all = self.now + rest(usual, self.part(WAIT_SLOTS) * self.listed(role).len() as f64);
-            self.ready[role as usize] = self.ready[role as usize].max(all);
+        let rest =
+            |t: Micros, part: f64| MAX_SERVER_BACKOFF.min((t as f64 * (1.0 / part - 1.0).max(0.0)) as Micros);
+        if !self.uses_load_probes()
+            && self.servers[server_index].consecutive_failures < BREAKER_FAILURE_THRESHOLD
+        {
+            let role = self.servers[server_index].role;
+            let usual = elapsed.min(self.expected_duration(role, 2_000, 2.0));
+            let all =
+                self.now + rest(usual, self.own_share(TARGET_QUEUE_LENGTH) * self.listed(role).len() as f64);
+            self.next_send_at[role as usize] = self.next_send_at[role as usize].max(all);
         }
-        let aim = self.settings.classes.iter().map(|c| c.first_token_target).min().unwrap_or(0);
-        if elapsed as f64 > aim as f64 * REST_AIM {
-            self.servers[w].rest = self.servers[w].rest.max(self.now + rest(elapsed, self.part(READ_SLOTS)));
+        let first_token_target =
+            self.settings.classes.iter().map(|c| c.first_token_target).min().unwrap_or(0);
+        if elapsed as f64 > first_token_target as f64 * BACKOFF_TARGET_SHARE {
+            self.servers[server_index].backoff_until = self.servers[server_index]
+                .backoff_until
+                .max(self.now + rest(elapsed, self.own_share(PREFILL_SLOTS)));
         }
     }
 
-    pub(super) fn heard(&mut self, w: usize) {
-        let (now, server) = (self.now, &mut self.servers[w]);
+    pub(super) fn record_response(&mut self, server_index: usize) {
+        let (now, server) = (self.now, &mut self.servers[server_index]);
         self.zones.insert(server.zone, Zone::default());
-        self.heard[server.role as usize] = now;
-        server.pending = (server.silent > 0).then_some(now);
-        server.fails = 0;
-        self.index_server(w);
+        self.last_response_at[server.role as usize] = now;
+        server.unanswered_since = (server.unacknowledged > 0).then_some(now);
+        server.consecutive_failures = 0;
+        self.reindex_server(server_index);
     }
 
-    pub(super) fn failed(&mut self, w: usize, weight: u32, out: &mut Vec<Action>) {
+    pub(super) fn record_failure(&mut self, server_index: usize, weight: u32, actions: &mut Vec<Action>) {
         let now = self.now;
-        self.zones.entry(self.servers[w].zone).or_default().failed.insert(w);
-        self.await_zone(w);
-        let spread = self.spread(OPEN_FIRST, w);
-        let server = &mut self.servers[w];
-        server.fails = server.fails.saturating_add(weight);
-        if server.silent == 0 {
-            server.pending = None;
+        self.zones.entry(self.servers[server_index].zone).or_default().failed_servers.insert(server_index);
+        self.schedule_zone_trial(server_index);
+        let spread = self.jitter(INITIAL_BREAKER_TIMEOUT, server_index);
+        let server = &mut self.servers[server_index];
+        server.consecutive_failures = server.consecutive_failures.saturating_add(weight);
+        if server.unacknowledged == 0 {
+            server.unanswered_since = None;
         }
-        if server.fails >= TRIP {
-            let times = (server.fails - TRIP).min(6);
-            if now >= server.open_until {
-                out.push(Action::Log(format!("open {}: {} failures in a row", server.id, server.fails)));
+        if server.consecutive_failures >= BREAKER_FAILURE_THRESHOLD {
+            let times = (server.consecutive_failures - BREAKER_FAILURE_THRESHOLD).min(6);
+            if now >= server.breaker_open_until {
+                actions.push(Action::Log(format!(
+                    "open {}: {} failures in a row",
+                    server.id, server.consecutive_failures
+                )));
             }
-            server.open_until = now + (spread << times).min(OPEN_MOST);
+            server.breaker_open_until = now + (spread << times).min(MAX_BREAKER_TIMEOUT);
         }
-        self.index_server(w);
+        self.reindex_server(server_index);
     }
 }
--- a/src/setup.rs
+++ b/src/setup.rs
@@ -12,11 +12,11 @@
 use crate::interface::*;
 
 /// What the connection limits are where the settings are silent.
-const CONNECT_TIMEOUT: Micros = 250_000;
-const CONN_IDLE: Micros = 30_000_000;
+const DEFAULT_CONNECT_TIMEOUT: Micros = 250_000;
+const DEFAULT_CONNECTION_IDLE_TIMEOUT: Micros = 30_000_000;
 
 /// No client waits longer than a day.
-const DEADLINE_MAX: Micros = 86_400_000_000;
+const MAX_DEADLINE: Micros = 86_400_000_000;
 
 /// Why settings, or a value that refers to them, could not be read.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
@@ -33,16 +33,16 @@
         name: String,
     },
     /// A number that must be whole and above zero is not, or is beyond its range.
-    #[error("{key}: must be a whole number from 1 to {most}")]
-    NotPositive {
+    #[error("{key}: must be a whole number from 1 to {max}")]
+    OutOfRange {
         /// Where it stood.
         key: String,
         /// The largest that is taken.
-        most: u64,
+        max: u64,
     },
     /// Two members of a list have one name.
     #[error("{list}: the name {name} stands there twice")]
-    Repeated {
+    DuplicateName {
         /// The list.
         list: String,
         /// The name.
@@ -53,7 +53,7 @@
     Empty(String),
     /// Roles and kinds do not pair up.
     #[error("specifics.kind-role: not one for each of kinds")]
-    Roles,
+    RoleCountMismatch,
 }
 
 impl From<SetupError> for String {
@@ -64,11 +64,11 @@
 
 impl SetupError {
     /// The same complaint, of a key within a list.
-    fn within(self, list: &str) -> Self {
+    fn nested_in(self, list: &str) -> Self {
         match self {
             SetupError::Missing(key) => SetupError::Missing(format!("{list}[].{key}")),
-            SetupError::NotPositive { key, most } => {
-                SetupError::NotPositive { key: format!("{list}[].{key}"), most }
+            SetupError::OutOfRange { key, max } => {
+                SetupError::OutOfRange { key: format!("{list}[].{key}"), max }
             }
             other => other,
         }
@@ -93,33 +93,33 @@
 }
 
 /// The value at a dotted key.
-fn dig<'a>(setup: &'a Value, key: &str) -> Option<&'a Value> {
+fn value_at<'a>(setup: &'a Value, key: &str) -> Option<&'a Value> {
     key.split('.').try_fold(setup, |value, part| value.get(part))
 }
 
-fn float_of(setup: &Value, key: &str) -> Result<f64, SetupError> {
-    required(dig(setup, key).and_then(Value::as_f64), key)
+fn float_at(setup: &Value, key: &str) -> Result<f64, SetupError> {
+    required(value_at(setup, key).and_then(Value::as_f64), key)
 }
 
-fn whole_of(setup: &Value, key: &str) -> Result<u64, SetupError> {
-    required(dig(setup, key).and_then(whole_number), key)
+fn whole_number_at(setup: &Value, key: &str) -> Result<u64, SetupError> {
+    required(value_at(setup, key).and_then(whole_number), key)
 }
 
 /// A number that only the network code needs; the adapter's operators may leave it out.
-fn whole_or(setup: &Value, key: &str, usual: Micros) -> Result<Micros, SetupError> {
-    dig(setup, key).map_or(Ok(usual), |value| required(whole_number(value), key))
+fn whole_number_or(setup: &Value, key: &str, default: Micros) -> Result<Micros, SetupError> {
+    value_at(setup, key).map_or(Ok(default), |value| required(whole_number(value), key))
 }
 
-fn flag_of(setup: &Value, key: &str) -> Result<bool, SetupError> {
-    required(dig(setup, key).and_then(Value::as_bool), key)
+fn bool_at(setup: &Value, key: &str) -> Result<bool, SetupError> {
+    required(value_at(setup, key).and_then(Value::as_bool), key)
 }
 
-fn list_of<'a>(setup: &'a Value, key: &str) -> Result<&'a Vec<Value>, SetupError> {
-    required(dig(setup, key).and_then(Value::as_array), key)
+fn list_at<'a>(setup: &'a Value, key: &str) -> Result<&'a Vec<Value>, SetupError> {
+    required(value_at(setup, key).and_then(Value::as_array), key)
 }
 
-fn names_of(setup: &Value, key: &str) -> Result<Vec<String>, SetupError> {
-    list_of(setup, key)?.iter().map(|v| required(v.as_str().map(str::to_string), key)).collect()
+fn names_at(setup: &Value, key: &str) -> Result<Vec<String>, SetupError> {
+    list_at(setup, key)?.iter().map(|v| required(v.as_str().map(str::to_string), key)).collect()
 }
 
 /// The name of a member of a list.
@@ -128,12 +128,12 @@
 }
 
 /// A whole number above zero, up to a bound.
-fn positive_of(setup: &Value, key: &str, most: u64) -> Result<u64, SetupError> {
-    let value = required(dig(setup, key), key)?;
-    let whole = |x: &f64| x.fract() == 0.0 && *x >= 0.0 && *x <= most as f64;
+fn positive_at(setup: &Value, key: &str, max: u64) -> Result<u64, SetupError> {
+    let value = required(value_at(setup, key), key)?;
+    let whole = |x: &f64| x.fract() == 0.0 && *x >= 0.0 && *x <= max as f64;
     let number = value.as_u64().or_else(|| value.as_f64().filter(whole).map(|x| x as u64));
-    let number = number.filter(|n| (1..=most).contains(n));
-    number.ok_or_else(|| SetupError::NotPositive { key: key.into(), most })
+    let number = number.filter(|n| (1..=max).contains(n));
+    number.ok_or_else(|| SetupError::OutOfRange { key: key.into(), max })
 }
 
 /// No two members of a list have one name.
@@ -141,7 +141,7 @@
     let mut seen = BTreeSet::new();
     for name in names {
         if !seen.insert(name) {
-            return Err(SetupError::Repeated { list: list.into(), name: name.to_string() });
+            return Err(SetupError::DuplicateName { list: list.into(), name: name.to_string() });
         }
     }
     Ok(())
@@ -150,7 +150,7 @@
 impl ConfiguredNames {
     /// Reads the names from the settings.
     pub fn new(setup: &Value) -> Result<Self, SetupError> {
-        Ok(ConfiguredNames { kinds: names_of(setup, "kinds")?, zones: names_of(setup, "zones")? })
+        Ok(ConfiguredNames { kinds: names_at(setup, "kinds")?, zones: names_at(setup, "zones")? })
     }
 
     /// The kinds of machine.
@@ -172,7 +172,7 @@
         .ok_or_else(|| SetupError::Unknown { key: key.into(), name: name.into() })
 }
 
-fn role(value: &Value) -> Result<Role, SetupError> {
+fn parse_role(value: &Value) -> Result<Role, SetupError> {
     match value.as_str() {
         Some("read") => Ok(Role::Prefill),
         Some("write") => Ok(Role::Decode),
@@ -181,101 +181,111 @@
     }
 }
 
-fn class(
-    grade: &Value,
-    aim_per_ktoken: Micros,
-    token_aim: Micros,
+fn parse_class(
+    class: &Value,
+    first_token_target_per_ktoken: Micros,
+    inter_token_target: Micros,
     max_attempts: u32,
 ) -> Result<RequestClass, SetupError> {
-    let named = |e: SetupError| e.within("grades");
-    let effect = match dig(grade, "effect").and_then(Value::as_str) {
+    let in_classes = |e: SetupError| e.nested_in("grades");
+    let effect = match value_at(class, "effect").and_then(Value::as_str) {
         Some("retryable") => Effect::Safe,
         Some("fragile") => Effect::Unsafe,
         Some("dedup") => Effect::Keyed {
-            scope: match dig(grade, "dedup-scope").and_then(Value::as_str) {
+            scope: match value_at(class, "dedup-scope").and_then(Value::as_str) {
                 Some("all") => DedupScope::All,
                 Some("zone") => DedupScope::Zone,
                 Some("cell") => DedupScope::Rack,
-                _ => return Err(named(SetupError::Missing("dedup-scope".into()))),
+                _ => return Err(in_classes(SetupError::Missing("dedup-scope".into()))),
             },
-            window: whole_of(grade, "dedup-window").map_err(named)?,
+            window: whole_number_at(class, "dedup-window").map_err(in_classes)?,
         },
-        _ => return Err(named(SetupError::Missing("effect".into()))),
+        _ => return Err(in_classes(SetupError::Missing("effect".into()))),
     };
     Ok(RequestClass {
-        name: name_of(grade).map_err(named)?,
+        name: name_of(class).map_err(in_classes)?,
         max_attempts,
-        first_token_target: whole_of(grade, "slo").map_err(named)?,
-        first_token_target_per_ktoken: aim_per_ktoken,
-        deadline: positive_of(grade, "deadline", DEADLINE_MAX).map_err(named)?,
-        inter_token_target: token_aim,
+        first_token_target: whole_number_at(class, "slo").map_err(in_classes)?,
+        first_token_target_per_ktoken,
+        deadline: positive_at(class, "deadline", MAX_DEADLINE).map_err(in_classes)?,
+        inter_token_target,
         effect,
-        worth: float_of(grade, "points").map_err(named)?,
-        late_share: float_of(grade, "late-share").map_err(named)?,
+        worth: float_at(class, "points").map_err(in_classes)?,
+        late_share: float_at(class, "late-share").map_err(in_classes)?,
     })
 }
 
-fn tenant(tenant: &Value) -> Result<Tenant, SetupError> {
-    Ok(Tenant { name: name_of(tenant)?, quota_per_s: float_of(tenant, "quota-per-s")? })
+fn parse_tenant(tenant: &Value) -> Result<Tenant, SetupError> {
+    Ok(Tenant { name: name_of(tenant)?, quota_per_s: float_at(tenant, "quota-per-s")? })
 }
 
 /// Reads the settings.
 pub fn settings(setup: &Value, names: &ConfiguredNames) -> Result<Settings, SetupError> {
-    let roles = list_of(setup, "specifics.kind-role")?.iter().map(role).collect::<Result<Vec<_>, _>>()?;
+    let roles =
+        list_at(setup, "specifics.kind-role")?.iter().map(parse_role).collect::<Result<Vec<_>, _>>()?;
     if roles.len() != names.kinds.len() {
-        return Err(SetupError::Roles);
+        return Err(SetupError::RoleCountMismatch);
     }
     let per_class = |key| -> Result<Vec<u64>, SetupError> {
-        list_of(setup, key)?.iter().map(|v| required(whole_number(v), key)).collect()
+        list_at(setup, key)?.iter().map(|v| required(whole_number(v), key)).collect()
     };
-    let (per_ktoken, token_aim) =
+    let (first_token_targets_per_ktoken, inter_token_targets) =
         (per_class("specifics.aim-us-per-1000-prompt-tokens")?, per_class("specifics.token-aim")?);
-    let grades = list_of(setup, "grades")?.iter().enumerate();
+    let class_entries = list_at(setup, "grades")?.iter().enumerate();
     let at = |list: &[u64], i: usize| list.get(i).copied().unwrap_or(0);
-    let max_attempts = positive_of(setup, "limits.max-attempts", u64::from(u32::MAX))? as u32;
-    let classes = grades
-        .map(|(i, g)| class(g, at(&per_ktoken, i), at(&token_aim, i), max_attempts).map(Arc::new))
+    let max_attempts = positive_at(setup, "limits.max-attempts", u64::from(u32::MAX))? as u32;
+    let classes = class_entries
+        .map(|(i, class)| {
+            parse_class(
+                class,
+                at(&first_token_targets_per_ktoken, i),
+                at(&inter_token_targets, i),
+                max_attempts,
+            )
+            .map(Arc::new)
+        })
         .collect::<Result<Vec<_>, _>>()?;
     check_unique(classes.iter().map(|class| &class.name), "grades")?;
     if classes.is_empty() {
         return Err(SetupError::Empty("grades".into()));
     }
-    let tenants = list_of(setup, "tenants")?.iter().map(|t| tenant(t).map_err(|e| e.within("tenants")));
+    let tenants =
+        list_at(setup, "tenants")?.iter().map(|t| parse_tenant(t).map_err(|e| e.nested_in("tenants")));
     let tenants = tenants.collect::<Result<Vec<_>, SetupError>>()?;
     check_unique(tenants.iter().map(|tenant| &tenant.name), "tenants")?;
-    let zone = required(dig(setup, "zone").and_then(Value::as_str), "zone")?;
-    let mode = required(dig(setup, "membership-mode").and_then(Value::as_str), "membership-mode")?;
+    let zone = required(value_at(setup, "zone").and_then(Value::as_str), "zone")?;
+    let mode = required(value_at(setup, "membership-mode").and_then(Value::as_str), "membership-mode")?;
     Ok(Settings {
-        conductors: whole_of(setup, "balancers")?.clamp(1, u64::from(u32::MAX)) as u32,
+        conductors: whole_number_at(setup, "balancers")?.clamp(1, u64::from(u32::MAX)) as u32,
         zone: index_of(&names.zones, zone, "zone")?,
-        min_call_interval: whole_of(setup, "tick")?,
+        min_call_interval: whole_number_at(setup, "tick")?,
         memory_tokens: per_class("specifics.kv-tokens")?,
         roles,
         classes,
         tenants,
-        over_quota_worth: float_of(setup, "over-share-worth")?,
-        parallel_attempts: flag_of(setup, "limits.parallel-tries")?,
-        may_cancel: flag_of(setup, "limits.cancel")?,
-        may_probe: flag_of(setup, "limits.may-probe")?,
-        may_hold: flag_of(setup, "specifics.holds-allowed")?,
-        max_retry_after: match flag_of(setup, "limits.retry-after")? {
-            true => whole_of(setup, "limits.max-retry-after")?,
+        over_quota_worth: float_at(setup, "over-share-worth")?,
+        parallel_attempts: bool_at(setup, "limits.parallel-tries")?,
+        may_cancel: bool_at(setup, "limits.cancel")?,
+        may_probe: bool_at(setup, "limits.may-probe")?,
+        may_hold: bool_at(setup, "specifics.holds-allowed")?,
+        max_retry_after: match bool_at(setup, "limits.retry-after")? {
+            true => whole_number_at(setup, "limits.max-retry-after")?,
             false => 0,
         },
-        decode_can_prefill: flag_of(setup, "specifics.self-prefill")?,
-        resume: flag_of(setup, "specifics.resume")?,
-        cache_release_timeout: whole_of(setup, "specifics.release")?,
-        connect_timeout: whole_or(setup, "limits.connect-timeout", CONNECT_TIMEOUT)?,
-        connection_idle_timeout: whole_or(setup, "limits.conn-idle", CONN_IDLE)?,
-        answer_slack: whole_of(setup, "rules.grace-to-answer")?,
-        drain_grace: whole_of(setup, "rules.drain-grace")?,
-        slow_start_initial_share: float_of(setup, "rules.cold-from")?,
-        slow_start_duration: whole_of(setup, "rules.warm-within")?,
-        overload_multiple: float_of(setup, "rules.fall-multiple")?,
-        overload_duration: whole_of(setup, "rules.fall")?,
+        decode_can_prefill: bool_at(setup, "specifics.self-prefill")?,
+        resume: bool_at(setup, "specifics.resume")?,
+        cache_release_timeout: whole_number_at(setup, "specifics.release")?,
+        connect_timeout: whole_number_or(setup, "limits.connect-timeout", DEFAULT_CONNECT_TIMEOUT)?,
+        connection_idle_timeout: whole_number_or(setup, "limits.conn-idle", DEFAULT_CONNECTION_IDLE_TIMEOUT)?,
+        answer_slack: whole_number_at(setup, "rules.grace-to-answer")?,
+        drain_grace: whole_number_at(setup, "rules.drain-grace")?,
+        slow_start_initial_share: float_at(setup, "rules.cold-from")?,
+        slow_start_duration: whole_number_at(setup, "rules.warm-within")?,
+        overload_multiple: float_at(setup, "rules.fall-multiple")?,
+        overload_duration: whole_number_at(setup, "rules.fall")?,
         list_poll_interval: match mode {
             "push" => None,
-            "ask" => Some(whole_of(setup, "rules.ask-within")?),
+            "ask" => Some(whole_number_at(setup, "rules.ask-within")?),
             _ => return Err(SetupError::Missing("membership-mode".into())),
         },
     })
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -41,15 +41,15 @@
     ] {
         let mut run = account(effect);
         assert!(run.may_be_refused(), "nothing was sent");
-        run.sent(false);
-        run.ended();
+        run.record_send(false);
+        run.record_end();
         assert!(run.may_be_refused(), "a prefill takes no effect");
-        run.sent(true);
+        run.record_send(true);
         assert_eq!(run.may_be_refused(), harmless, "it is out");
-        run.ended();
+        run.record_end();
         assert_eq!(run.may_be_refused(), harmless, "it may have run");
-        run.sent(false);
-        run.ended();
+        run.record_send(false);
+        run.record_end();
         assert_eq!(run.may_be_refused(), harmless, "it may have run before");
     }
 }
