--- a/src/scheduler/figures.rs
+++ b/src/scheduler/figures.rs
@@ -1,9 +1,9 @@
-//! What a router shows of itself. Nothing here decides.
+//! Figures about a router for metrics and tests. Nothing here decides.
 
 use super::Router;
 
 impl Router {
-    /// How many entries are kept under ids that others give: of servers, requests and sessions.
+    /// Number of entries keyed by external ids: servers, requests and sessions.
     pub fn entry_count(&self) -> usize {
         self.servers.len()
             + self.server_indices.len()
@@ -12,7 +12,7 @@
             + self.cached_sessions.len()
     }
 
-    /// Servers that requests may go to now: listed, not draining, and not left alone after failures.
+    /// Number of servers that requests may be sent to now: listed, not draining, and healthy.
     pub fn usable_servers(&self) -> usize {
         (0..self.servers.len())
             .filter(|&server_index| self.servers[server_index].is_up && self.is_healthy(server_index))
--- a/src/scheduler/fleet_index.rs
+++ b/src/scheduler/fleet_index.rs
@@ -1,5 +1,5 @@
-//! What the decisions have to know of all servers together: kept up to date, or computed at most once for
-//! each event, so that an event costs no multiple of servers and held requests.
+//! Index over all servers, maintained incrementally or computed at most once per event. The cost of an event
+//! thus does not grow with the product of servers and queued requests.
 
 use std::cell::{Cell, OnceCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -7,32 +7,33 @@
 use super::*;
 use crate::rate::decay;
 
-/// Share of its part of the writers for its part of the readers that a cell keeps of what it reads.
+/// Share of its own prefills that a rack keeps, for each unit of the ratio between its share of the decode
+/// servers and its share of the prefill servers.
 const RACK_RETENTION_FACTOR: f64 = 1.5;
 
-/// Share of a role that may be out of use before its breakers are passed over (panic threshold).
+/// Share of a role's servers that may be unhealthy before its circuit breakers are ignored (panic threshold).
 const PANIC_SHARE: f64 = 0.5;
 
-/// Which servers of a role may be used in general, as long as one event is worked on.
+/// Rules for which servers of a role may be used; valid within one event.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Pool {
-    /// Some zones are cut off.
+    /// At least one zone is cut off.
     some_zones_cut_off: bool,
-    /// All zones are: then none is passed over.
+    /// All servers are in zones that are cut off, so no zone is skipped.
     all_zones_cut_off: bool,
-    /// So many are out of use that circuit breakers are passed over.
+    /// So many servers are unhealthy that circuit breakers are ignored.
     ignores_breakers: bool,
 }
 
-/// The listed servers by role, and sums over them.
+/// The listed servers by role, with sums over them.
 #[derive(Default)]
 pub(super) struct FleetIndex {
     listed: [Vec<usize>; 3],
-    /// Servers whose circuit breaker has opened, or with an attempt out that has not been heard of.
+    /// Servers with an open circuit breaker or an unacknowledged attempt.
     suspects: BTreeSet<usize>,
-    /// Servers with prefills out.
+    /// Servers with prefills in flight.
     servers_with_prefills: BTreeSet<usize>,
-    /// Grows with each change of the list.
+    /// Incremented with each change of the list.
     version: u64,
     rack_shares: OnceCell<BTreeMap<u64, f64>>,
     pools: [OnceCell<Pool>; 3],
@@ -41,53 +42,53 @@
 }
 
 impl FleetIndex {
-    /// Time has passed: what depends on it is computed anew.
+    /// Discards the values that depend on the time.
     pub(super) fn begin_event(&mut self) {
         self.health_changed();
         self.rates_changed();
     }
 
-    /// Some server's health has changed.
+    /// Discards the values that depend on the health of a server.
     pub(super) fn health_changed(&mut self) {
         self.pools = Default::default();
     }
 
-    /// Some server's rate has changed.
+    /// Discards the values that depend on the completion rate of a server.
     pub(super) fn rates_changed(&mut self) {
         self.mean_warm_rates = Default::default();
     }
 
-    /// Tells one state of the list from the next.
+    /// Version of the list of servers.
     pub(super) fn version(&self) -> u64 {
         self.version
     }
 
-    /// Counts one look at a server.
+    /// Counts one scan of a server.
     pub(super) fn count_scan(&self) {
         self.scan_count.set(self.scan_count.get() + 1);
     }
 
-    /// How many looks at servers there have been.
+    /// Number of servers scanned since the start.
     pub(super) fn scan_count(&self) -> u64 {
         self.scan_count.get()
     }
 }
 
 impl Router {
-    /// How many looks at single servers the decisions have taken since the start: what an event costs.
+    /// Number of servers that the decisions have scanned since the start, as a measure of an event's cost.
     pub fn scan_count(&self) -> u64 {
         self.fleet.scan_count()
     }
 
-    /// Follows a change of the list.
+    /// Rebuilds the index after a change of the list.
     pub(super) fn rebuild_fleet_index(&mut self) {
         let mut listed: [Vec<usize>; 3] = Default::default();
         for (server_index, server) in self.servers.iter().enumerate().filter(|(_, server)| server.is_up) {
             listed[server.role as usize].push(server_index);
         }
         let version = self.fleet.version + 1;
-        let suspect = |server_index: &usize| self.servers[*server_index].is_suspect();
-        let suspects = (0..self.servers.len()).filter(suspect).collect();
+        let is_suspect = |server_index: &usize| self.servers[*server_index].is_suspect();
+        let suspects = (0..self.servers.len()).filter(is_suspect).collect();
         let servers_with_prefills =
             (0..self.servers.len()).filter(|&server_index| self.servers[server_index].prefills > 0).collect();
         let scan_count = self.fleet.scan_count.clone();
@@ -101,7 +102,7 @@
         };
     }
 
-    /// Follows a change of one server's circuit breaker or of its attempts.
+    /// Updates the index after a change of one server's circuit breaker or attempts.
     pub(super) fn reindex_server(&mut self, server_index: usize) {
         let server = &self.servers[server_index];
         match server.is_suspect() {
@@ -128,76 +129,85 @@
         self.fleet.suspects.iter().copied().filter(of_role)
     }
 
-    /// Prefills that are out at servers which are not silent or failing: those may never end.
+    /// Prefills in flight at healthy servers; those at unhealthy servers may never end.
     pub(super) fn prefills_in_flight(&self) -> u32 {
-        let reads = |&server_index: &usize| {
+        let prefills = |&server_index: &usize| {
             if self.is_healthy(server_index) {
                 self.servers[server_index].prefills
             } else {
                 0
             }
         };
-        self.fleet.servers_with_prefills.iter().map(reads).sum()
+        self.fleet.servers_with_prefills.iter().map(prefills).sum()
     }
 
+    /// The pool of a role, computed at most once per event.
     pub(super) fn pool(&self, role: Stage) -> Pool {
         *self.fleet.pools[role as usize].get_or_init(|| {
             let listed = self.listed(role);
             let some_zones_cut_off = self.zones.keys().any(|zone| self.is_zone_cut_off(zone));
-            let cut = |server_index: &usize| {
+            let is_cut_off = |server_index: &usize| {
                 some_zones_cut_off && self.is_zone_cut_off(&self.servers[*server_index].zone)
             };
-            let all_zones_cut_off = some_zones_cut_off && listed.iter().all(cut);
-            let (up, unhealthy) = if some_zones_cut_off {
-                let reached = || listed.iter().filter(|server_index| all_zones_cut_off || !cut(server_index));
-                (reached().count(), reached().filter(|server_index| !self.is_healthy(**server_index)).count())
+            let all_zones_cut_off = some_zones_cut_off && listed.iter().all(is_cut_off);
+            let (total, unhealthy) = if some_zones_cut_off {
+                let reachable =
+                    || listed.iter().filter(|server_index| all_zones_cut_off || !is_cut_off(server_index));
+                (
+                    reachable().count(),
+                    reachable().filter(|server_index| !self.is_healthy(**server_index)).count(),
+                )
             } else {
                 (
                     listed.len(),
                     self.suspects(role).filter(|&server_index| !self.is_healthy(server_index)).count(),
                 )
             };
-            let ignores_breakers = ((up - unhealthy) as f64) < up as f64 * (1.0 - PANIC_SHARE);
+            let ignores_breakers = ((total - unhealthy) as f64) < total as f64 * (1.0 - PANIC_SHARE);
             Pool { some_zones_cut_off, all_zones_cut_off, ignores_breakers }
         })
     }
 
-    /// Whether a listed server is one of the pool of its role.
+    /// Whether a listed server belongs to the pool of its role.
     pub(super) fn is_in_pool(&self, pool: Pool, server_index: usize) -> bool {
-        let cut = pool.some_zones_cut_off
+        let is_cut_off = pool.some_zones_cut_off
             && !pool.all_zones_cut_off
             && self.is_zone_cut_off(&self.servers[server_index].zone);
-        !cut && (pool.ignores_breakers || self.is_healthy(server_index))
+        !is_cut_off && (pool.ignores_breakers || self.is_healthy(server_index))
     }
 
-    /// What a warm server of a role takes from here on average, a second.
+    /// Mean completion rate, per second, that this conductor sees at the warm servers of a role.
     pub(super) fn mean_warm_rate(&self, role: Stage) -> f64 {
         *self.fleet.mean_warm_rates[role as usize].get_or_init(|| {
-            let warm = |v: &&Server| v.started_at + self.settings.slow_start_duration < self.now;
-            let warm = self.listed(role).iter().map(|&v| &self.servers[v]).filter(warm);
-            let rates = warm.map(|v| decay(v.completion_rate, self.now - v.rate_updated_at));
-            let (sum, count) = rates.fold((0.0, 0.0_f64), |(s, n), rate| (s + rate, n + 1.0));
+            let warm = |server: &&Server| server.started_at + self.settings.slow_start_duration < self.now;
+            let warm = self.listed(role).iter().map(|&server_index| &self.servers[server_index]).filter(warm);
+            let rates = warm.map(|server| decay(server.completion_rate, self.now - server.rate_updated_at));
+            let (sum, count) = rates.fold((0.0, 0.0_f64), |(sum, count), rate| (sum + rate, count + 1.0));
             sum / count.max(1.0)
         })
     }
 
-    /// Share of what it reads that each cell's own decode servers can take. Many routers have no stream at
-    /// most of these, so that a cell with many prefill servers would pile all that they read on its few.
+    /// For each rack, the share of its prefills that its own decode servers can take. Where there are many
+    /// conductors, each has no stream at most decode servers; without this limit, a rack with many prefill
+    /// servers would send all their output to its few decode servers.
     pub(super) fn rack_shares(&self) -> &BTreeMap<u64, f64> {
         self.fleet.rack_shares.get_or_init(|| {
-            let mut cells: BTreeMap<u64, [f64; 3]> = BTreeMap::new();
-            for v in self.fleet.listed.iter().flatten().map(|&v| &self.servers[v]) {
-                cells.entry(v.rack).or_default()[v.role as usize] += 1.0;
+            let mut racks: BTreeMap<u64, [f64; 3]> = BTreeMap::new();
+            for server in self.fleet.listed.iter().flatten().map(|&server_index| &self.servers[server_index])
+            {
+                racks.entry(server.rack).or_default()[server.role as usize] += 1.0;
             }
-            let all = cells.values().fold((0.0, 0.0), |sum, c| (sum.0 + c[0], sum.1 + c[1]));
-            let share = |c: [f64; 3]| RACK_RETENTION_FACTOR * c[1] * all.0 / (c[0] * all.1).max(0.1);
-            cells.into_iter().map(|(cell, c)| (cell, share(c))).collect()
+            let total = racks.values().fold((0.0, 0.0), |sum, counts| (sum.0 + counts[0], sum.1 + counts[1]));
+            let share = |counts: [f64; 3]| {
+                RACK_RETENTION_FACTOR * counts[1] * total.0 / (counts[0] * total.1).max(0.1)
+            };
+            racks.into_iter().map(|(rack, counts)| (rack, share(counts))).collect()
         })
     }
 }
 
 impl Server {
-    /// Its health has to be looked at: all others are well.
+    /// Whether the server may be unhealthy; all others are healthy.
     fn is_suspect(&self) -> bool {
         self.consecutive_failures >= BREAKER_FAILURE_THRESHOLD || self.unanswered_since.is_some()
     }
--- a/src/scheduler/handover.rs
+++ b/src/scheduler/handover.rs
@@ -1,6 +1,7 @@
-//! What a router that takes another's place is given of what that one has learned. Nothing here decides.
+//! State that a conductor hands over to the process that replaces it, and work shared between processes.
+//! Nothing here decides.
 //!
-//! Times are spans before or after the moment of the snapshot, as each process has a clock of its own.
+//! Times are spans before or after the time of the snapshot, because each process has its own clock.
 
 use std::collections::BTreeMap;
 
@@ -9,12 +10,13 @@
 use super::{Router, Server};
 use crate::interface::{Id, Micros};
 
-/// Sessions whose last reader is handed over: the latest ones.
+/// Sessions in a snapshot: those that were used last.
 const MAX_SESSIONS: usize = 4_096;
-/// Two clocks are set to the wall clock's milliseconds: starts this close are one.
+/// Start times this close are the same start, because both processes set their clocks by the wall clock's
+/// milliseconds.
 const SAME_START_TOLERANCE: Micros = 10_000;
 
-/// What a router has learned.
+/// What a router has learned about its servers, tenants and sessions.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
     #[serde(rename = "pace")]
@@ -64,14 +66,14 @@
 }
 
 impl Snapshot {
-    /// Whether all of it has been taken over.
+    /// Whether the state of all servers has been restored.
     pub fn is_empty(&self) -> bool {
         self.servers.is_empty()
     }
 }
 
 impl Router {
-    /// What it has learned up to now.
+    /// Exports what the router has learned so far.
     pub fn snapshot(&self, now: Micros) -> Snapshot {
         let listed = self.servers.iter().filter(|server| !server.id.is_empty());
         let servers = listed.map(|server| ServerSnapshot {
@@ -86,14 +88,15 @@
             next_slow_start_send_in: server.next_slow_start_send_at.saturating_sub(now),
         });
         let tenants = self.settings.tenants.iter().zip(&self.quota_levels);
-        let tenants = tenants.map(|(t, quota)| TenantSnapshot { name: t.name.clone(), quota_left: quota.0 });
+        let tenants =
+            tenants.map(|(tenant, quota)| TenantSnapshot { name: tenant.name.clone(), quota_left: quota.0 });
         let mut sessions: Vec<_> = self.cached_sessions.iter().collect();
-        sessions.sort_by_key(|(_, kept)| std::cmp::Reverse(kept.2));
-        let sessions = sessions.into_iter().take(MAX_SESSIONS).map(|(id, kept)| SessionSnapshot {
+        sessions.sort_by_key(|(_, session)| std::cmp::Reverse(session.2));
+        let sessions = sessions.into_iter().take(MAX_SESSIONS).map(|(id, session)| SessionSnapshot {
             id: id.clone(),
-            server: self.servers[kept.0].id.clone(),
-            prompt_tokens: kept.1,
-            age: now.saturating_sub(kept.2),
+            server: self.servers[session.0].id.clone(),
+            prompt_tokens: session.1,
+            age: now.saturating_sub(session.2),
         });
         Snapshot {
             us_per_token: self.us_per_token,
@@ -103,15 +106,15 @@
         }
     }
 
-    /// Takes over what a snapshot of this age says of servers that are listed, and leaves the rest in it for
-    /// when they are.
+    /// Restores what a snapshot of this age says about listed servers. The rest stays in the snapshot until
+    /// its servers are listed.
     pub fn restore(&mut self, now: Micros, age: Micros, snapshot: &mut Snapshot) {
-        if snapshot.us_per_token.iter().all(|pace| *pace > 0.0 && pace.is_finite()) {
+        if snapshot.us_per_token.iter().all(|us| *us > 0.0 && us.is_finite()) {
             self.us_per_token = std::mem::take(&mut snapshot.us_per_token);
         }
         for tenant in snapshot.tenants.drain(..) {
-            if let Some(i) = self.settings.tenant(&tenant.name) {
-                self.quota_levels[i] = (tenant.quota_left, now.saturating_sub(age));
+            if let Some(index) = self.settings.tenant(&tenant.name) {
+                self.quota_levels[index] = (tenant.quota_left, now.saturating_sub(age));
             }
         }
         let (known, unknown) = std::mem::take(&mut snapshot.servers)
@@ -127,38 +130,38 @@
         snapshot.sessions = unknown;
         for session in known {
             let at = now.saturating_sub(age + session.age);
-            let kept = (self.server_indices[&session.server], session.prompt_tokens, at);
-            self.cached_sessions.entry(session.id).or_insert(kept);
+            let cached = (self.server_indices[&session.server], session.prompt_tokens, at);
+            self.cached_sessions.entry(session.id).or_insert(cached);
         }
     }
 
     fn restore_server(&mut self, now: Micros, age: Micros, snapshot: &ServerSnapshot) {
         let server = &mut self.servers[self.server_indices[&snapshot.id]];
-        let started = snapshot.started_ago.map_or(0, |before| now.saturating_sub(age + before));
-        if server.started_at > started + SAME_START_TOLERANCE {
-            // It has restarted since: nothing of this is true any more.
+        let started_at = snapshot.started_ago.map_or(0, |ago| now.saturating_sub(age + ago));
+        if server.started_at > started_at + SAME_START_TOLERANCE {
+            // The server has restarted since, so the snapshot no longer applies to it.
             return;
         }
-        let left = |span: Micros| now + span.saturating_sub(age);
-        server.started_at = server.started_at.max(started);
+        let remaining = |span: Micros| now + span.saturating_sub(age);
+        server.started_at = server.started_at.max(started_at);
         server.completion_rate = snapshot.completion_rate;
         server.rate_updated_at = now.saturating_sub(age + snapshot.rate_age);
         (server.consecutive_failures, server.breaker_open_until) =
-            (snapshot.consecutive_failures, left(snapshot.breaker_open_for));
+            (snapshot.consecutive_failures, remaining(snapshot.breaker_open_for));
         (server.consecutive_rejections, server.backoff_until) =
-            (snapshot.consecutive_rejections, left(snapshot.backoff_for));
-        server.next_slow_start_send_at = left(snapshot.next_slow_start_send_in);
+            (snapshot.consecutive_rejections, remaining(snapshot.backoff_for));
+        server.next_slow_start_send_at = remaining(snapshot.next_slow_start_send_in);
         let server_index = self.server_indices[&snapshot.id];
         self.reindex_server(server_index);
         self.fleet.rates_changed();
     }
 }
 
-/// What is open at servers, by server.
+/// Work in flight, by server.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct OpenWork(BTreeMap<Id, ServerWork>);
 
-/// What is open at one server.
+/// Work in flight at one server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 struct ServerWork {
     #[serde(rename = "reads")]
@@ -168,7 +171,7 @@
 }
 
 impl OpenWork {
-    /// Adds what another process has open.
+    /// Adds the work of another process.
     pub fn add(&mut self, other: OpenWork) {
         for (id, work) in other.0 {
             let sum = self.0.entry(id).or_default();
@@ -182,7 +185,7 @@
         ServerWork { prefills: server.prefills, streams: server.streams, tokens: server.charged_tokens }
     }
 
-    fn count_at(self, server: &mut Server) {
+    fn apply_to(self, server: &mut Server) {
         (server.prefills, server.streams, server.charged_tokens) = (self.prefills, self.streams, self.tokens);
     }
 
@@ -204,37 +207,37 @@
 }
 
 impl Router {
-    /// What this router has open at servers.
+    /// The work of this router in flight at servers, without that of other processes.
     pub fn open_work(&self) -> OpenWork {
-        let own = self.servers.iter().filter_map(|server| {
+        let work = self.servers.iter().filter_map(|server| {
             let foreign = self.foreign_work.0.get(&server.id).copied().unwrap_or_default();
             let work = ServerWork::of(server).minus(foreign);
             (work != ServerWork::default()).then(|| (server.id.clone(), work))
         });
-        OpenWork(own.collect())
+        OpenWork(work.collect())
     }
 
-    /// What other processes of the same conductor have open counts as this router's own, in place of what
-    /// they had before.
+    /// Counts the work of other processes of the same conductor as this router's own, in place of what they
+    /// reported before.
     pub fn set_foreign_work(&mut self, foreign: OpenWork) {
         let before = std::mem::replace(&mut self.foreign_work, foreign);
         for (id, work) in &before.0 {
             let Some(&server_index) = self.server_indices.get(id) else { continue };
             let server = &mut self.servers[server_index];
-            ServerWork::of(server).minus(*work).count_at(server);
+            ServerWork::of(server).minus(*work).apply_to(server);
         }
-        // What is not listed here is not counted, so that it is not taken off again either.
+        // Work at servers that are not listed is not counted, so it must not be subtracted later either.
         self.foreign_work.0.retain(|id, _| self.server_indices.contains_key(id));
         for (id, work) in &self.foreign_work.0 {
             let server = &mut self.servers[self.server_indices[id]];
-            ServerWork::of(server).plus(*work).count_at(server);
+            ServerWork::of(server).plus(*work).apply_to(server);
         }
-        let touched: Vec<usize> = before
+        let changed: Vec<usize> = before
             .0
             .keys()
             .chain(self.foreign_work.0.keys())
             .filter_map(|id| self.server_indices.get(id).copied())
             .collect();
-        touched.into_iter().for_each(|server_index| self.reindex_server(server_index));
+        changed.into_iter().for_each(|server_index| self.reindex_server(server_index));
     }
 }
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -1,65 +1,72 @@
-//! Which server a request goes to: with which it leaves, and which writes what has been read.
+//! Selects the server of an attempt: where a queued request is sent, and which server decodes after a
+//! prefill.
 
 use super::candidates::Candidates;
 use super::*;
 use crate::hash::mix;
 
-/// Own streams are compared in steps of this share of the part. Within one they hardly slow each other, and
-/// a state stays in its rack, whose link carries little more than its readers send.
+/// Decode servers are compared by their number of own streams in steps of this share of the conductor's
+/// slots. Streams within one step hardly slow each other, and the KV cache stays in its rack, whose link
+/// carries little more than its prefill servers send.
 const STREAM_STEP_SHARE: f64 = 1.0 / 3.0;
-/// Share of a server's memory that all routers together plan to fill.
+/// Share of a server's memory that all conductors together plan to fill.
 const MEMORY_SHARE: f64 = 0.9;
-/// A writer takes this much of what a mixed server takes whole: a mixed server also reads.
+/// Requests that a decode server takes for each one that a mixed server takes, which also does the prefill.
 const MIXED_SERVER_WEIGHT: f64 = 1.5;
-/// More tokens than this to read are not for a mixed server while there are readers.
+/// Most uncached prompt tokens that go to a mixed server while prefill servers are available.
 const MAX_MIXED_PREFILL_TOKENS: u64 = 3_000;
-/// Of the servers that a prefix hashes to, so many are asked before the least full of them is taken.
+/// Servers, in the order of the prefix hash, that are probed before the least loaded of them is taken.
 const MAX_PROBED_SERVERS: usize = 3;
-/// Own requests that may wait at one writer or mixed server to begin: a queue there helps nobody.
+/// Own requests at one decode or mixed server whose first token is still due: a longer queue there gains
+/// nothing.
 const MAX_UNSTARTED_STREAMS: f64 = 4.0;
-/// Streams of all routers together at one writer, and at a mixed server, whose reads stall its streams.
+/// Streams of all conductors together at one decode server.
 const DECODE_SLOTS: f64 = 80.0;
+/// Streams of all conductors together at one mixed server, whose prefills stall its streams.
 const MIXED_SLOTS: f64 = 30.0;
-/// Tokens of all routers together at one prefill server past which the next takes over.
+/// Prompt tokens of all conductors together at one prefill server; beyond them the next server is used.
 const MAX_PREFILL_TOKENS: f64 = 12_000.0;
 
 impl Router {
-    /// The server with which a held request leaves now, if any.
+    /// The server that a queued request is sent to now; `None` if it stays in the queue.
     pub(super) fn choose_server(&self, request: &Request) -> Option<usize> {
-        let two_stages = request.attempts + 2 <= request.query.class.max_attempts;
-        let room = |server_index: usize| self.has_capacity(server_index, request);
-        let decode = self.candidates(request, Stage::Decode);
-        let prefill = self.candidates(request, Stage::Prefill);
-        let no_prefill = prefill.iter().next().is_none();
-        let short = |server_index: usize| {
-            no_prefill || self.uncached_tokens(&request.query, server_index) <= MAX_MIXED_PREFILL_TOKENS
+        let may_run_two_stages = request.attempts + 2 <= request.query.class.max_attempts;
+        let has_capacity = |server_index: usize| self.has_capacity(server_index, request);
+        let decode_servers = self.candidates(request, Stage::Decode);
+        let prefill_servers = self.candidates(request, Stage::Prefill);
+        let no_prefill_server = prefill_servers.iter().next().is_none();
+        let is_short = |server_index: usize| {
+            no_prefill_server
+                || self.uncached_tokens(&request.query, server_index) <= MAX_MIXED_PREFILL_TOKENS
         };
-        let mixed = self.choose_mixed_server(request, short);
+        let mixed = self.choose_mixed_server(request, is_short);
         let last = self.last_prefill_server(request);
-        if !self.has_decode_capacity(request, &decode) {
+        if !self.has_decode_capacity(request, &decode_servers) {
             return mixed;
         }
-        let reader = if two_stages { self.choose_prefill_server(request, &prefill) } else { None };
-        match (reader, mixed) {
-            (Some(r), _) if Some(r) == last => Some(r),
-            (_, Some(m)) if Some(m) == last => Some(m),
-            (Some(r), Some(m)) => {
-                // By a hash of the session, so that all its turns fall alike at every router.
+        let prefill =
+            if may_run_two_stages { self.choose_prefill_server(request, &prefill_servers) } else { None };
+        match (prefill, mixed) {
+            (Some(prefill), _) if Some(prefill) == last => Some(prefill),
+            (_, Some(mixed)) if Some(mixed) == last => Some(mixed),
+            (Some(prefill), Some(mixed)) => {
+                // Decided by a hash of the session, so that all its turns go the same way at every conductor.
                 let count = |role| self.listed(role).len() as f64;
                 let share =
                     count(Stage::Mixed) / (count(Stage::Mixed) + count(Stage::Decode) * MIXED_SERVER_WEIGHT);
-                let whole = share_of(hash(&request.query.session, 1)) < share;
-                Some(if whole { m } else { r })
+                let prefers_mixed = share_of(hash(&request.query.session, 1)) < share;
+                Some(if prefers_mixed { mixed } else { prefill })
             }
-            (Some(r), None) => Some(r),
-            (None, Some(m)) => Some(m),
-            // Prefill servers are gone or full: a decode server that can read by itself takes a short prompt
-            // whole.
+            (Some(prefill), None) => Some(prefill),
+            (None, Some(mixed)) => Some(mixed),
+            // Prefill servers are gone or full: a decode server that can prefill takes a short prompt whole.
             (None, None) if self.settings.decode_can_prefill => {
-                let waited = self.now - request.arrived_at > request.query.class.first_token_target / 4;
-                let able = |server_index: usize| !two_stages || no_prefill || (waited && short(server_index));
-                decode
-                    .by_affinity(1, |server_index| able(server_index) && room(server_index))
+                let has_waited = self.now - request.arrived_at > request.query.class.first_token_target / 4;
+                let is_eligible = |server_index: usize| {
+                    !may_run_two_stages || no_prefill_server || (has_waited && is_short(server_index))
+                };
+                decode_servers
+                    .by_affinity(1, |server_index| is_eligible(server_index) && has_capacity(server_index))
                     .first()
                     .copied()
             }
@@ -67,160 +74,172 @@
         }
     }
 
-    /// Whether some decode server has room, and all of them for what is being read and will want one soon.
-    fn has_decode_capacity(&self, request: &Request, decode: &Candidates) -> bool {
-        if self.is_role_full(decode, Stage::Decode, |_| true) {
+    /// Whether a decode server has capacity, and all of them together have enough for the prefills in flight,
+    /// which will soon need one each.
+    fn has_decode_capacity(&self, request: &Request, decode_servers: &Candidates) -> bool {
+        if self.is_role_full(decode_servers, Stage::Decode, |_| true) {
             return false;
         }
-        let coming = self.prefills_in_flight();
+        let prefills = self.prefills_in_flight();
         let mut spare = 0.0;
-        let mut add = |server_index: usize| {
+        let mut suffices = |server_index: usize| {
             spare += self.spare_capacity(server_index, request);
-            spare >= f64::from(coming + 1)
+            spare >= f64::from(prefills + 1)
         };
-        (coming == 0 || decode.iter().any(&mut add))
-            && decode.iter().any(|server_index| self.has_capacity(server_index, request))
+        (prefills == 0 || decode_servers.iter().any(&mut suffices))
+            && decode_servers.iter().any(|server_index| self.has_capacity(server_index, request))
     }
 
-    fn choose_prefill_server(&self, request: &Request, prefill: &Candidates) -> Option<usize> {
-        if self.is_role_full(prefill, Stage::Prefill, |_| true) {
+    fn choose_prefill_server(&self, request: &Request, prefill_servers: &Candidates) -> Option<usize> {
+        if self.is_role_full(prefill_servers, Stage::Prefill, |_| true) {
             return None;
         }
         match self.uses_load_probes() {
-            true => self.least_loaded(request, prefill),
-            false => prefill
+            true => self.least_loaded(request, prefill_servers),
+            false => prefill_servers
                 .by_affinity(1, |server_index| self.has_capacity(server_index, request))
                 .first()
                 .copied(),
         }
     }
 
-    /// The mixed server that takes it whole.
-    fn choose_mixed_server(&self, request: &Request, short: impl Fn(usize) -> bool) -> Option<usize> {
+    /// The mixed server for both stages of the request.
+    fn choose_mixed_server(&self, request: &Request, is_short: impl Fn(usize) -> bool) -> Option<usize> {
         if self.listed(Stage::Mixed).is_empty() {
             return None;
         }
-        let mixed = self.candidates(request, Stage::Mixed);
-        if self.is_role_full(&mixed, Stage::Mixed, &short) {
+        let mixed_servers = self.candidates(request, Stage::Mixed);
+        if self.is_role_full(&mixed_servers, Stage::Mixed, &is_short) {
             return None;
         }
-        mixed
-            .by_affinity(1, |server_index| short(server_index) && self.has_capacity(server_index, request))
+        mixed_servers
+            .by_affinity(1, |server_index| is_short(server_index) && self.has_capacity(server_index, request))
             .first()
             .copied()
     }
 
-    /// The first home that is not known to be full, else the least full of those that were asked.
-    fn least_loaded(&self, request: &Request, prefill: &Candidates) -> Option<usize> {
-        let full = |server_index: usize| self.reported_outstanding(server_index).unwrap_or(0.0);
-        let all = prefill.by_affinity(MAX_PROBED_SERVERS, |server_index| {
-            self.has_capacity(server_index, request) && full(server_index) < PREFILL_SLOTS
+    /// The first server by affinity whose queue is not known to be at its target, or else the least loaded of
+    /// the servers that were probed.
+    fn least_loaded(&self, request: &Request, prefill_servers: &Candidates) -> Option<usize> {
+        let outstanding = |server_index: usize| self.reported_outstanding(server_index).unwrap_or(0.0);
+        let found = prefill_servers.by_affinity(MAX_PROBED_SERVERS, |server_index| {
+            self.has_capacity(server_index, request) && outstanding(server_index) < PREFILL_SLOTS
         });
-        let first = all.iter().copied().find(|&server_index| full(server_index) < TARGET_QUEUE_LENGTH);
-        first.or_else(|| all.into_iter().min_by(|&a, &b| full(a).total_cmp(&full(b))))
+        let first =
+            found.iter().copied().find(|&server_index| outstanding(server_index) < TARGET_QUEUE_LENGTH);
+        first.or_else(|| found.into_iter().min_by(|&a, &b| outstanding(a).total_cmp(&outstanding(b))))
     }
 
-    /// The writer for a state: fewest own streams in steps, then the reader's cell, writers before mixed
-    /// servers, its zone, and fewest of all.
+    /// The server that decodes after a prefill: the one with the fewest own streams in steps, then in the
+    /// rack of the prefill server, decode before mixed servers, in its zone, and with the fewest own streams.
     pub(super) fn choose_decode_server(&self, request: &Request) -> Option<usize> {
-        let near = self.proximity(request, request.kv_cache?.0);
-        let writers = self.candidates(request, Stage::Decode);
-        let mixed = self.candidates(request, Stage::Mixed);
-        // Those with room first; if all are at cap it goes and queues, where it rests the shortest.
+        let proximity = self.proximity(request, request.kv_cache?.0);
+        let decode_servers = self.candidates(request, Stage::Decode);
+        let mixed_servers = self.candidates(request, Stage::Mixed);
+        // Servers with capacity come first. If none has any, the request waits at the server whose backoff
+        // ends first.
         let rank = |&server_index: &usize| {
-            let v = &self.servers[server_index];
-            let full =
-                if self.has_capacity(server_index, request) { 0 } else { v.backoff_until.max(self.now) };
-            let whole = v.role == Stage::Mixed;
-            let slots = self.own_share(if whole { MIXED_SLOTS } else { DECODE_SLOTS });
-            let step = (f64::from(v.streams) / (slots * STREAM_STEP_SHARE).max(1.0)) as u32;
-            let (far, zone, draw) = near(v);
+            let server = &self.servers[server_index];
+            let available_at =
+                if self.has_capacity(server_index, request) { 0 } else { server.backoff_until.max(self.now) };
+            let is_mixed = server.role == Stage::Mixed;
+            let slots = self.own_share(if is_mixed { MIXED_SLOTS } else { DECODE_SLOTS });
+            let step = (f64::from(server.streams) / (slots * STREAM_STEP_SHARE).max(1.0)) as u32;
+            let (other_rack, other_zone, draw) = proximity(server);
             (
                 request.failed_servers.contains(&server_index),
-                full > 0,
-                full,
+                available_at > 0,
+                available_at,
                 step,
-                far,
-                whole,
-                zone,
-                v.streams,
+                other_rack,
+                is_mixed,
+                other_zone,
+                server.streams,
                 draw,
             )
         };
-        writers.iter().chain(mixed.iter()).min_by_key(rank)
+        decode_servers.iter().chain(mixed_servers.iter()).min_by_key(rank)
     }
 
+    /// Ranks servers for a KV cache at `cache_server`: other rack, other zone, and a tie-breaking hash.
     pub(super) fn proximity(
         &self,
         request: &Request,
-        at: usize,
+        cache_server: usize,
     ) -> impl Fn(&Server) -> (bool, bool, u64) + '_ {
-        let at = &self.servers[at];
+        let cache_server = &self.servers[cache_server];
         let draw = if self.has_fractional_shares() { hash(&request.query.id, self.seed) } else { self.seed };
-        let keeps = self.rack_shares();
-        let keeps = move |cell: u64| keeps.get(&cell).copied().unwrap_or(1.0);
-        let stays = !self.has_fractional_shares() || share_of(draw) < keeps(at.rack);
-        let near = move |cell: u64| if stays { cell == at.rack } else { keeps(cell) > 1.0 };
-        move |v| (!near(v.rack), v.zone != at.zone, mix(v.hash ^ draw))
+        let shares = self.rack_shares();
+        let share = move |rack: u64| shares.get(&rack).copied().unwrap_or(1.0);
+        let stays_in_rack = !self.has_fractional_shares() || share_of(draw) < share(cache_server.rack);
+        let is_preferred_rack =
+            move |rack: u64| if stays_in_rack { rack == cache_server.rack } else { share(rack) > 1.0 };
+        move |server| {
+            (!is_preferred_rack(server.rack), server.zone != cache_server.zone, mix(server.hash ^ draw))
+        }
     }
 
-    /// Where a part of one server is less than one request, the parts of all of a role together bound
-    /// what waits there: else a router always finds one more server that it has nothing out at.
-    fn is_role_full(&self, peers: &Candidates, stage: Stage, pass: impl Fn(usize) -> bool) -> bool {
+    /// Whether this conductor's share of all servers of a role together is used up, where its share of one
+    /// server is less than one request. Without this bound, a conductor always finds one more server at which
+    /// it has no request.
+    fn is_role_full(&self, candidates: &Candidates, stage: Stage, filter: impl Fn(usize) -> bool) -> bool {
         if !self.has_fractional_shares() || self.uses_load_probes() {
             return false;
         }
         if self.now < self.next_send_at[stage as usize] {
             return true;
         }
-        let waits: u32 = peers
+        let waiting: u32 = candidates
             .suspects()
-            .filter(|&server_index| pass(server_index))
+            .filter(|&server_index| filter(server_index))
             .map(|server_index| self.servers[server_index].unacknowledged)
             .sum();
-        if waits == 0 {
+        if waiting == 0 {
             return false;
         }
-        let (most, mut count) = (self.own_share(PREFILL_SLOTS), 0.0);
-        let mut enough = |_| {
+        let (share, mut count) = (self.own_share(PREFILL_SLOTS), 0.0);
+        let mut has_room = |_| {
             count += 1.0;
-            f64::from(waits + 1) <= most * count
+            f64::from(waiting + 1) <= share * count
         };
-        !peers.iter().filter(|&server_index| pass(server_index)).any(&mut enough)
+        !candidates.iter().filter(|&server_index| filter(server_index)).any(&mut has_room)
     }
 
-    /// Under the own cap, in number and in tokens; an empty server always has room for one.
+    /// Whether a server has room within this conductor's share of its slots and tokens. An idle server always
+    /// has room for one request.
     pub(super) fn has_capacity(&self, server_index: usize, request: &Request) -> bool {
         let server = &self.servers[server_index];
-        let empty = server.prefills + server.streams == 0;
-        self.now >= server.backoff_until && (empty || self.spare_capacity(server_index, request) >= 1.0)
+        let is_idle = server.prefills + server.streams == 0;
+        self.now >= server.backoff_until && (is_idle || self.spare_capacity(server_index, request) >= 1.0)
     }
 
-    pub(super) fn own_share(&self, all: f64) -> f64 {
-        all / self.equivalent_conductors
+    /// This conductor's share of a total that belongs to all conductors.
+    pub(super) fn own_share(&self, total: f64) -> f64 {
+        total / self.equivalent_conductors
     }
 
-    /// So many routers that each one's part of a server is less than one request.
+    /// Whether there are so many conductors that each one's share of a server is less than one request.
     pub(super) fn has_fractional_shares(&self) -> bool {
         self.own_share(PREFILL_SLOTS) < 1.0
     }
 
+    /// How many more requests like this one fit into this conductor's share of a server.
     pub(super) fn spare_capacity(&self, server_index: usize, request: &Request) -> f64 {
         let server = &self.servers[server_index];
         let slots = [PREFILL_SLOTS, DECODE_SLOTS, MIXED_SLOTS][server.role as usize];
-        let count = self.own_share(slots).max(1.0).floor() - f64::from(server.prefills + server.streams);
-        let (bound, each) = if server.role == Stage::Prefill {
+        let free_slots = self.own_share(slots).max(1.0).floor() - f64::from(server.prefills + server.streams);
+        let (max_tokens, tokens) = if server.role == Stage::Prefill {
             (self.own_share(MAX_PREFILL_TOKENS), self.uncached_tokens(&request.query, server_index))
         } else {
-            let memory = self.settings.memory_tokens.get(server.kind).copied().filter(|&m| m > 0);
-            let all = memory.map_or(f64::INFINITY, |m| m as f64 * MEMORY_SHARE);
-            (self.own_share(all), stream_tokens(&request.query))
+            let memory = self.settings.memory_tokens.get(server.kind).copied().filter(|&tokens| tokens > 0);
+            let usable = memory.map_or(f64::INFINITY, |tokens| tokens as f64 * MEMORY_SHARE);
+            (self.own_share(usable), stream_tokens(&request.query))
         };
-        // Those that wait there to begin show a queue at once, whatever makes it.
-        let begin = if server.role == Stage::Prefill { f64::INFINITY } else { MAX_UNSTARTED_STREAMS };
-        count
-            .min(begin - f64::from(server.unacknowledged))
-            .min((bound - server.charged_tokens as f64) / each.max(1) as f64)
+        // Requests that wait for their first token show a queue at once, whatever its cause.
+        let max_unstarted = if server.role == Stage::Prefill { f64::INFINITY } else { MAX_UNSTARTED_STREAMS };
+        free_slots
+            .min(max_unstarted - f64::from(server.unacknowledged))
+            .min((max_tokens - server.charged_tokens as f64) / tokens.max(1) as f64)
             .max(0.0)
     }
 }
--- a/src/scheduler/queue.rs
+++ b/src/scheduler/queue.rs
@@ -1,44 +1,47 @@
-//! In what order held requests leave: shortest prompt first, starved ones ahead, one at a time.
+//! Order of the queue: shortest prompt first, with one starved request at a time ahead of the others.
 
 use super::*;
 
-/// Held this long is starved, or for this share of the time after which it is given up.
+/// Time in the queue after which a request counts as starved.
 const STARVATION_AGE: Micros = 2_000_000;
+/// A request is starved earlier if it has waited for this share of the time after which it is given up.
 const STARVATION_SHARE: f64 = 0.7;
-/// One starved request leaves ahead in this time, in more where parts are below one request.
+/// Interval at which one starved request is sent ahead of the others; longer where shares are fractional.
 const PROMOTION_INTERVAL: Micros = 100_000;
-/// Once an event has cost so many looks at servers, the requests behind are tried with the next one.
+/// Servers scanned during one event after which the remaining requests wait for the next event.
 const MAX_SCANS_PER_EVENT: u64 = 50_000;
 
-/// A held request; they leave in this order.
+/// A queued request. Derives `Ord`: the order of the fields is the order of the queue.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct QueuedRequest {
-    late: bool,
+    is_late: bool,
     prompt_tokens: u64,
-    arrived: Micros,
+    arrived_at: Micros,
     id: Id,
-    last_start: Micros,
+    latest_start: Micros,
 }
 
 impl Router {
-    /// Lets those leave that can.
+    /// Sends the queued requests for which a server has room.
     pub(super) fn dispatch_queued(&mut self, actions: &mut Vec<Action>) {
         if self.queued.is_empty() {
             return;
         }
         let order = self.dispatch_order();
-        let ahead = order.first().map(|first| first.id.clone());
-        // Those before were tried with the event before.
-        let tried = std::mem::take(&mut self.tried_count).min(order.len());
+        let first = order.first().map(|first| first.id.clone());
+        // The previous event tried the requests before this position.
+        let tried_count = std::mem::take(&mut self.tried_count).min(order.len());
         let max_scan_count = self.scan_count() + MAX_SCANS_PER_EVENT;
-        for (nth, QueuedRequest { arrived, id, .. }) in order.into_iter().enumerate().skip(tried) {
+        for (position, QueuedRequest { arrived_at, id, .. }) in
+            order.into_iter().enumerate().skip(tried_count)
+        {
             if self.scan_count() > max_scan_count {
-                self.tried_count = nth;
+                self.tried_count = position;
                 return;
             }
             if self.try_dispatch(&id, actions)
-                && Some(&id) == ahead.as_ref()
-                && self.now > arrived + STARVATION_AGE / 4
+                && Some(&id) == first.as_ref()
+                && self.now > arrived_at + STARVATION_AGE / 4
             {
                 self.promoted_at = self.now;
             }
@@ -46,31 +49,38 @@
     }
 
     fn dispatch_order(&self) -> Vec<QueuedRequest> {
-        let waiting = |id: &Id| {
-            let r = self.requests.get(id)?;
-            let last_start = self.latest_start(r);
-            let (late, prompt_tokens) = (self.now >= last_start, r.query.prompt_tokens);
-            Some(QueuedRequest { late, prompt_tokens, arrived: r.arrived_at, id: id.clone(), last_start })
+        let entry = |id: &Id| {
+            let request = self.requests.get(id)?;
+            let latest_start = self.latest_start(request);
+            let (is_late, prompt_tokens) = (self.now >= latest_start, request.query.prompt_tokens);
+            Some(QueuedRequest {
+                is_late,
+                prompt_tokens,
+                arrived_at: request.arrived_at,
+                id: id.clone(),
+                latest_start,
+            })
         };
-        let mut order: Vec<QueuedRequest> = self.queued.iter().filter_map(waiting).collect();
+        let mut order: Vec<QueuedRequest> = self.queued.iter().filter_map(entry).collect();
         order.sort_unstable();
         if self.now
             >= self.promoted_at
                 + (PROMOTION_INTERVAL as f64 / self.own_share(PREFILL_SLOTS).min(1.0)) as Micros
         {
-            let starved = |one: &QueuedRequest| {
-                let time = one.last_start.saturating_sub(one.arrived) as f64 * STARVATION_SHARE;
-                !one.late && self.now >= one.arrived + STARVATION_AGE.min(time as Micros)
+            let is_starved = |request: &QueuedRequest| {
+                let max_wait =
+                    request.latest_start.saturating_sub(request.arrived_at) as f64 * STARVATION_SHARE;
+                !request.is_late && self.now >= request.arrived_at + STARVATION_AGE.min(max_wait as Micros)
             };
-            // The longest of them, as no other way leads past the shorter ones.
-            if let Some(i) = order.iter().rposition(starved) {
-                order[..=i].rotate_right(1);
+            // The starved request with the longest prompt, because all shorter ones come before it otherwise.
+            if let Some(position) = order.iter().rposition(is_starved) {
+                order[..=position].rotate_right(1);
             }
         }
         order
     }
 
-    /// Sends a held request, or asks the server that would get it; true if it has left.
+    /// Sends a queued request, or probes the server that would get it; true if the request was sent.
     fn try_dispatch(&mut self, id: &Id, actions: &mut Vec<Action>) -> bool {
         let Some(server_index) = self.requests.get(id).and_then(|request| self.choose_server(request)) else {
             return false;
@@ -84,10 +94,10 @@
             }
             return false;
         }
-        let sent = self.send(id, server_index, actions);
-        if sent {
+        let was_sent = self.send(id, server_index, actions);
+        if was_sent {
             self.queued.remove(id);
         }
-        sent
+        was_sent
     }
 }
