--- a/src/admission.rs
+++ b/src/admission.rs
@@ -1,70 +1,71 @@
-//! Decisions that wait for no other: whether a request is taken while decisions are slow, and what it is
-//! answered where none has come in its time. Pure functions of what the request itself knows.
+//! Decisions that a request makes without the router: whether it is admitted while decisions are slow, and
+//! how it is answered if no decision has come in time. All are pure functions of the request's own state.
 
 use crate::hash::{hash, share_of};
 use crate::interface::{DedupScope, Effect, Micros, Query};
 
-/// A request is refused at the door where its first decision is expected to take more than this share of
-/// the time that its client waits.
+/// Largest expected wait for the first decision, as a share of the time for which the client waits. Beyond
+/// it, the request is refused on arrival.
 const MAX_EXPECTED_WAIT_SHARE: f64 = 0.25;
-/// A wait that is shorter than this refuses nobody.
+/// Expected wait up to which every request is admitted.
 const MIN_REFUSAL_WAIT: Micros = 50_000;
-/// Share of the release time after which a request lets go of its KV cache by itself. The decisions do so
-/// earlier, where they are in time.
+/// Share of `Settings::cache_release_timeout` after which a request releases its KV cache by itself. The
+/// router does so earlier unless its decisions are late.
 const RELEASE_TIMEOUT_SHARE: f64 = 0.9;
-/// A final answer is not given before this time has passed, however little the client had left: the decisions
-/// give theirs at once then.
+/// Shortest time before a request is answered without a decision, however small its budget is: for a small
+/// budget, the router answers at once.
 const MIN_ANSWER_TIMEOUT: Micros = 50_000;
 
-/// Whether a request is taken whose client waits for `budget` more.
+/// Whether a request is admitted whose client waits for `budget`.
 pub fn admits(expected_wait: Micros, budget: Micros) -> bool {
     expected_wait <= MIN_REFUSAL_WAIT || expected_wait as f64 <= budget as f64 * MAX_EXPECTED_WAIT_SHARE
 }
 
-/// When a client that was refused without a decision should come back: those that are refused together must
-/// not come back together.
+/// Retry-after, up to `max`, for a client that is refused without a decision. A hash of the request id
+/// spreads the retries of clients that are refused together.
 pub fn retry_after(max: Micros, query: &Query) -> Micros {
     (max as f64 * (0.5 + 0.5 * share_of(hash(&query.id, 0)))) as Micros
 }
 
-/// After how long a request whose client waits for `budget` is answered without a decision.
+/// Time after which a request whose client waits for `budget` is answered without a decision.
 pub fn answer_timeout(budget: Micros) -> Micros {
     budget.max(MIN_ANSWER_TIMEOUT)
 }
 
-/// After how long a request lets go of its KV cache by itself.
+/// Time after which a request releases its KV cache by itself.
 pub fn release_timeout(cache_release_timeout: Micros) -> Micros {
     (cache_release_timeout as f64 * RELEASE_TIMEOUT_SHARE) as Micros
 }
 
-/// What a request knows of whether it may have run.
+/// A request's own record of whether it may have run.
 #[derive(Clone, Copy, Debug)]
 pub struct ExecutionRecord {
     effect: Effect,
     resumes_stream: bool,
-    /// An attempt that takes effect is out.
+    /// Whether an attempt that may take effect is in flight.
     is_in_flight: bool,
     may_have_run: bool,
 }
 
 impl ExecutionRecord {
-    /// Nothing has been sent yet.
+    /// The record of a request for which nothing has been sent.
     pub fn new(query: &Query) -> Self {
         let (effect, resumes_stream) = (query.class.effect, query.resumes_stream);
         ExecutionRecord { effect, resumes_stream, is_in_flight: false, may_have_run: false }
     }
 
-    /// An attempt goes out, to a server at which it takes effect or not.
+    /// Records a send to a server at which the attempt may take effect or not.
     pub fn record_send(&mut self, takes_effect: bool) {
         self.is_in_flight = takes_effect;
     }
 
-    /// It has ended, in whatever way: without the decisions' look at it, one that took effect may have run.
+    /// Records the end of the attempt in flight. Whatever its outcome, an attempt that may take effect counts
+    /// as run, because no decision has looked at the outcome.
     pub fn record_end(&mut self) {
         self.may_have_run |= std::mem::take(&mut self.is_in_flight);
     }
 
-    /// Whether a refusal's promise, that trying again is harmless, would be true.
+    /// Whether the request may be refused, which promises that a retry is harmless.
     pub fn may_be_refused(&self) -> bool {
         let harmless = matches!(self.effect, Effect::Safe | Effect::Keyed { scope: DedupScope::All, .. });
         harmless || !(self.may_have_run || self.is_in_flight || self.resumes_stream)
--- a/src/facade.rs
+++ b/src/facade.rs
@@ -1,8 +1,8 @@
-//! The decisions in blocking style, for network code: [`Facade::submit`] takes a request,
-//! [`Facade::report`] tells what became of it, [`Facade::fire_timers`] lets time pass. Each is given the
-//! time and returns [`Decisions`]. The facade decides nothing; it numbers the attempts, keeps the
-//! timers, and turns the module's events and actions into words that a caller without knowledge
-//! of them can use.
+//! Synchronous interface to the decisions, for network code: [`Facade::submit`] takes a request,
+//! [`Facade::report`] reports its progress, and [`Facade::fire_timers`] fires the timers that are due. Each
+//! takes the current time and returns [`Decisions`]. The facade makes no decisions itself. It numbers the
+//! attempts, keeps the timers, checks each action against the rules, and hides the router's events and
+//! actions from its caller.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -11,77 +11,77 @@
 use crate::scheduler::handover::{OpenWork, Snapshot};
 use crate::scheduler::Router;
 
-/// What is to be done about a request.
+/// What to do with a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// Send it to this server and stop waiting at `stop_at`.
+    /// Send the request to a server.
     Send {
-        /// The server.
+        /// Id of the server.
         server: Id,
-        /// On the caller's clock.
+        /// Time at which the attempt times out, on the caller's clock.
         stop_at: Micros,
-        /// Nothing is to be written from then on.
+        /// Time from which the attempt must not be written.
         send_by: Option<Micros>,
     },
-    /// Final answer: refused, trying again is harmless.
+    /// Final answer: the request is refused, and a retry is harmless.
     Refuse {
-        /// How long the client should stay away; 0 for no advice.
+        /// Time after which the client should retry; 0 for no advice.
         retry_after: Micros,
     },
-    /// Final answer: failed.
+    /// Final answer: the request failed.
     Fail,
-    /// Stop waiting for the attempt that is out.
+    /// Cancel the attempt in flight.
     Cancel,
-    /// Let go of whatever is held for it at any server.
+    /// Release whatever servers hold for the request.
     Release,
-    /// End its running stream; the client comes back for the rest.
+    /// End the running stream; the client reconnects and resumes it.
     Move,
 }
 
-/// All that one call brought about.
+/// The results of one call.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Decisions {
-    /// What to do, request by request, in order.
+    /// Decisions about requests, in the order in which they are carried out.
     pub requests: Vec<(Id, Decision)>,
     /// Servers to probe.
     pub probes: Vec<Id>,
-    /// The list of servers must be asked for anew.
+    /// Whether the list of servers must be requested again.
     pub watch: bool,
-    /// Lines for the operators.
+    /// Lines for the log.
     pub log: Vec<String>,
-    /// Actions that would have broken a rule, and were not carried out, by request.
+    /// Rules that suppressed actions would have broken, by request.
     pub violations: Vec<(Id, Violation)>,
 }
 
-/// What became of a request.
+/// Progress of a request, as the caller reports it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Report {
-    /// The first event of its answer has come.
+    /// The first event of the answer has come.
     Started,
-    /// The attempt that was out has ended.
+    /// The attempt in flight has ended.
     Ended {
-        /// How.
+        /// How the attempt ended.
         outcome: Outcome,
-        /// Prompt tokens that the server still had.
+        /// Prompt tokens that the server had cached.
         cached_tokens: u64,
-        /// The server's load report, if one came along.
+        /// Load report of the server, if it sent one.
         load: Option<LoadReport>,
     },
-    /// Nobody waits for it any more. The caller says so once for each request, as the last thing;
-    /// an attempt that was still out is called off by that.
+    /// Nobody waits for the request any more. The caller reports this once for each request, as the last
+    /// report. It cancels an attempt that is still in flight.
     Closed,
 }
 
-/// A request that has not been left, and its latest attempt.
+/// A request that is not closed, and its latest attempt.
 #[derive(Default)]
 struct OpenRequest {
     attempts: u32,
     has_started: bool,
-    /// Server and send time of the attempt that is out.
+    /// Server and send time of the attempt in flight.
     in_flight: Option<(Id, Micros)>,
 }
 
-/// The decision module, its timers and the numbers of its attempts.
+/// A router with its timers, the numbers of its attempts and the guard of its actions.
 pub struct Facade {
     router: Router,
     open_requests: HashMap<Id, OpenRequest>,
@@ -91,7 +91,7 @@
 }
 
 impl Facade {
-    /// A facade whose module knows no server yet.
+    /// A facade without servers.
     pub fn new(settings: Settings, seed: u64) -> Self {
         Facade {
             guard: Guard::new(&settings),
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Takes a request; `None` if its id is that of one still open, of which the module knows.
+    /// Takes a request; `None` if a request with this id is still open.
     pub fn submit(&mut self, now: Micros, query: Query) -> Option<Decisions> {
         if self.open_requests.contains_key(&query.id) {
             return None;
@@ -112,7 +112,7 @@
         Some(self.handle(now, Event::Query(query)))
     }
 
-    /// Tells what became of a request.
+    /// Reports the progress of a request.
     pub fn report(&mut self, now: Micros, id: &Id, report: Report) -> Decisions {
         match report {
             Report::Started => self.answer_started(now, id),
@@ -124,7 +124,7 @@
         }
     }
 
-    /// News of the list of servers.
+    /// Updates the list of servers.
     pub fn update_servers(
         &mut self,
         now: Micros,
@@ -135,58 +135,58 @@
         self.handle(now, Event::Members { form, entries })
     }
 
-    /// The caller is about to stop: answers every request that has not begun to stream.
+    /// Answers every request that has not begun to stream, as the caller is about to stop.
     pub fn close(&mut self, now: Micros) -> Decisions {
         self.guard.begin_closing();
         self.handle(now, Event::Closing)
     }
 
-    /// New settings, for requests that come from now on.
+    /// Applies new settings to requests that come from now on.
     pub fn reconfigure(&mut self, now: Micros, settings: Settings) -> Decisions {
         self.handle(now, Event::Settings(settings))
     }
 
-    /// What the module has learned up to now.
+    /// Exports what the router has learned so far.
     pub fn snapshot(&self, now: Micros) -> Snapshot {
         self.router.snapshot(now)
     }
 
-    /// What is open at servers.
+    /// The work in flight at servers, without that of other processes.
     pub fn open_work(&self) -> OpenWork {
         self.router.open_work()
     }
 
-    /// What other processes of the same conductor have open counts as its own.
+    /// Counts the work of other processes of the same conductor as its own.
     pub fn set_foreign_work(&mut self, foreign: OpenWork) {
         self.router.set_foreign_work(foreign);
     }
 
-    /// Takes over what a snapshot of this age says of servers that are listed; the rest stays in it.
+    /// Restores what a snapshot of this age says about listed servers; the rest stays in the snapshot.
     pub fn restore(&mut self, now: Micros, age: Micros, snapshot: &mut Snapshot) {
         self.router.restore(now, age, snapshot);
     }
 
-    /// The server's start as the decisions know it; `None` where it takes nothing new.
+    /// Start time of a server as the decisions know it; `None` if the server accepts no new requests.
     pub fn server_started(&self, server: &Id) -> Option<Micros> {
         self.guard.started_at(server)
     }
 
-    /// Whether an attempt at a server may take effect: it does more there than a prefill.
+    /// Whether an attempt at a server may take effect, because it does more there than a prefill.
     pub fn takes_effect(&self, server: &Id) -> bool {
         self.guard.takes_effect(server)
     }
 
-    /// Servers that requests may go to now.
+    /// Number of servers that requests may be sent to now.
     pub fn usable_servers(&self) -> usize {
         self.router.usable_servers()
     }
 
-    /// The part of what all routers share that is this one's.
+    /// Sets this conductor's share of the capacity and quotas of all conductors.
     pub fn set_quota_share(&mut self, now: Micros, share: f64) -> Decisions {
         self.handle(now, Event::QuotaShare { share })
     }
 
-    /// A probe came back.
+    /// Reports the end of a probe.
     pub fn probe_ended(
         &mut self,
         now: Micros,
@@ -197,12 +197,12 @@
         self.handle(now, Event::ProbeEnded { server, outcome, load })
     }
 
-    /// When [`Facade::fire_timers`] is due.
+    /// Time at which [`Facade::fire_timers`] is due.
     pub fn next_timer_at(&self) -> Option<Micros> {
         self.timers.first().map(|(at, _)| *at)
     }
 
-    /// Rings every timer that is due.
+    /// Fires every timer that is due.
     pub fn fire_timers(&mut self, now: Micros) -> Decisions {
         let mut decisions = Decisions::default();
         while let Some(&(at, token)) = self.timers.first() {
@@ -215,7 +215,8 @@
         decisions
     }
 
-    /// How many entries are kept under ids that others give; it stays bounded however long a day is.
+    /// Number of entries keyed by external ids and of timers; it must stay bounded over the life of the
+    /// process.
     pub fn entry_count(&self) -> usize {
         self.router.entry_count() + self.open_requests.len() + self.timers.len()
     }
@@ -229,7 +230,7 @@
         self.handle(now, Event::AnswerStarted { id: id.clone(), attempt, elapsed })
     }
 
-    /// The end of the attempt that is out, if one is.
+    /// Ends the attempt in flight; `None` if there is none.
     fn end_attempt(
         &mut self,
         now: Micros,
@@ -297,7 +298,7 @@
                     if violation == Violation::SecondAnswer {
                         return;
                     }
-                    // It promises nothing.
+                    // A failure does not promise that a retry is harmless.
                     (id, Decision::Fail)
                 }
             },
@@ -318,7 +319,7 @@
         decisions.requests.push((id, decision));
     }
 
-    /// An attempt that would break a rule does not go out; to the decisions it has ended as never sent.
+    /// Suppresses an attempt that would break a rule. To the router, the attempt has ended as never sent.
     fn reject_send(
         &mut self,
         now: Micros,
--- a/src/guard.rs
+++ b/src/guard.rs
@@ -1,11 +1,13 @@
-//! The guard of what goes out: each action of the decisions is held against the rules once more, by an
-//! account of its own that shares nothing with theirs. What breaks a rule is not carried out, and is
-//! counted.
+//! Checks each action of the decisions against the rules a second time, on records that share nothing with
+//! those of the router. An action that would break a rule is suppressed and counted.
 //!
-//! It watches four things: sending (one attempt out, none after the first event, after the end or after the
-//! client has gone, to listed servers that take something new), repeating (by the effect of the class, and
-//! the number of attempts), closing (one final answer, no refusal of what may have run) and starting
-//! (nothing is begun once the conductor closes).
+//! The guard checks four kinds of rules:
+//!
+//! - Sends: one attempt in flight at a time; none after the first event of the answer, after the final answer
+//!   or after the client has gone; only to listed servers that accept new requests.
+//! - Repeats: limited by the effect of the class and by the number of attempts.
+//! - Answers: one final answer, and no refusal of a request that may have run.
+//! - Shutdown: no send once the conductor is closing.
 
 use std::collections::{HashMap, HashSet};
 
@@ -14,34 +16,34 @@
 /// A rule that an action would have broken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Violation {
-    /// Another attempt of the request is out.
-    #[error("an attempt is out already")]
+    /// Another attempt of the request is in flight.
+    #[error("another attempt of the request is in flight")]
     ConcurrentAttempts,
     /// The request has its final answer, or its client has gone.
-    #[error("sent after the request's end")]
+    #[error("sent after the end of the request")]
     AfterEnd,
     /// The request has used up its attempts.
-    #[error("more attempts than the class allows")]
+    #[error("the request has used all attempts that its class allows")]
     TooManyAttempts,
-    /// An attempt may have run, and the class allows no repeat there or then.
-    #[error("a repeat that may take effect twice")]
+    /// An attempt may have run, and the class allows no repeat at that server or time.
+    #[error("a repeat may take effect twice")]
     UnsafeRepeat,
-    /// The server drains, has gone or was never listed.
-    #[error("sent to a server that takes nothing new")]
+    /// The server is draining, is gone or was never listed.
+    #[error("the server accepts no new requests")]
     ServerNotAccepting,
     /// The request has its final answer.
-    #[error("a second final answer")]
+    #[error("the request already has a final answer")]
     SecondAnswer,
-    /// Refused, though it may have run.
-    #[error("refused although it may have run")]
+    /// The request may have run, so a refusal would wrongly promise that a retry is harmless.
+    #[error("refused although the request may have run")]
     UnsafeRefusal,
-    /// The conductor closes.
-    #[error("begun after the conductor began to close")]
+    /// The conductor is closing.
+    #[error("sent after the conductor began to close")]
     Closing,
 }
 
 impl Violation {
-    /// The rule as it stands in figures.
+    /// Label of the rule in metrics.
     pub fn label(self) -> &'static str {
         match self {
             Violation::ConcurrentAttempts => "two_out",
@@ -56,7 +58,7 @@
     }
 }
 
-/// Where a server stands, for keyed repeats.
+/// Location and role of a server, for repeats.
 #[derive(Clone, Copy)]
 struct ServerPlacement {
     zone: usize,
@@ -65,23 +67,26 @@
     started_at: Micros,
 }
 
+/// What has been sent for an open request.
 struct RequestRecord {
     effect: Effect,
     max_attempts: u32,
     attempts: u32,
-    /// The server of the attempt that is out, and when it was sent.
+    /// Server and send time of the attempt in flight.
     in_flight: Option<(Option<ServerPlacement>, Micros)>,
-    /// The first attempt that may have run.
+    /// Server and send time of the first attempt that may have run.
     first_execution: Option<(Option<ServerPlacement>, Micros)>,
-    /// Its client is back for the rest of an answer.
+    /// Whether the client resumes a stream, of which an attempt has run before.
     resumes_stream: bool,
+    /// Whether the answer has begun or the final answer was given.
     is_ended: bool,
 }
 
-/// The account of what has gone out.
+/// Independent check of the actions of the decisions.
 #[derive(Default)]
 pub struct Guard {
     roles: Vec<Role>,
+    /// Servers that accept new requests.
     accepting: HashSet<Id>,
     placements: HashMap<Id, ServerPlacement>,
     requests: HashMap<Id, RequestRecord>,
@@ -89,12 +94,12 @@
 }
 
 impl Guard {
-    /// Nothing has happened yet.
+    /// A guard without servers and requests.
     pub fn new(settings: &Settings) -> Self {
         Guard { roles: settings.roles.clone(), ..Guard::default() }
     }
 
-    /// News of the list.
+    /// Applies an update of the list of servers.
     pub fn update_servers(&mut self, form: ListUpdateKind, entries: &[ServerEntry]) {
         if matches!(form, ListUpdateKind::Full | ListUpdateKind::StaleCopy) {
             self.accepting.clear();
@@ -116,7 +121,7 @@
         }
     }
 
-    /// When a server that takes something new was told to have started.
+    /// Start time of a server, as the list has it; `None` if the server accepts no new requests.
     pub fn started_at(&self, server: &Id) -> Option<Micros> {
         self.accepting
             .get(server)
@@ -124,12 +129,12 @@
             .map(|placement| placement.started_at)
     }
 
-    /// Whether an attempt at a server may take effect: it does more there than a prefill.
+    /// Whether an attempt at a server may take effect, because it does more there than a prefill.
     pub fn takes_effect(&self, server: &Id) -> bool {
         self.placements.get(server).is_none_or(|placement| placement.can_decode)
     }
 
-    /// A request has come.
+    /// Registers a new request.
     pub fn register_request(&mut self, query: &Query) {
         let class = &query.class;
         let record = RequestRecord {
@@ -144,12 +149,12 @@
         self.requests.insert(query.id.clone(), record);
     }
 
-    /// The conductor is about to stop.
+    /// Forbids all sends from now on, as the conductor is about to stop.
     pub fn begin_closing(&mut self) {
         self.is_closing = true;
     }
 
-    /// The attempt that was out has ended.
+    /// Records the end of the attempt in flight.
     pub fn record_attempt_end(&mut self, id: &Id, outcome: Outcome) {
         let Some(record) = self.requests.get_mut(id) else { return };
         let Some((placement, sent)) = record.in_flight.take() else { return };
@@ -159,19 +164,19 @@
         }
     }
 
-    /// An answer has begun: it is the client's, and nothing more goes out.
+    /// Records that the answer has begun to reach the client: nothing more may be sent.
     pub fn record_answer_start(&mut self, id: &Id) {
         if let Some(record) = self.requests.get_mut(id) {
             record.is_ended = true;
         }
     }
 
-    /// Its client has gone, or has all of its answer.
+    /// Removes a request whose client has gone or has its whole answer.
     pub fn remove_request(&mut self, id: &Id) {
         self.requests.remove(id);
     }
 
-    /// Whether an attempt may go out; if so, it is out.
+    /// Checks whether an attempt may be sent; if so, records it as in flight.
     pub fn authorize_send(&mut self, now: Micros, id: &Id, server: &Id) -> Result<(), Violation> {
         let placement = self.placements.get(server).copied();
         let record = self.requests.get_mut(id).ok_or(Violation::AfterEnd)?;
@@ -198,7 +203,7 @@
         Ok(())
     }
 
-    /// Whether a final answer may be given; if so, it is.
+    /// Checks whether a final answer may be given, and records that the request has ended.
     pub fn authorize_answer(&mut self, id: &Id, refused: bool) -> Result<(), Violation> {
         let record = self.requests.get_mut(id).ok_or(Violation::SecondAnswer)?;
         if record.is_ended {
@@ -230,7 +235,7 @@
         }
     }
 
-    /// What is out at a server that decodes may run yet.
+    /// Whether a refusal would be true. An attempt in flight at a server that decodes may still run.
     fn may_be_refused(&self) -> bool {
         let may_run_yet = self
             .in_flight
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,16 +1,16 @@
-//! What goes into the decision module and what comes out of it.
+//! Types of the decisions' interface: settings, requests, events and actions.
 //!
-//! Times are microseconds on the caller's monotonic clock. Kinds, zones, classes and tenants are
-//! indices into the caller's own lists; server, request, session and prefix ids are stable text.
+//! Times are microseconds on the caller's monotonic clock. Kinds, zones and tenants are indices into the
+//! caller's lists. Ids of servers, requests, sessions and prefixes are stable text.
 
 use std::sync::Arc;
 
-/// Microseconds, as a point in time or as a span.
+/// Microseconds, as a point in time or as a duration.
 pub type Micros = u64;
-/// A stable id: of a server, a request, a session or a shared prefix.
+/// Stable id of a server, a request, a session or a shared prefix.
 pub type Id = Arc<str>;
 
-/// What a kind of server does.
+/// Stages that a kind of server runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// Prefill only.
@@ -21,27 +21,27 @@
     Mixed,
 }
 
-/// The servers that together drop repeats of a keyed request.
+/// The group of servers that deduplicates repeats of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
     /// Every server.
     All,
     /// The servers of one zone.
     Zone,
-    /// The servers of one cell.
+    /// The servers of one rack.
     Rack,
 }
 
-/// What a repeat of a request of some class would do.
+/// Effect of repeating a request of a class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// Repeats are harmless.
     Safe,
-    /// Repeats are dropped within `scope`, for `window` after the first send that may have run.
+    /// Servers within `scope` drop repeats, for `window` after the first send that may have run.
     Keyed {
-        /// The group that remembers.
+        /// The group of servers that deduplicates.
         scope: DedupScope,
-        /// For how long.
+        /// How long it deduplicates.
         window: Micros,
     },
     /// A repeat would take effect twice.
@@ -51,24 +51,24 @@
 /// How an attempt or a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Answered to the end.
+    /// The answer was delivered completely.
     Served,
-    /// The prompt is read; the state waits at the reader.
+    /// The prefill is done; the KV cache waits at the prefill server.
     PrefillDone,
-    /// The server returned an error; it may have run.
+    /// The server returned an error; the attempt may have run.
     Failed,
-    /// Turned away for want of room; it never ran.
+    /// The server rejected it for lack of capacity; it never ran.
     Rejected,
-    /// Turned away because no state was there to fetch; it never ran.
+    /// The server rejected it because there was no KV cache to fetch; it never ran.
     CacheMissing,
-    /// No answer in time; it may have run or may still.
+    /// No answer before the timeout; it may have run or may still run.
     NoAnswer,
     /// No connection; it never ran.
     NoConnection,
     /// The connection broke; it may have run.
     ConnectionLost,
-    /// A connection kept from earlier broke as soon as the attempt went out on it. It may have run, but this
-    /// tells of the connection's age rather than of the server.
+    /// A reused connection broke as soon as the attempt was sent on it. The attempt may have run, but the
+    /// likely cause is the connection's age rather than the server.
     StaleConnection,
     /// Cancelled; it may have run.
     Cancelled,
@@ -77,320 +77,321 @@
 }
 
 impl Outcome {
-    /// Whether it proves that the attempt never ran; a read has no effect, however it ends.
+    /// Whether the outcome proves that the attempt had no effect. A prefill has none, however it ends.
     pub fn never_ran(self) -> bool {
         use Outcome::*;
         matches!(self, Rejected | CacheMissing | NoConnection | NotSent | PrefillDone)
     }
 }
 
-/// What the list of servers says of one.
+/// Health of a server according to the list of servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Health {
-    /// Runs.
+    /// The server accepts requests.
     Up,
-    /// Finishes what it has and takes nothing new.
+    /// The server finishes its requests and accepts no new ones.
     Draining,
-    /// Removed.
+    /// The server was removed.
     Gone,
 }
 
-/// What kind of report on the list of servers this is.
+/// Kind of an update of the list of servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListUpdateKind {
-    /// Only what changed.
+    /// Contains only the servers that changed.
     Changes,
-    /// All of it; a server that is missing is gone.
+    /// Contains all servers; a server that is missing is gone.
     Full,
-    /// All of it as last held, maybe stale.
+    /// Contains all servers from the last known list, which may be stale.
     StaleCopy,
-    /// A call or the subscription failed; the old list stands.
+    /// A request for the list or the subscription failed; the previous list stays in force.
     SourceUnavailable,
 }
 
-/// One line of the list of servers.
+/// Entry of the list of servers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerEntry {
-    /// The server.
+    /// Id of the server.
     pub server: Id,
-    /// Its cell (rack).
+    /// Rack of the server.
     pub rack: u64,
-    /// Its kind, an index into [`Settings::roles`].
+    /// Kind of the server, an index into [`Settings::roles`].
     pub kind: usize,
-    /// Its zone.
+    /// Zone of the server.
     pub zone: usize,
-    /// When it last started; 0 for long ago.
+    /// Time of the server's last start; 0 for long ago.
     pub started: Micros,
-    /// Its health as listed.
+    /// Health of the server.
     pub health: Health,
 }
 
-/// A server's own report of its load; a hint, late and noisy.
+/// Load that a server reports about itself. It is a hint, delayed and noisy.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Share of its memory that is held.
+    /// Share of the memory that is in use.
     pub memory: Option<f64>,
-    /// Prompt tokens waiting to be read or fetched, in thousands.
+    /// Prompt tokens waiting for prefill or for the transfer of their KV cache, in thousands.
     pub waiting_ktokens: Option<f64>,
-    /// Share of its slots in use.
+    /// Share of the slots that are in use.
     pub slots: Option<f64>,
-    /// Requests that wait.
+    /// Requests that wait in the server's queue.
     pub queued: Option<f64>,
-    /// Requests that it holds, states that wait to be fetched among them.
+    /// Requests at the server, including KV caches that wait to be fetched.
     pub outstanding: Option<f64>,
 }
 
-/// A class of requests. Each request holds its own, so that new settings change nothing for open ones.
+/// A class of requests. Each request keeps a reference to its class, so that new settings don't affect open
+/// requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
-    /// Its name.
+    /// Name of the class.
     pub name: Id,
-    /// Attempts allowed for one request.
+    /// Maximum number of attempts for one request.
     pub max_attempts: u32,
-    /// The first token is wanted within this time.
+    /// Target for the time to the first token.
     pub first_token_target: Micros,
-    /// What each 1,000 prompt tokens add to the aim.
+    /// Time added to the first-token target for each 1,000 prompt tokens.
     pub first_token_target_per_ktoken: Micros,
-    /// The client's whole patience, over all its tries.
+    /// Time for which a client waits in total, over all its retries.
     pub deadline: Micros,
-    /// Wanted time between tokens.
+    /// Target for the time between tokens.
     pub inter_token_target: Micros,
-    /// What a repeat would do.
+    /// Effect of repeating a request.
     pub effect: Effect,
-    /// Worth of an answer in time.
+    /// Worth of an answer that comes in time.
     pub worth: f64,
-    /// Share of it that a late answer still earns.
+    /// Share of the worth that a late answer still has.
     pub late_share: f64,
 }
 
-/// A customer's quota.
+/// A tenant and its quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Its name.
+    /// Name of the tenant.
     pub name: Id,
-    /// Requests a second, over all routers, within its share.
+    /// Requests per second within the quota, over all conductors.
     pub quota_per_s: f64,
 }
 
-/// What a router is told when it starts.
+/// Settings of a router.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
-    /// How many routers there are.
+    /// Number of conductors.
     pub conductors: u32,
-    /// This router's zone.
+    /// Zone of this conductor.
     pub zone: usize,
-    /// Shortest time between two calls.
+    /// Shortest interval between two calls of the router.
     pub min_call_interval: Micros,
-    /// The role of each kind.
+    /// Role of each kind of server.
     pub roles: Vec<Role>,
-    /// Memory of each kind, in tokens; 0 where not known.
+    /// Memory of each kind of server, in tokens; 0 if unknown.
     pub memory_tokens: Vec<u64>,
-    /// The classes.
+    /// Request classes.
     pub classes: Vec<Arc<RequestClass>>,
-    /// The customers; may be none.
+    /// Tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// What a request beyond its customer's quota is worth.
+    /// Worth of a request beyond its tenant's quota.
     pub over_quota_worth: f64,
-    /// Two attempts of one request may be out at a time.
+    /// Whether two attempts of one request may be in flight at a time.
     pub parallel_attempts: bool,
-    /// An attempt may be cancelled.
+    /// Whether attempts may be cancelled.
     pub may_cancel: bool,
-    /// Servers may be probed.
+    /// Whether servers may be probed.
     pub may_probe: bool,
-    /// Places may be held ahead.
+    /// Whether slots may be reserved in advance.
     pub may_hold: bool,
-    /// Advice to stay away reaches clients, up to this long; 0 where it does not.
+    /// Longest retry-after that reaches clients; 0 if none does.
     pub max_retry_after: Micros,
-    /// A writer reads a prompt itself when there is no state.
+    /// Whether a decode server computes the prefill itself when there is no KV cache.
     pub decode_can_prefill: bool,
-    /// A broken or moved stream goes on from its last token.
+    /// Whether a broken or moved stream resumes after its last token.
     pub resume: bool,
-    /// A state or place must be taken or let go within this time.
+    /// Time within which a KV cache or a reserved slot must be used or released.
     pub cache_release_timeout: Micros,
-    /// A connection that has not come up within this time never will.
+    /// Time within which a connection comes up, or never will.
     pub connect_timeout: Micros,
-    /// A server closes a connection that has been idle this long, or earlier.
+    /// Idle time after which a server closes a connection, at the latest.
     pub connection_idle_timeout: Micros,
-    /// Slack after a client's deadline within which a final answer counts.
+    /// Time after a client's deadline within which a final answer still counts.
     pub answer_slack: Micros,
-    /// Nothing may go to a server later than this after it is known to drain.
+    /// Time after which nothing may be sent to a server that is known to drain.
     pub drain_grace: Micros,
-    /// A server starts with at least this share of its capacity.
+    /// Share of its capacity that a server has at least when it starts.
     pub slow_start_initial_share: f64,
-    /// It is warm within this time.
+    /// Time from a server's start within which it reaches its full capacity.
     pub slow_start_duration: Micros,
-    /// It falls over beyond this multiple of what it can do,
+    /// Multiple of its capacity beyond which a server fails if the load persists for `overload_duration`.
     pub overload_multiple: f64,
-    /// kept up for this long.
+    /// Time for which a load beyond `overload_multiple` makes a server fail.
     pub overload_duration: Micros,
-    /// Where the list of servers must be asked for: ask at least this often. `None`: it is pushed.
+    /// Longest interval at which the list of servers is polled; `None` if the list is pushed.
     pub list_poll_interval: Option<Micros>,
 }
 
 /// A client's request.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Query {
-    /// Its id; a client's next try has a fresh one.
+    /// Id of the request; a client's retry has a new one.
     pub id: Id,
-    /// Its session.
+    /// Session of the request.
     pub session: Id,
-    /// The prefix that it shares with other sessions.
+    /// Prompt prefix that is shared with other sessions.
     pub prefix: Option<Id>,
-    /// Tokens of that prefix.
+    /// Tokens of the shared prefix.
     pub prefix_tokens: u64,
     /// Tokens of the whole prompt.
     pub prompt_tokens: u64,
-    /// Most tokens that the answer may have.
+    /// Maximum number of tokens of the answer.
     pub max_tokens: u64,
-    /// Its class, as the settings had it when the request came.
+    /// Class of the request, as the settings had it on arrival.
     pub class: Arc<RequestClass>,
-    /// Its customer.
+    /// Index of the tenant in [`Settings::tenants`].
     pub tenant: Option<usize>,
-    /// Time left before the client gives this try up.
+    /// Time left until the client gives up.
     pub budget: Micros,
-    /// A repeat by the client.
+    /// Whether the client sends the request again.
     pub is_client_retry: bool,
-    /// Back after a broken or moved stream.
+    /// Whether the client continues a broken or moved stream.
     pub resumes_stream: bool,
 }
 
-/// What has happened.
+/// An event that the router is told.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// News of the list of servers.
+    /// The list of servers was updated.
     Members {
-        /// What kind of news.
+        /// Kind of the update.
         form: ListUpdateKind,
-        /// The lines.
+        /// Entries of the list.
         entries: Vec<ServerEntry>,
     },
-    /// A client asks.
+    /// A client sent a request.
     Query(Query),
     /// An answer has started to stream.
     AnswerStarted {
-        /// The request.
+        /// Id of the request.
         id: Id,
-        /// Which attempt, from 0.
+        /// Number of the attempt, from 0.
         attempt: u32,
         /// Time since the send.
         elapsed: Micros,
     },
     /// An attempt has ended.
     AttemptEnded {
-        /// The request.
+        /// Id of the request.
         id: Id,
-        /// Which attempt, from 0.
+        /// Number of the attempt, from 0.
         attempt: u32,
-        /// The server.
+        /// Id of the server.
         server: Id,
-        /// How it ended.
+        /// How the attempt ended.
         outcome: Outcome,
         /// Time since the send.
         elapsed: Micros,
-        /// Prompt tokens that the server still had.
+        /// Prompt tokens that the server had cached.
         cached_tokens: u64,
-        /// The request has its final answer.
+        /// Whether the request has its final answer.
         finished: bool,
-        /// The server's load report, if one came along.
+        /// Load report of the server, if it sent one.
         load: Option<LoadReport>,
     },
-    /// A place asked for ahead was held or not.
+    /// Answer to the reservation of a slot.
     SlotReservation {
-        /// The request.
+        /// Id of the request.
         id: Id,
-        /// The server.
+        /// Id of the server.
         server: Id,
-        /// Held.
+        /// Whether the slot is reserved.
         reserved: bool,
     },
-    /// The client has left, or its time is up.
+    /// The client has disconnected, or its time is up.
     ClientGone {
-        /// The request.
+        /// Id of the request.
         id: Id,
     },
-    /// A probe came back.
+    /// A probe has ended.
     ProbeEnded {
-        /// The server.
+        /// Id of the server.
         server: Id,
-        /// How it ended.
+        /// How the probe ended.
         outcome: Outcome,
-        /// The server's load report, if one came along.
+        /// Load report of the server, if it sent one.
         load: Option<LoadReport>,
     },
-    /// This router's part of what all routers share has changed: of 1, and never 0.
+    /// This conductor's share of the capacity and quotas of all conductors has changed.
     QuotaShare {
-        /// The part.
+        /// The share, above 0 and up to 1.
         share: f64,
     },
-    /// New settings, for all that comes from now on.
+    /// New settings, for requests that come from now on.
     Settings(Settings),
-    /// The router is about to stop: each request that has not begun to stream is owed its answer now.
+    /// The conductor is about to stop: each request that has not begun to stream is answered now.
     Closing,
-    /// A timer that was asked for.
+    /// A timer set by [`Action::SetTimer`] has fired.
     TimerFired {
-        /// Its token.
+        /// Token of the timer.
         token: u64,
     },
 }
 
-/// What to do.
+/// An action that the caller carries out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send the request to a server; the attempt ends at `stop_at`.
     Send {
-        /// The request.
+        /// Id of the request.
         id: Id,
-        /// The server.
+        /// Id of the server.
         server: Id,
-        /// When to stop waiting.
+        /// Time at which the attempt times out.
         stop_at: Micros,
-        /// Not to be written from then on, as it would be a repeat outside of its window.
+        /// Time from which the attempt must not be written, as it would be a repeat outside of its window.
         send_by: Option<Micros>,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt.
     Cancel {
-        /// The request.
+        /// Id of the request.
         id: Id,
-        /// Which attempt, from 0.
+        /// Number of the attempt, from 0.
         attempt: u32,
     },
-    /// Final answer: refused, trying again is harmless.
+    /// Final answer: the request is refused, and a retry is harmless.
     Refuse {
-        /// The request.
+        /// Id of the request.
         id: Id,
-        /// How long the client should stay away; 0 for no advice.
+        /// Time after which the client should retry; 0 for no advice.
         retry_after: Micros,
     },
-    /// Final answer: failed, nothing promised.
+    /// Final answer: the request failed, and a retry may not be harmless.
     Fail {
-        /// The request.
+        /// Id of the request.
         id: Id,
     },
-    /// Let go of every state and place held for the request.
+    /// Release every KV cache and reserved slot of the request.
     ReleaseCache {
-        /// The request.
+        /// Id of the request.
         id: Id,
     },
-    /// End a running stream; its client comes back and goes on.
+    /// End a running stream; its client reconnects and resumes it.
     MoveStream {
-        /// The request.
+        /// Id of the request.
         id: Id,
     },
     /// Probe a server.
     Probe {
-        /// The server.
+        /// Id of the server.
         server: Id,
     },
     /// Subscribe to the list of servers.
     Watch,
-    /// Ring after `delay`.
+    /// Set a timer.
     SetTimer {
-        /// From now.
+        /// Time from now at which the timer fires.
         delay: Micros,
-        /// Comes back with the bell.
+        /// Token of the timer, returned in [`Event::TimerFired`].
         token: u64,
     },
-    /// A line for the operators.
+    /// Write a line to the log.
     Log(String),
 }
 
@@ -423,17 +424,17 @@
         self.classes.iter().find(|class| &*class.name == name).cloned()
     }
 
-    /// The index of the customer of this name.
+    /// The index of the tenant of this name.
     pub fn tenant(&self, name: &str) -> Option<usize> {
         self.tenants.iter().position(|tenant| &*tenant.name == name)
     }
 
-    /// The longest deadline of a class.
+    /// The longest deadline of all classes.
     pub fn longest_deadline(&self) -> Micros {
         self.classes.iter().map(|class| class.deadline).max().unwrap_or(0)
     }
 
-    /// A small fleet of readers, writers and mixed servers with one class, for examples and tests.
+    /// Settings with one kind of prefill, decode and mixed server and one class, for examples and tests.
     pub fn example() -> Self {
         Settings {
             conductors: 1,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
-//! The decisions of a router for language-model servers that work in two stages: readers
-//! (prefill) read prompts, writers (decode) stream answers, mixed servers do both.
+//! Scheduling decisions for language-model servers that work in two stages: prefill servers compute the KV
+//! cache of a prompt, decode servers stream the answer from it, and mixed servers do both.
 //!
-//! The crate does no input or output. Feed a [`Router`] events, carry out the actions it gives
-//! back, in order. It keeps no clock: time is what the caller says.
+//! The crate does no input or output. The caller feeds events to a [`Router`] and carries out the returned
+//! actions in order. The router has no clock: each event comes with the current time.
 //!
 //! ```
 //! use frosttrail::{Action, Event, Health, ListUpdateKind, Query, Role, Router, ServerEntry, Settings};
@@ -38,7 +38,7 @@
 //!     resumes_stream: false,
 //! };
 //! router.handle(2_000, Event::Query(query), &mut actions);
-//! assert!(actions.iter().any(|a| matches!(a, Action::Send { .. })));
+//! assert!(actions.iter().any(|action| matches!(action, Action::Send { .. })));
 //! ```
 
 #![forbid(unsafe_code)]
--- a/src/rate.rs
+++ b/src/rate.rs
@@ -1,8 +1,8 @@
-//! Rates that fade; decides nothing.
+//! Exponentially decaying rates.
 
 use crate::interface::Micros;
 
-/// What is left of a rate after some time; its window is four seconds.
-pub(crate) fn decay(rate: f64, passed: Micros) -> f64 {
-    rate * (-(passed as f64) / 4e6).exp()
+/// The rate after `elapsed` without further samples, decayed with a time constant of four seconds.
+pub(crate) fn decay(rate: f64, elapsed: Micros) -> f64 {
+    rate * (-(elapsed as f64) / 4e6).exp()
 }
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -25,6 +25,7 @@
 const PREFILL_SLOTS: f64 = 12.0;
 /// Backoff after the first rejection by a full server; it doubles with each rejection in a row.
 const INITIAL_SERVER_BACKOFF: Micros = 200_000;
+/// Longest backoff of a server, and longest delay of sends to a role after a wait.
 const MAX_SERVER_BACKOFF: Micros = 12_000_000;
 /// Queue length at one server that all conductors together aim for where shares are fractional (see
 /// `Router::has_fractional_shares`).
@@ -129,6 +130,7 @@
     streams: u32,
     /// Attempts in flight without a prefill end or a first token so far.
     unacknowledged: u32,
+    /// Tokens of the attempts in flight.
     charged_tokens: u64,
     consecutive_failures: u32,
     breaker_open_until: Micros,
@@ -174,6 +176,7 @@
     seed: u64,
     now: Micros,
     servers: Vec<Server>,
+    /// Index in `servers` of each server that is listed or not evicted yet.
     server_indices: BTreeMap<Id, usize>,
     fleet: fleet_index::FleetIndex,
     /// Indices in `servers` that no server uses.
@@ -185,7 +188,7 @@
     /// Estimated time for each token of a stage, in microseconds.
     us_per_token: [f64; 3],
     zones: BTreeMap<usize, Zone>,
-    /// For each role, the time before which no queued request is sent.
+    /// For each role, the time before which no queued request is sent where shares are fractional.
     next_send_at: [Micros; 3],
     /// When a server of each role last responded.
     last_response_at: [Micros; 3],
@@ -522,7 +525,7 @@
             Outcome::NoAnswer => {
                 // A timeout is a sample too: when all servers are slow, timeouts grow longer.
                 if matches!(phase, Phase::Prefilling | Phase::Decoding) {
-                    self.record_pace(stage, elapsed, prompt_tokens);
+                    self.record_duration(stage, elapsed, prompt_tokens);
                     self.throttle_after_wait(server_index, elapsed);
                 }
                 self.record_failure(server_index, 1, actions)
--- a/src/scheduler/fleet_index.rs
+++ b/src/scheduler/fleet_index.rs
@@ -44,17 +44,17 @@
 impl FleetIndex {
     /// Discards the values that depend on the time.
     pub(super) fn begin_event(&mut self) {
-        self.health_changed();
-        self.rates_changed();
+        self.invalidate_health();
+        self.invalidate_rates();
     }
 
     /// Discards the values that depend on the health of a server.
-    pub(super) fn health_changed(&mut self) {
+    pub(super) fn invalidate_health(&mut self) {
         self.pools = Default::default();
     }
 
     /// Discards the values that depend on the completion rate of a server.
-    pub(super) fn rates_changed(&mut self) {
+    pub(super) fn invalidate_rates(&mut self) {
         self.mean_warm_rates = Default::default();
     }
 
@@ -113,7 +113,7 @@
             true => self.fleet.servers_with_prefills.insert(server_index),
             false => self.fleet.servers_with_prefills.remove(&server_index),
         };
-        self.fleet.health_changed();
+        self.fleet.invalidate_health();
     }
 
     /// The listed servers of a role.
@@ -123,10 +123,10 @@
 
     /// The suspects among the listed servers of a role.
     pub(super) fn suspects(&self, role: Stage) -> impl Iterator<Item = usize> + '_ {
-        let of_role = move |server_index: &usize| {
+        let has_role = move |server_index: &usize| {
             self.servers[*server_index].is_up && self.servers[*server_index].role == role
         };
-        self.fleet.suspects.iter().copied().filter(of_role)
+        self.fleet.suspects.iter().copied().filter(has_role)
     }
 
     /// Prefills in flight at healthy servers; those at unhealthy servers may never end.
@@ -179,9 +179,11 @@
     /// Mean completion rate, per second, that this conductor sees at the warm servers of a role.
     pub(super) fn mean_warm_rate(&self, role: Stage) -> f64 {
         *self.fleet.mean_warm_rates[role as usize].get_or_init(|| {
-            let warm = |server: &&Server| server.started_at + self.settings.slow_start_duration < self.now;
-            let warm = self.listed(role).iter().map(|&server_index| &self.servers[server_index]).filter(warm);
-            let rates = warm.map(|server| decay(server.completion_rate, self.now - server.rate_updated_at));
+            let is_warm = |server: &&Server| server.started_at + self.settings.slow_start_duration < self.now;
+            let warm_servers =
+                self.listed(role).iter().map(|&server_index| &self.servers[server_index]).filter(is_warm);
+            let rates =
+                warm_servers.map(|server| decay(server.completion_rate, self.now - server.rate_updated_at));
             let (sum, count) = rates.fold((0.0, 0.0_f64), |(sum, count), rate| (sum + rate, count + 1.0));
             sum / count.max(1.0)
         })
--- a/src/scheduler/handover.rs
+++ b/src/scheduler/handover.rs
@@ -153,7 +153,7 @@
         server.next_slow_start_send_at = remaining(snapshot.next_slow_start_send_in);
         let server_index = self.server_indices[&snapshot.id];
         self.reindex_server(server_index);
-        self.fleet.rates_changed();
+        self.fleet.invalidate_rates();
     }
 }
 
--- a/src/scheduler/health.rs
+++ b/src/scheduler/health.rs
@@ -11,12 +11,12 @@
 const SILENCE_MULTIPLE: f64 = 4.0;
 /// Lower bound of the silence that counts as unhealthy.
 const MIN_SILENCE: Micros = 400_000;
-/// Longest time for which a circuit breaker is open.
+/// Longest time for which a circuit breaker is open before the next trial.
 const MAX_BREAKER_TIMEOUT: Micros = 8_000_000;
-/// Servers of one zone that fail, with no response from the zone, before it is cut off.
+/// Servers of one zone that fail, with no response from the zone in between, before it is cut off.
 const ZONE_FAILURE_THRESHOLD: usize = 3;
 /// Weight of the latest sample in the moving average of a stage's time per token.
-const PACE_SAMPLE_WEIGHT: f64 = 0.1;
+const DURATION_SAMPLE_WEIGHT: f64 = 0.1;
 /// Fixed cost of a stage, in tokens.
 const FIXED_COST_TOKENS: f64 = 500.0;
 
@@ -64,10 +64,11 @@
     }
 
     /// Adds a sample to the moving average of a stage's time per token.
-    pub(super) fn record_pace(&mut self, stage: Stage, elapsed: Micros, tokens: u64) {
+    pub(super) fn record_duration(&mut self, stage: Stage, elapsed: Micros, tokens: u64) {
         let estimate = &mut self.us_per_token[stage as usize];
-        *estimate += (elapsed as f64 / (tokens as f64 + FIXED_COST_TOKENS) - *estimate) * PACE_SAMPLE_WEIGHT;
-        self.fleet.health_changed();
+        *estimate +=
+            (elapsed as f64 / (tokens as f64 + FIXED_COST_TOKENS) - *estimate) * DURATION_SAMPLE_WEIGHT;
+        self.fleet.invalidate_health();
     }
 
     /// Records the end of a prefill or the start of an answer.
@@ -82,13 +83,13 @@
         if stage != Stage::Decode {
             self.remember_session(id, server_index);
         }
-        self.record_pace(stage, elapsed, tokens);
+        self.record_duration(stage, elapsed, tokens);
         self.throttle_after_wait(server_index, elapsed);
         let server = &mut self.servers[server_index];
         server.consecutive_rejections = 0;
         server.completion_rate = decay(server.completion_rate, self.now - server.rate_updated_at) + 1.0 / 4.0;
         server.rate_updated_at = self.now;
-        self.fleet.rates_changed();
+        self.fleet.invalidate_rates();
         self.record_response(server_index);
     }
 
--- a/src/setup.rs
+++ b/src/setup.rs
@@ -1,8 +1,8 @@
-//! The settings object, as a router gets it at its start, read into the one [`Settings`] type.
+//! Parses the JSON settings of a conductor into [`Settings`].
 //!
-//! Both programs use it: the adapter reads the object from the simulator's first message, the
-//! conductor from its configuration. The settings name kinds, zones, classes and customers; the
-//! library speaks of them by index, and [`ConfiguredNames`] keeps what the indices stand for.
+//! Two programs use this module: the adapter reads the object from the simulator's first message, and the
+//! conductor reads it from its configuration. The JSON refers to kinds, zones, classes and tenants by name.
+//! The library uses indices, and [`ConfiguredNames`] maps between the two.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -11,47 +11,47 @@
 
 use crate::interface::*;
 
-/// What the connection limits are where the settings are silent.
+/// Connection timeouts if the settings don't contain them.
 const DEFAULT_CONNECT_TIMEOUT: Micros = 250_000;
 const DEFAULT_CONNECTION_IDLE_TIMEOUT: Micros = 30_000_000;
 
-/// No client waits longer than a day.
+/// Longest deadline of a class: one day.
 const MAX_DEADLINE: Micros = 86_400_000_000;
 
-/// Why settings, or a value that refers to them, could not be read.
+/// Error in the settings, or in a value that refers to them.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum SetupError {
-    /// A key that is needed is not there, or holds something else.
+    /// A required key is missing or has the wrong type.
     #[error("{0}: missing or of the wrong type")]
     Missing(String),
-    /// A name that the settings do not list.
+    /// A name is not in the settings.
     #[error("{key}: no such name: {name}")]
     Unknown {
-        /// Where it stood.
+        /// Key of the value.
         key: String,
-        /// The name.
+        /// The unknown name.
         name: String,
     },
-    /// A number that must be whole and above zero is not, or is beyond its range.
+    /// A number is not whole, or not from 1 to `max`.
     #[error("{key}: must be a whole number from 1 to {max}")]
     OutOfRange {
-        /// Where it stood.
+        /// Key of the value.
         key: String,
-        /// The largest that is taken.
+        /// Largest allowed value.
         max: u64,
     },
-    /// Two members of a list have one name.
+    /// Two elements of a list have the same name.
     #[error("{list}: the name {name} stands there twice")]
     DuplicateName {
-        /// The list.
+        /// Key of the list.
         list: String,
-        /// The name.
+        /// The duplicate name.
         name: String,
     },
-    /// A list that must name something is empty.
+    /// A list that must not be empty is empty.
     #[error("{0}: is empty")]
     Empty(String),
-    /// Roles and kinds do not pair up.
+    /// The numbers of roles and kinds differ.
     #[error("specifics.kind-role: not one for each of kinds")]
     RoleCountMismatch,
 }
@@ -63,7 +63,7 @@
 }
 
 impl SetupError {
-    /// The same complaint, of a key within a list.
+    /// The same error for a key of a list's element.
     fn nested_in(self, list: &str) -> Self {
         match self {
             SetupError::Missing(key) => SetupError::Missing(format!("{list}[].{key}")),
@@ -75,19 +75,20 @@
     }
 }
 
-/// The names that indices stand for.
+/// Names of the kinds and zones, in the order of their indices.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfiguredNames {
     kinds: Vec<String>,
     zones: Vec<String>,
 }
 
-/// The value, or the complaint that `key` lacks it.
+/// The value, or [`SetupError::Missing`] for `key`.
 pub fn required<T>(value: Option<T>, key: &str) -> Result<T, SetupError> {
     value.ok_or_else(|| SetupError::Missing(key.into()))
 }
 
-/// A whole number that may be written with a fraction; never below zero.
+/// A whole number, which may be written with a fraction. A fraction is cut off, and a negative number gives
+/// 0.
 pub fn whole_number(value: &Value) -> Option<u64> {
     value.as_u64().or_else(|| value.as_f64().filter(|x| x.is_finite()).map(|x| x.max(0.0) as u64))
 }
@@ -105,7 +106,7 @@
     required(value_at(setup, key).and_then(whole_number), key)
 }
 
-/// A number that only the network code needs; the adapter's operators may leave it out.
+/// An optional whole number, which only the network code needs: the adapter's settings may omit it.
 fn whole_number_or(setup: &Value, key: &str, default: Micros) -> Result<Micros, SetupError> {
     value_at(setup, key).map_or(Ok(default), |value| required(whole_number(value), key))
 }
@@ -122,12 +123,12 @@
     list_at(setup, key)?.iter().map(|v| required(v.as_str().map(str::to_string), key)).collect()
 }
 
-/// The name of a member of a list.
+/// The name of a list's element.
 fn name_of(member: &Value) -> Result<Id, SetupError> {
     required(member.get("name").and_then(Value::as_str).map(Id::from), "name")
 }
 
-/// A whole number above zero, up to a bound.
+/// A whole number from 1 to `max`.
 fn positive_at(setup: &Value, key: &str, max: u64) -> Result<u64, SetupError> {
     let value = required(value_at(setup, key), key)?;
     let whole = |x: &f64| x.fract() == 0.0 && *x >= 0.0 && *x <= max as f64;
@@ -136,7 +137,7 @@
     number.ok_or_else(|| SetupError::OutOfRange { key: key.into(), max })
 }
 
-/// No two members of a list have one name.
+/// Fails if two elements of a list have the same name.
 fn check_unique<'a>(names: impl Iterator<Item = &'a Id>, list: &str) -> Result<(), SetupError> {
     let mut seen = BTreeSet::new();
     for name in names {
@@ -148,12 +149,12 @@
 }
 
 impl ConfiguredNames {
-    /// Reads the names from the settings.
+    /// Parses the names in the settings.
     pub fn new(setup: &Value) -> Result<Self, SetupError> {
         Ok(ConfiguredNames { kinds: names_at(setup, "kinds")?, zones: names_at(setup, "zones")? })
     }
 
-    /// The kinds of machine.
+    /// The kinds of servers.
     pub fn kinds(&self) -> &[String] {
         &self.kinds
     }
@@ -164,7 +165,7 @@
     }
 }
 
-/// The index of a name in one of the lists of [`ConfiguredNames`].
+/// The index of a name in a list of [`ConfiguredNames`]; `key` is where the name stands.
 pub fn index_of(names: &[String], name: &str, key: &str) -> Result<usize, SetupError> {
     names
         .iter()
@@ -219,18 +220,20 @@
     Ok(Tenant { name: name_of(tenant)?, quota_per_s: float_at(tenant, "quota-per-s")? })
 }
 
-/// Reads the settings.
+/// Parses the settings.
 pub fn settings(setup: &Value, names: &ConfiguredNames) -> Result<Settings, SetupError> {
     let roles =
         list_at(setup, "specifics.kind-role")?.iter().map(parse_role).collect::<Result<Vec<_>, _>>()?;
     if roles.len() != names.kinds.len() {
         return Err(SetupError::RoleCountMismatch);
     }
-    let per_class = |key| -> Result<Vec<u64>, SetupError> {
+    let whole_numbers_at = |key| -> Result<Vec<u64>, SetupError> {
         list_at(setup, key)?.iter().map(|v| required(whole_number(v), key)).collect()
     };
-    let (first_token_targets_per_ktoken, inter_token_targets) =
-        (per_class("specifics.aim-us-per-1000-prompt-tokens")?, per_class("specifics.token-aim")?);
+    let (first_token_targets_per_ktoken, inter_token_targets) = (
+        whole_numbers_at("specifics.aim-us-per-1000-prompt-tokens")?,
+        whole_numbers_at("specifics.token-aim")?,
+    );
     let class_entries = list_at(setup, "grades")?.iter().enumerate();
     let at = |list: &[u64], i: usize| list.get(i).copied().unwrap_or(0);
     let max_attempts = positive_at(setup, "limits.max-attempts", u64::from(u32::MAX))? as u32;
@@ -259,7 +262,7 @@
         conductors: whole_number_at(setup, "balancers")?.clamp(1, u64::from(u32::MAX)) as u32,
         zone: index_of(&names.zones, zone, "zone")?,
         min_call_interval: whole_number_at(setup, "tick")?,
-        memory_tokens: per_class("specifics.kv-tokens")?,
+        memory_tokens: whole_numbers_at("specifics.kv-tokens")?,
         roles,
         classes,
         tenants,
@@ -291,7 +294,7 @@
     })
 }
 
-/// A load report; columns that are not known are skipped.
+/// Parses a load report; unknown columns are ignored.
 pub fn load_report(report: &Value) -> Result<LoadReport, SetupError> {
     let report = required(report.as_object(), "telemetry")?;
     let column = |name| report.get(name).and_then(Value::as_f64);
