--- a/src/facade.rs
+++ b/src/facade.rs
@@ -28,7 +28,7 @@
         /// Time after which the client should retry; 0 for no advice.
         retry_after: Micros,
     },
-    /// Final answer: the request failed.
+    /// Final answer: the request failed, and a retry may not be harmless.
     Fail,
     /// Cancel the attempt in flight.
     Cancel,
