--- a/core/src/request.rs
+++ b/core/src/request.rs
@@ -250,7 +250,7 @@
     ) -> NextStep<U::Events> {
         let PreparedAttempt { server, previous_release, permit, stop_at, may_take_effect } = prepared;
         let id = open_call.registration.id.clone();
-        open_call.execution.sent(may_take_effect);
+        open_call.execution.record_send(may_take_effect);
         open_call.registration.has_attempt_in_flight = true;
         let result = {
             let attempt = async {
@@ -307,7 +307,7 @@
         };
         let registration = &mut open_call.registration;
         self.releaser.record_outcome(server, outcome, self.clock.now());
-        open_call.execution.ended();
+        open_call.execution.record_end();
         registration.has_attempt_in_flight = false;
         match reply {
             AttemptReply::Stream(events) => {
--- a/src/facade.rs
+++ b/src/facade.rs
@@ -1,8 +1,8 @@
-//! The decisions in blocking style, for network code: [`Facade::submit`] takes a request,
-//! [`Facade::report`] tells what became of it, [`Facade::fire_timers`] lets time pass. Each is given the
-//! time and returns [`Decisions`]. The facade decides nothing; it numbers the attempts, keeps the
-//! timers, and turns the module's events and actions into words that a caller without knowledge
-//! of them can use.
+//! Synchronous interface to the decisions, for network code: [`Facade::submit`] takes a request,
+//! [`Facade::report`] reports its progress, and [`Facade::fire_timers`] fires the timers that are due. Each
+//! takes the current time and returns [`Decisions`]. The facade makes no decisions itself. It numbers the
+//! attempts, keeps the timers, checks each action against the rules, and hides the router's events and
+//! actions from its caller.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -11,182 +11,182 @@
 use crate::scheduler::handover::{OpenWork, Snapshot};
 use crate::scheduler::Router;
 
-/// What is to be done about a request.
+/// What to do with a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// Send it to this server and stop waiting at `stop_at`.
+    /// Send the request to a server.
     Send {
-        /// The server.
+        /// Id of the server.
         server: Id,
-        /// On the caller's clock.
+        /// Time at which the attempt times out, on the caller's clock.
         stop_at: Micros,
-        /// Nothing is to be written from then on.
+        /// Time from which the attempt must not be written.
         send_by: Option<Micros>,
     },
-    /// Final answer: refused, trying again is harmless.
+    /// Final answer: the request is refused, and a retry is harmless.
     Refuse {
-        /// How long the client should stay away; 0 for no advice.
+        /// Time after which the client should retry; 0 for no advice.
         retry_after: Micros,
     },
-    /// Final answer: failed.
+    /// Final answer: the request failed, and a retry may not be harmless.
     Fail,
-    /// Stop waiting for the attempt that is out.
+    /// Cancel the attempt in flight.
     Cancel,
-    /// Let go of whatever is held for it at any server.
+    /// Release whatever servers hold for the request.
     Release,
-    /// End its running stream; the client comes back for the rest.
+    /// End the running stream; the client reconnects and resumes it.
     Move,
 }
 
-/// All that one call brought about.
+/// The results of one call.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Decisions {
-    /// What to do, request by request, in order.
+    /// Decisions about requests, in the order in which they are carried out.
     pub requests: Vec<(Id, Decision)>,
     /// Servers to probe.
     pub probes: Vec<Id>,
-    /// The list of servers must be asked for anew.
+    /// Whether the list of servers must be requested again.
     pub watch: bool,
-    /// Lines for the operators.
+    /// Lines for the log.
     pub log: Vec<String>,
-    /// Actions that would have broken a rule, and were not carried out, by request.
+    /// Rules that suppressed actions would have broken, by request.
     pub violations: Vec<(Id, Violation)>,
 }
 
-/// What became of a request.
+/// Progress of a request, as the caller reports it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Report {
-    /// The first event of its answer has come.
+    /// The first event of the answer has come.
     Started,
-    /// The attempt that was out has ended.
+    /// The attempt in flight has ended.
     Ended {
-        /// How.
+        /// How the attempt ended.
         outcome: Outcome,
-        /// Prompt tokens that the server still had.
+        /// Prompt tokens that the server had cached.
         cached_tokens: u64,
-        /// The server's load report, if one came along.
+        /// Load report of the server, if it sent one.
         load: Option<LoadReport>,
     },
-    /// Nobody waits for it any more. The caller says so once for each request, as the last thing;
-    /// an attempt that was still out is called off by that.
+    /// Nobody waits for the request any more. The caller reports this once for each request, as the last
+    /// report. It cancels an attempt that is still in flight.
     Closed,
 }
 
-/// A request that has not been left, and its latest attempt.
+/// A request that is not closed, and its latest attempt.
 #[derive(Default)]
-struct Open {
+struct OpenRequest {
     attempts: u32,
-    started: bool,
-    /// Server and send time of the attempt that is out.
-    out: Option<(Id, Micros)>,
+    has_started: bool,
+    /// Server and send time of the attempt in flight.
+    in_flight: Option<(Id, Micros)>,
 }
 
-/// The decision module, its timers and the numbers of its attempts.
+/// A router with its timers, the numbers of its attempts and the guard of its actions.
 pub struct Facade {
     router: Router,
-    open: HashMap<Id, Open>,
-    bells: BTreeSet<(Micros, u64)>,
+    open_requests: HashMap<Id, OpenRequest>,
+    timers: BTreeSet<(Micros, u64)>,
     actions: Vec<Action>,
     guard: Guard,
 }
 
 impl Facade {
-    /// A facade whose module knows no server yet.
+    /// A facade without servers.
     pub fn new(settings: Settings, seed: u64) -> Self {
         Facade {
             guard: Guard::new(&settings),
             router: Router::new(settings, seed),
-            open: HashMap::new(),
-            bells: BTreeSet::new(),
+            open_requests: HashMap::new(),
+            timers: BTreeSet::new(),
             actions: Vec::new(),
         }
     }
 
-    /// Takes a request; `None` if its id is that of one still open, of which the module knows.
+    /// Takes a request; `None` if a request with this id is still open.
     pub fn submit(&mut self, now: Micros, query: Query) -> Option<Decisions> {
-        if self.open.contains_key(&query.id) {
+        if self.open_requests.contains_key(&query.id) {
             return None;
         }
-        self.open.insert(query.id.clone(), Open::default());
-        self.guard.asked(&query);
+        self.open_requests.insert(query.id.clone(), OpenRequest::default());
+        self.guard.register_request(&query);
         Some(self.handle(now, Event::Query(query)))
     }
 
-    /// Tells what became of a request.
+    /// Reports the progress of a request.
     pub fn report(&mut self, now: Micros, id: &Id, report: Report) -> Decisions {
         match report {
-            Report::Started => self.started(now, id),
+            Report::Started => self.answer_started(now, id),
             Report::Ended { outcome, cached_tokens, load } => {
-                let ended = self.result(now, id, outcome, cached_tokens, load);
+                let ended = self.end_attempt(now, id, outcome, cached_tokens, load);
                 ended.map_or_else(Decisions::default, |event| self.handle(now, event))
             }
-            Report::Closed => self.left(now, id),
+            Report::Closed => self.close_request(now, id),
         }
     }
 
-    /// News of the list of servers.
+    /// Updates the list of servers.
     pub fn update_servers(
         &mut self,
         now: Micros,
         form: ListUpdateKind,
         entries: Vec<ServerEntry>,
     ) -> Decisions {
-        self.guard.members(form, &entries);
+        self.guard.update_servers(form, &entries);
         self.handle(now, Event::Members { form, entries })
     }
 
-    /// The caller is about to stop: answers every request that has not begun to stream.
+    /// Answers every request that has not begun to stream, as the caller is about to stop.
     pub fn close(&mut self, now: Micros) -> Decisions {
-        self.guard.closing();
+        self.guard.begin_closing();
         self.handle(now, Event::Closing)
     }
 
-    /// New settings, for requests that come from now on.
+    /// Applies new settings to requests that come from now on.
     pub fn reconfigure(&mut self, now: Micros, settings: Settings) -> Decisions {
         self.handle(now, Event::Settings(settings))
     }
 
-    /// What the module has learned up to now.
+    /// Exports what the router has learned so far.
     pub fn snapshot(&self, now: Micros) -> Snapshot {
         self.router.snapshot(now)
     }
 
-    /// What is open at servers.
+    /// The work in flight at servers, without that of other processes.
     pub fn open_work(&self) -> OpenWork {
         self.router.open_work()
     }
 
-    /// What other processes of the same conductor have open counts as its own.
+    /// Counts the work of other processes of the same conductor as its own.
     pub fn set_foreign_work(&mut self, foreign: OpenWork) {
         self.router.set_foreign_work(foreign);
     }
 
-    /// Takes over what a snapshot of this age says of servers that are listed; the rest stays in it.
+    /// Restores what a snapshot of this age says about listed servers; the rest stays in the snapshot.
     pub fn restore(&mut self, now: Micros, age: Micros, snapshot: &mut Snapshot) {
         self.router.restore(now, age, snapshot);
     }
 
-    /// The server's start as the decisions know it; `None` where it takes nothing new.
+    /// Start time of a server as the decisions know it; `None` if the server accepts no new requests.
     pub fn server_started(&self, server: &Id) -> Option<Micros> {
-        self.guard.started(server)
+        self.guard.started_at(server)
     }
 
-    /// Whether an attempt at a server may take effect: it does more there than a prefill.
+    /// Whether an attempt at a server may take effect, because it does more there than a prefill.
     pub fn takes_effect(&self, server: &Id) -> bool {
         self.guard.takes_effect(server)
     }
 
-    /// Servers that requests may go to now.
+    /// Number of servers that requests may be sent to now.
     pub fn usable_servers(&self) -> usize {
         self.router.usable_servers()
     }
 
-    /// The part of what all routers share that is this one's.
-    pub fn set_quota_share(&mut self, now: Micros, part: f64) -> Decisions {
-        self.handle(now, Event::QuotaShare { share: part })
+    /// Sets this conductor's share of the capacity and quotas of all conductors.
+    pub fn set_quota_share(&mut self, now: Micros, share: f64) -> Decisions {
+        self.handle(now, Event::QuotaShare { share })
     }
 
-    /// A probe came back.
+    /// Reports the end of a probe.
     pub fn probe_ended(
         &mut self,
         now: Micros,
@@ -197,134 +197,142 @@
         self.handle(now, Event::ProbeEnded { server, outcome, load })
     }
 
-    /// When [`Facade::fire_timers`] is due.
+    /// Time at which [`Facade::fire_timers`] is due.
     pub fn next_timer_at(&self) -> Option<Micros> {
-        self.bells.first().map(|(at, _)| *at)
+        self.timers.first().map(|(at, _)| *at)
     }
 
-    /// Rings every timer that is due.
+    /// Fires every timer that is due.
     pub fn fire_timers(&mut self, now: Micros) -> Decisions {
-        let mut verdicts = Decisions::default();
-        while let Some(&(at, token)) = self.bells.first() {
+        let mut decisions = Decisions::default();
+        while let Some(&(at, token)) = self.timers.first() {
             if at > now {
                 break;
             }
-            self.bells.pop_first();
-            self.feed(now, Event::TimerFired { token }, &mut verdicts);
+            self.timers.pop_first();
+            self.process_event(now, Event::TimerFired { token }, &mut decisions);
         }
-        verdicts
+        decisions
     }
 
-    /// How many entries are kept under ids that others give; it stays bounded however long a day is.
+    /// Number of entries keyed by external ids and of timers; it must stay bounded over the life of the
+    /// process.
     pub fn entry_count(&self) -> usize {
-        self.router.entry_count() + self.open.len() + self.bells.len()
+        self.router.entry_count() + self.open_requests.len() + self.timers.len()
     }
 
-    fn started(&mut self, now: Micros, id: &Id) -> Decisions {
-        let Some(open) = self.open.get_mut(id) else { return Decisions::default() };
-        let Some((_, sent)) = &open.out else { return Decisions::default() };
-        open.started = true;
-        self.guard.answer_began(id);
+    fn answer_started(&mut self, now: Micros, id: &Id) -> Decisions {
+        let Some(open) = self.open_requests.get_mut(id) else { return Decisions::default() };
+        let Some((_, sent)) = &open.in_flight else { return Decisions::default() };
+        open.has_started = true;
+        self.guard.record_answer_start(id);
         let (attempt, elapsed) = (open.attempts - 1, now.saturating_sub(*sent));
         self.handle(now, Event::AnswerStarted { id: id.clone(), attempt, elapsed })
     }
 
-    /// The end of the attempt that is out, if one is.
-    fn result(
+    /// Ends the attempt in flight; `None` if there is none.
+    fn end_attempt(
         &mut self,
         now: Micros,
         id: &Id,
         outcome: Outcome,
-        kept: u64,
+        cached_tokens: u64,
         load: Option<LoadReport>,
     ) -> Option<Event> {
-        let open = self.open.get_mut(id)?;
-        let (server, sent) = open.out.take()?;
-        self.guard.attempt_ended(id, outcome);
+        let open = self.open_requests.get_mut(id)?;
+        let (server, sent) = open.in_flight.take()?;
+        self.guard.record_attempt_end(id, outcome);
         Some(Event::AttemptEnded {
             id: id.clone(),
             attempt: open.attempts - 1,
             server,
             outcome,
             elapsed: now.saturating_sub(sent),
-            cached_tokens: kept,
-            finished: open.started || outcome == Outcome::Served,
+            cached_tokens,
+            finished: open.has_started || outcome == Outcome::Served,
             load,
         })
     }
 
-    fn left(&mut self, now: Micros, id: &Id) -> Decisions {
-        let mut verdicts = self.handle(now, Event::ClientGone { id: id.clone() });
-        if let Some(called_off) = self.result(now, id, Outcome::Cancelled, 0, None) {
-            self.feed(now, called_off, &mut verdicts);
+    fn close_request(&mut self, now: Micros, id: &Id) -> Decisions {
+        let mut decisions = self.handle(now, Event::ClientGone { id: id.clone() });
+        if let Some(cancelled) = self.end_attempt(now, id, Outcome::Cancelled, 0, None) {
+            self.process_event(now, cancelled, &mut decisions);
         }
-        self.open.remove(id);
-        self.guard.left(id);
-        verdicts
+        self.open_requests.remove(id);
+        self.guard.remove_request(id);
+        decisions
     }
 
     fn handle(&mut self, now: Micros, event: Event) -> Decisions {
-        let mut verdicts = Decisions::default();
-        self.feed(now, event, &mut verdicts);
-        verdicts
+        let mut decisions = Decisions::default();
+        self.process_event(now, event, &mut decisions);
+        decisions
     }
 
-    fn feed(&mut self, now: Micros, event: Event, verdicts: &mut Decisions) {
+    fn process_event(&mut self, now: Micros, event: Event, decisions: &mut Decisions) {
         let mut actions = std::mem::take(&mut self.actions);
         self.router.handle(now, event, &mut actions);
         for action in actions.drain(..) {
-            self.carry(now, action, verdicts);
+            self.apply_action(now, action, decisions);
         }
         self.actions = actions;
     }
 
-    fn carry(&mut self, now: Micros, action: Action, verdicts: &mut Decisions) {
-        let (id, verdict) = match action {
+    fn apply_action(&mut self, now: Micros, action: Action, decisions: &mut Decisions) {
+        let (id, decision) = match action {
             Action::Send { id, server, stop_at, send_by } => {
-                if let Err(violation) = self.guard.send(now, &id, &server) {
-                    return self.withhold(now, id, server, violation, verdicts);
+                if let Err(violation) = self.guard.authorize_send(now, &id, &server) {
+                    return self.reject_send(now, id, server, violation, decisions);
                 }
-                let open = self.open.entry(id.clone()).or_default();
+                let open = self.open_requests.entry(id.clone()).or_default();
                 open.attempts += 1;
-                open.out = Some((server.clone(), now));
+                open.in_flight = Some((server.clone(), now));
                 (id, Decision::Send { server, stop_at, send_by })
             }
             Action::Cancel { id, .. } => (id, Decision::Cancel),
-            Action::Refuse { id, retry_after } => match self.guard.answer(&id, true) {
+            Action::Refuse { id, retry_after } => match self.guard.authorize_answer(&id, true) {
                 Ok(()) => (id, Decision::Refuse { retry_after }),
                 Err(violation) => {
-                    verdicts.violations.push((id.clone(), violation));
+                    decisions.violations.push((id.clone(), violation));
                     if violation == Violation::SecondAnswer {
                         return;
                     }
-                    // It promises nothing.
+                    // A failure does not promise that a retry is harmless.
                     (id, Decision::Fail)
                 }
             },
-            Action::Fail { id } => match self.guard.answer(&id, false) {
+            Action::Fail { id } => match self.guard.authorize_answer(&id, false) {
                 Ok(()) => (id, Decision::Fail),
-                Err(violation) => return verdicts.violations.push((id, violation)),
+                Err(violation) => return decisions.violations.push((id, violation)),
             },
             Action::ReleaseCache { id } => (id, Decision::Release),
             Action::MoveStream { id } => (id, Decision::Move),
-            Action::Probe { server } => return verdicts.probes.push(server),
-            Action::Watch => return verdicts.watch = true,
+            Action::Probe { server } => return decisions.probes.push(server),
+            Action::Watch => return decisions.watch = true,
             Action::SetTimer { delay, token } => {
-                self.bells.insert((now + delay, token));
+                self.timers.insert((now + delay, token));
                 return;
             }
-            Action::Log(line) => return verdicts.log.push(line),
+            Action::Log(line) => return decisions.log.push(line),
         };
-        verdicts.requests.push((id, verdict));
+        decisions.requests.push((id, decision));
     }
 
-    /// An attempt that would break a rule does not go out; to the decisions it has ended as never sent.
-    fn withhold(&mut self, now: Micros, id: Id, server: Id, violation: Violation, verdicts: &mut Decisions) {
-        verdicts.violations.push((id.clone(), violation));
-        let Some(open) = self.open.get_mut(&id) else { return };
+    /// Suppresses an attempt that would break a rule. To the router, the attempt has ended as never sent.
+    fn reject_send(
+        &mut self,
+        now: Micros,
+        id: Id,
+        server: Id,
+        violation: Violation,
+        decisions: &mut Decisions,
+    ) {
+        decisions.violations.push((id.clone(), violation));
+        let Some(open) = self.open_requests.get_mut(&id) else { return };
         open.attempts += 1;
         let (attempt, outcome) = (open.attempts - 1, Outcome::NotSent);
-        let finished = open.started;
+        let finished = open.has_started;
         let event = Event::AttemptEnded {
             id,
             attempt,
@@ -335,6 +343,6 @@
             finished,
             load: None,
         };
-        self.feed(now, event, verdicts);
+        self.process_event(now, event, decisions);
     }
 }
--- a/src/guard.rs
+++ b/src/guard.rs
@@ -1,11 +1,13 @@
-//! The guard of what goes out: each action of the decisions is held against the rules once more, by an
-//! account of its own that shares nothing with theirs. What breaks a rule is not carried out, and is
-//! counted.
+//! Checks each action of the decisions against the rules a second time, on records that share nothing with
+//! those of the router. An action that would break a rule is suppressed and counted.
 //!
-//! It watches four things: sending (one attempt out, none after the first event, after the end or after the
-//! client has gone, to listed servers that take something new), repeating (by the effect of the class, and
-//! the number of attempts), closing (one final answer, no refusal of what may have run) and starting
-//! (nothing is begun once the conductor closes).
+//! The guard checks four kinds of rules:
+//!
+//! - Sends: one attempt in flight at a time; none after the first event of the answer, after the final answer
+//!   or after the client has gone; only to listed servers that accept new requests.
+//! - Repeats: limited by the effect of the class and by the number of attempts.
+//! - Answers: one final answer, and no refusal of a request that may have run.
+//! - Shutdown: no send once the conductor is closing.
 
 use std::collections::{HashMap, HashSet};
 
@@ -14,34 +16,34 @@
 /// A rule that an action would have broken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Violation {
-    /// Another attempt of the request is out.
-    #[error("an attempt is out already")]
+    /// Another attempt of the request is in flight.
+    #[error("another attempt of the request is in flight")]
     ConcurrentAttempts,
     /// The request has its final answer, or its client has gone.
-    #[error("sent after the request's end")]
+    #[error("sent after the end of the request")]
     AfterEnd,
     /// The request has used up its attempts.
-    #[error("more attempts than the class allows")]
+    #[error("the request has used all attempts that its class allows")]
     TooManyAttempts,
-    /// An attempt may have run, and the class allows no repeat there or then.
-    #[error("a repeat that may take effect twice")]
+    /// An attempt may have run, and the class allows no repeat at that server or time.
+    #[error("a repeat may take effect twice")]
     UnsafeRepeat,
-    /// The server drains, has gone or was never listed.
-    #[error("sent to a server that takes nothing new")]
+    /// The server is draining, is gone or was never listed.
+    #[error("the server accepts no new requests")]
     ServerNotAccepting,
     /// The request has its final answer.
-    #[error("a second final answer")]
+    #[error("the request already has a final answer")]
     SecondAnswer,
-    /// Refused, though it may have run.
-    #[error("refused although it may have run")]
+    /// The request may have run, so a refusal would wrongly promise that a retry is harmless.
+    #[error("refused although the request may have run")]
     UnsafeRefusal,
-    /// The conductor closes.
-    #[error("begun after the conductor began to close")]
+    /// The conductor is closing.
+    #[error("sent after the conductor began to close")]
     Closing,
 }
 
 impl Violation {
-    /// The rule as it stands in figures.
+    /// Label of the rule in metrics.
     pub fn label(self) -> &'static str {
         match self {
             Violation::ConcurrentAttempts => "two_out",
@@ -56,180 +58,189 @@
     }
 }
 
-/// Where a server stands, for keyed repeats.
+/// Location and role of a server, for repeats.
 #[derive(Clone, Copy)]
-struct Place {
+struct ServerPlacement {
     zone: usize,
-    cell: u64,
-    decodes: bool,
-    started: Micros,
+    rack: u64,
+    can_decode: bool,
+    started_at: Micros,
 }
 
-struct Account {
+/// What has been sent for an open request.
+struct RequestRecord {
     effect: Effect,
     max_attempts: u32,
     attempts: u32,
-    /// The server of the attempt that is out, and when it was sent.
-    out: Option<(Option<Place>, Micros)>,
-    /// The first attempt that may have run.
-    ran: Option<(Option<Place>, Micros)>,
-    /// Its client is back for the rest of an answer.
-    came_back: bool,
-    ended: bool,
+    /// Server and send time of the attempt in flight.
+    in_flight: Option<(Option<ServerPlacement>, Micros)>,
+    /// Server and send time of the first attempt that may have run.
+    first_execution: Option<(Option<ServerPlacement>, Micros)>,
+    /// Whether the client resumes a stream, of which an attempt has run before.
+    resumes_stream: bool,
+    /// Whether the answer has begun or the final answer was given.
+    is_ended: bool,
 }
 
-/// The account of what has gone out.
+/// Independent check of the actions of the decisions.
 #[derive(Default)]
 pub struct Guard {
     roles: Vec<Role>,
-    open: HashSet<Id>,
-    places: HashMap<Id, Place>,
-    requests: HashMap<Id, Account>,
-    closing: bool,
+    /// Servers that accept new requests.
+    accepting: HashSet<Id>,
+    placements: HashMap<Id, ServerPlacement>,
+    requests: HashMap<Id, RequestRecord>,
+    is_closing: bool,
 }
 
 impl Guard {
-    /// Nothing has happened yet.
+    /// A guard without servers and requests.
     pub fn new(settings: &Settings) -> Self {
         Guard { roles: settings.roles.clone(), ..Guard::default() }
     }
 
-    /// News of the list.
-    pub fn members(&mut self, form: ListUpdateKind, entries: &[ServerEntry]) {
+    /// Applies an update of the list of servers.
+    pub fn update_servers(&mut self, form: ListUpdateKind, entries: &[ServerEntry]) {
         if matches!(form, ListUpdateKind::Full | ListUpdateKind::StaleCopy) {
-            self.open.clear();
-            self.places.clear();
+            self.accepting.clear();
+            self.placements.clear();
         }
         for entry in entries {
-            let decodes = self.roles.get(entry.kind).is_none_or(|role| *role != Role::Prefill);
-            let place = Place { zone: entry.zone, cell: entry.rack, decodes, started: entry.started };
+            let can_decode = self.roles.get(entry.kind).is_none_or(|role| *role != Role::Prefill);
+            let placement =
+                ServerPlacement { zone: entry.zone, rack: entry.rack, can_decode, started_at: entry.started };
             match entry.health {
                 Health::Up => {
-                    self.open.insert(entry.server.clone());
-                    self.places.insert(entry.server.clone(), place);
+                    self.accepting.insert(entry.server.clone());
+                    self.placements.insert(entry.server.clone(), placement);
                 }
                 Health::Draining | Health::Gone => {
-                    self.open.remove(&entry.server);
+                    self.accepting.remove(&entry.server);
                 }
             }
         }
     }
 
-    /// When a server that takes something new was told to have started.
-    pub fn started(&self, server: &Id) -> Option<Micros> {
-        self.open.get(server).and_then(|server| self.places.get(server)).map(|place| place.started)
+    /// Start time of a server, as the list has it; `None` if the server accepts no new requests.
+    pub fn started_at(&self, server: &Id) -> Option<Micros> {
+        self.accepting
+            .get(server)
+            .and_then(|server| self.placements.get(server))
+            .map(|placement| placement.started_at)
     }
 
-    /// Whether an attempt at a server may take effect: it does more there than a prefill.
+    /// Whether an attempt at a server may take effect, because it does more there than a prefill.
     pub fn takes_effect(&self, server: &Id) -> bool {
-        self.places.get(server).is_none_or(|place| place.decodes)
+        self.placements.get(server).is_none_or(|placement| placement.can_decode)
     }
 
-    /// A request has come.
-    pub fn asked(&mut self, query: &Query) {
+    /// Registers a new request.
+    pub fn register_request(&mut self, query: &Query) {
         let class = &query.class;
-        let account = Account {
+        let record = RequestRecord {
             effect: class.effect,
             max_attempts: class.max_attempts,
             attempts: 0,
-            out: None,
-            ran: None,
-            came_back: query.resumes_stream,
-            ended: false,
+            in_flight: None,
+            first_execution: None,
+            resumes_stream: query.resumes_stream,
+            is_ended: false,
         };
-        self.requests.insert(query.id.clone(), account);
+        self.requests.insert(query.id.clone(), record);
     }
 
-    /// The conductor is about to stop.
-    pub fn closing(&mut self) {
-        self.closing = true;
+    /// Forbids all sends from now on, as the conductor is about to stop.
+    pub fn begin_closing(&mut self) {
+        self.is_closing = true;
     }
 
-    /// The attempt that was out has ended.
-    pub fn attempt_ended(&mut self, id: &Id, outcome: Outcome) {
-        let Some(account) = self.requests.get_mut(id) else { return };
-        let Some((place, sent)) = account.out.take() else { return };
-        let effective = place.is_none_or(|place| place.decodes);
-        if effective && !outcome.never_ran() && account.ran.is_none() {
-            account.ran = Some((place, sent));
+    /// Records the end of the attempt in flight.
+    pub fn record_attempt_end(&mut self, id: &Id, outcome: Outcome) {
+        let Some(record) = self.requests.get_mut(id) else { return };
+        let Some((placement, sent)) = record.in_flight.take() else { return };
+        let takes_effect = placement.is_none_or(|placement| placement.can_decode);
+        if takes_effect && !outcome.never_ran() && record.first_execution.is_none() {
+            record.first_execution = Some((placement, sent));
         }
     }
 
-    /// An answer has begun: it is the client's, and nothing more goes out.
-    pub fn answer_began(&mut self, id: &Id) {
-        if let Some(account) = self.requests.get_mut(id) {
-            account.ended = true;
+    /// Records that the answer has begun to reach the client: nothing more may be sent.
+    pub fn record_answer_start(&mut self, id: &Id) {
+        if let Some(record) = self.requests.get_mut(id) {
+            record.is_ended = true;
         }
     }
 
-    /// Its client has gone, or has all of its answer.
-    pub fn left(&mut self, id: &Id) {
+    /// Removes a request whose client has gone or has its whole answer.
+    pub fn remove_request(&mut self, id: &Id) {
         self.requests.remove(id);
     }
 
-    /// Whether an attempt may go out; if so, it is out.
-    pub fn send(&mut self, now: Micros, id: &Id, server: &Id) -> Result<(), Violation> {
-        let place = self.places.get(server).copied();
-        let account = self.requests.get_mut(id).ok_or(Violation::AfterEnd)?;
-        if self.closing {
+    /// Checks whether an attempt may be sent; if so, records it as in flight.
+    pub fn authorize_send(&mut self, now: Micros, id: &Id, server: &Id) -> Result<(), Violation> {
+        let placement = self.placements.get(server).copied();
+        let record = self.requests.get_mut(id).ok_or(Violation::AfterEnd)?;
+        if self.is_closing {
             return Err(Violation::Closing);
         }
-        if account.ended {
+        if record.is_ended {
             return Err(Violation::AfterEnd);
         }
-        if account.out.is_some() {
+        if record.in_flight.is_some() {
             return Err(Violation::ConcurrentAttempts);
         }
-        if account.attempts >= account.max_attempts {
+        if record.attempts >= record.max_attempts {
             return Err(Violation::TooManyAttempts);
         }
-        if !self.open.contains(server) {
+        if !self.accepting.contains(server) {
             return Err(Violation::ServerNotAccepting);
         }
-        if !account.may_repeat(now, place) {
+        if !record.may_repeat(now, placement) {
             return Err(Violation::UnsafeRepeat);
         }
-        account.attempts += 1;
-        account.out = Some((place, now));
+        record.attempts += 1;
+        record.in_flight = Some((placement, now));
         Ok(())
     }
 
-    /// Whether a final answer may be given; if so, it is.
-    pub fn answer(&mut self, id: &Id, refused: bool) -> Result<(), Violation> {
-        let account = self.requests.get_mut(id).ok_or(Violation::SecondAnswer)?;
-        if account.ended {
+    /// Checks whether a final answer may be given, and records that the request has ended.
+    pub fn authorize_answer(&mut self, id: &Id, refused: bool) -> Result<(), Violation> {
+        let record = self.requests.get_mut(id).ok_or(Violation::SecondAnswer)?;
+        if record.is_ended {
             return Err(Violation::SecondAnswer);
         }
-        account.ended = true;
-        match refused && !account.may_be_refused() {
+        record.is_ended = true;
+        match refused && !record.may_be_refused() {
             true => Err(Violation::UnsafeRefusal),
             false => Ok(()),
         }
     }
 }
 
-impl Account {
-    fn may_repeat(&self, now: Micros, to: Option<Place>) -> bool {
-        let Some((first, sent)) = self.ran else { return true };
+impl RequestRecord {
+    fn may_repeat(&self, now: Micros, to: Option<ServerPlacement>) -> bool {
+        let Some((first, sent)) = self.first_execution else { return true };
         match self.effect {
             Effect::Safe => true,
             Effect::Unsafe => false,
             Effect::Keyed { scope, window } => {
-                let same = match (scope, first, to) {
+                let in_scope = match (scope, first, to) {
                     (DedupScope::All, ..) => true,
                     (DedupScope::Zone, Some(first), Some(to)) => first.zone == to.zone,
-                    (DedupScope::Rack, Some(first), Some(to)) => first.cell == to.cell,
+                    (DedupScope::Rack, Some(first), Some(to)) => first.rack == to.rack,
                     _ => false,
                 };
-                same && now < sent + window
+                in_scope && now < sent + window
             }
         }
     }
 
-    /// What is out at a server that decodes may run yet.
+    /// Whether a refusal would be true. An attempt in flight at a server that decodes may still run.
     fn may_be_refused(&self) -> bool {
-        let out = self.out.is_some_and(|(place, _)| place.is_none_or(|place| place.decodes));
+        let may_run_yet = self
+            .in_flight
+            .is_some_and(|(placement, _)| placement.is_none_or(|placement| placement.can_decode));
         let harmless = matches!(self.effect, Effect::Safe | Effect::Keyed { scope: DedupScope::All, .. });
-        harmless || (self.ran.is_none() && !out && !self.came_back)
+        harmless || (self.first_execution.is_none() && !may_run_yet && !self.resumes_stream)
     }
 }
