--- a/src/interface.rs
+++ b/src/interface.rs
@@ -382,7 +382,7 @@
         /// Id of the server.
         server: Id,
     },
-    /// Subscribe to the list of servers.
+    /// Subscribe to the list of servers, or request it again where it is polled.
     Watch,
     /// Set a timer.
     SetTimer {
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -469,8 +469,9 @@
         }
         let released_during_attempt = request.released_during_attempt.take();
         // The server has responded since the send, so the attempt is likely to have arrived.
-        let heard_since_send = self.servers[server_index].unanswered_since.is_some_and(|since| since > sent);
-        if outcome == Outcome::Rejected || (heard_since_send && outcome == Outcome::NoAnswer) {
+        let responded_since_send =
+            self.servers[server_index].unanswered_since.is_some_and(|since| since > sent);
+        if outcome == Outcome::Rejected || (responded_since_send && outcome == Outcome::NoAnswer) {
             request.kv_cache = request.kv_cache.or(released_during_attempt.map(|at| (at, self.now)));
         }
         request.may_hold_cache |= is_prefill && (outcome == Outcome::PrefillDone || !outcome.never_ran());
