--- a/tests/cost.rs
+++ b/tests/cost.rs
@@ -32,13 +32,14 @@
 /// Requests at 100 a second, a part of which is answered late, while a quarter of the servers restarts.
 fn play(size: usize, conductors: u32, may_probe: bool) -> Cost {
     let settings = Settings { conductors, may_probe, ..Settings::example() };
-    let (mut bench, servers) = (Bench::seeded(settings, 7), fleet(size));
-    bench.list(ListUpdateKind::Full, servers.clone());
+    let (mut harness, servers) = (RouterHarness::with_seed(settings, 7), fleet(size));
+    harness.update_servers(ListUpdateKind::Full, servers.clone());
     let mut cost = Cost { worst: 0, events: 0, all: 0 };
-    let mut counted = |bench: &mut Bench, step: &mut dyn FnMut(&mut Bench) -> Vec<Action>| {
-        let before = bench.router.scan_count();
-        let out = step(bench);
-        let looks = bench.router.scan_count() - before;
+    let mut counted = |harness: &mut RouterHarness,
+                       step: &mut dyn FnMut(&mut RouterHarness) -> Vec<Action>| {
+        let before = harness.router.scan_count();
+        let out = step(harness);
+        let looks = harness.router.scan_count() - before;
         (cost.worst, cost.events, cost.all) = (cost.worst.max(looks), cost.events + 1, cost.all + looks);
         out
     };
@@ -48,15 +49,17 @@
             let part = size / 200;
             let restarted = (0..part).map(|n| {
                 let server = (nth * part / 20 + n) % size;
-                ServerEntry { started: bench.now, ..servers[server].clone() }
+                ServerEntry { started: harness.now, ..servers[server].clone() }
             });
             let entries: Vec<ServerEntry> = restarted.collect();
-            counted(&mut bench, &mut |bench| bench.list(ListUpdateKind::Changes, entries.clone()));
+            counted(&mut harness, &mut |harness| {
+                harness.update_servers(ListUpdateKind::Changes, entries.clone())
+            });
         }
-        let mut due = counted(&mut bench, &mut |bench| bench.ask(query(&format!("q{nth}"), 900)));
-        due.extend(counted(&mut bench, &mut |bench| {
-            bench.now += 10 * MS;
-            bench.step(Event::TimerFired { token: bench.token })
+        let mut due = counted(&mut harness, &mut |harness| harness.submit(query(&format!("q{nth}"), 900)));
+        due.extend(counted(&mut harness, &mut |harness| {
+            harness.now += 10 * MS;
+            harness.handle(Event::TimerFired { token: harness.timer_token })
         }));
         let probes = due.iter().filter_map(|action| match action {
             Action::Probe { server } => Some(server.clone()),
@@ -65,7 +68,7 @@
         for server in probes.collect::<Vec<_>>() {
             let load = Some(LoadReport { outstanding: Some(1.0), ..LoadReport::default() });
             let probed = Event::ProbeEnded { server, outcome: Outcome::Served, load };
-            due.extend(counted(&mut bench, &mut |bench| bench.step(probed.clone())));
+            due.extend(counted(&mut harness, &mut |harness| harness.handle(probed.clone())));
         }
         // Every tenth read is not heard of, and given up after a second.
         if nth % 10 == 0 {
@@ -75,12 +78,14 @@
         let (given_up, out) = lost.into_iter().partition::<Vec<_>, _>(|(at, ..)| *at <= nth);
         lost = out;
         for (_, id, server) in given_up {
-            counted(&mut bench, &mut |bench| bench.end(&id, 0, &server, Outcome::NoAnswer));
+            counted(&mut harness, &mut |harness| harness.end_attempt(&id, 0, &server, Outcome::NoAnswer));
         }
         for (id, server) in sends(&due) {
-            let first = counted(&mut bench, &mut |bench| bench.end(&id, 0, &server, Outcome::PrefillDone));
+            let first = counted(&mut harness, &mut |harness| {
+                harness.end_attempt(&id, 0, &server, Outcome::PrefillDone)
+            });
             for (id, _) in sends(&first).iter().filter(|sent| sent.0 == id) {
-                counted(&mut bench, &mut |bench| bench.begin(id, 1));
+                counted(&mut harness, &mut |harness| harness.start_answer(id, 1));
             }
         }
     }
@@ -108,17 +113,17 @@
 fn a_thousand_held_requests_before_servers_that_all_start_cost_no_more() {
     for size in SIZES {
         let settings = Settings { conductors: 8, ..Settings::example() };
-        let mut bench = Bench::seeded(settings, 7);
-        let started = bench.now;
+        let mut harness = RouterHarness::with_seed(settings, 7);
+        let started = harness.now;
         let cold = fleet(size).into_iter().map(|server| ServerEntry { started, ..server }).collect();
-        bench.list(ListUpdateKind::Full, cold);
+        harness.update_servers(ListUpdateKind::Full, cold);
         for nth in 0..1_000 {
-            bench.ask(query(&format!("q{nth}"), 900));
+            harness.submit(query(&format!("q{nth}"), 900));
         }
         for _ in 0..20 {
-            let before = bench.router.scan_count();
-            bench.wait(10 * MS);
-            let (looks, most) = (bench.router.scan_count() - before, FIXED + 4 * size as u64);
+            let before = harness.router.scan_count();
+            harness.advance(10 * MS);
+            let (looks, most) = (harness.router.scan_count() - before, FIXED + 4 * size as u64);
             assert!(looks <= most, "{size} servers: {looks} of {most}");
         }
     }
--- a/tests/floors.rs
+++ b/tests/floors.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 use frosttrail::*;
-use support::fleet::{End, Fleet};
+use support::fleet::{Fleet, RequestEnd};
 use support::*;
 
 /// Servers of either kind, which are in balance: each pair answers 8 requests of mean length a second.
@@ -58,9 +58,9 @@
     let queries = load(seed, times, budget, &settings().classes);
     let mut fleet = Fleet::new(settings(), seed, PAIRS, PAIRS);
     for (at, query) in &queries {
-        fleet.ask_at(*at, query.clone());
+        fleet.submit_at(*at, query.clone());
     }
-    fleet.run(TIME + 20 * SEC);
+    fleet.run_until(TIME + 20 * SEC);
     (queries, fleet)
 }
 
@@ -68,7 +68,8 @@
     let (mut all, mut served) = (0.0, 0.0);
     for (_, query) in queries {
         all += 1.0;
-        served += f64::from(u8::from(matches!(fleet.ends.get(&query.id), Some(End::Served(_)))));
+        served +=
+            f64::from(u8::from(matches!(fleet.request_ends.get(&query.id), Some(RequestEnd::Served(_)))));
     }
     served / f64::max(all, 1.0)
 }
@@ -112,7 +113,7 @@
         for (_, query) in &queries {
             let of = sessions.entry(&query.session).or_default();
             of.0 += 1;
-            of.1 += usize::from(!matches!(fleet.ends.get(&query.id), Some(End::Served(_))));
+            of.1 += usize::from(!matches!(fleet.request_ends.get(&query.id), Some(RequestEnd::Served(_))));
         }
         let refused = 1.0 - share(&fleet, queries.iter());
         let shut_out = sessions.values().filter(|s| s.0 > 1 && s.0 == s.1).count() as f64;
@@ -133,17 +134,17 @@
         let queries = load(seed, 0.9, budget, &settings.classes);
         let mut fleet = Fleet::new(settings, seed, PAIRS, PAIRS);
         for (at, query) in &queries {
-            fleet.ask_at(*at, query.clone());
+            fleet.submit_at(*at, query.clone());
         }
-        fleet.run(TIME / 3);
+        fleet.run_until(TIME / 3);
         let gone = |name: &str, kind| ServerEntry { health: Health::Gone, ..entry(name, kind) };
-        fleet.tell(ListUpdateKind::Changes, vec![gone("p1", 0), gone("d1", 1)]);
-        fleet.run(TIME + 20 * SEC);
-        let of = |what: End| fleet.ends.values().filter(|end| **end == what).count();
-        let (failed, refused) = (of(End::Failed), of(End::Refused));
+        fleet.update_servers(ListUpdateKind::Changes, vec![gone("p1", 0), gone("d1", 1)]);
+        fleet.run_until(TIME + 20 * SEC);
+        let of = |what: RequestEnd| fleet.request_ends.values().filter(|end| **end == what).count();
+        let (failed, refused) = (of(RequestEnd::Failed), of(RequestEnd::Refused));
         assert!(failed * 25 <= refused, "seed {seed}: {failed} failed, {refused} refused");
         assert!(share(&fleet, queries.iter()) >= 0.4, "seed {seed}");
-        assert_eq!(fleet.ends.len(), queries.len(), "each has one answer");
+        assert_eq!(fleet.request_ends.len(), queries.len(), "each has one answer");
     }
 }
 
@@ -156,14 +157,14 @@
 fn an_own_cut_is_no_mark_against_a_server() {
     for (budget, marks) in [(200 * MS, false), (5 * SEC, true)] {
         // Enough for one read and its answer, so that each is sent once.
-        let mut b = Bench::new(attempts(2, settings()), &[("p", 0), ("d", 1)]);
+        let mut harness = RouterHarness::new(with_max_attempts(2, settings()), &[("p", 0), ("d", 1)]);
         let mut all = Vec::new();
         for n in 0..4 {
             let id = format!("q{n}");
-            all.extend(b.ask(Query { budget, ..query(&id, 600) }));
+            all.extend(harness.submit(Query { budget, ..query(&id, 600) }));
             assert_eq!(sends(&all).len(), n + 1, "{budget} us: {id} is sent");
-            all.extend(b.end(&id, 0, "p", Outcome::NoAnswer));
-            all.extend(b.step(Event::ClientGone { id: id.as_str().into() }));
+            all.extend(harness.end_attempt(&id, 0, "p", Outcome::NoAnswer));
+            all.extend(harness.handle(Event::ClientGone { id: id.as_str().into() }));
         }
         assert_eq!(opened(&all), marks, "{budget} us");
     }
@@ -218,10 +219,10 @@
         let (class, tokens) = (classes[(draws.next() * 3.0) as usize].clone(), shape.draw(&mut draws));
         let budget = class.deadline + 2 * per_ktoken * tokens / 1_000;
         let query = Query { class, budget, ..query(&format!("q{}", queries.len()), tokens) };
-        fleet.ask_at(at as Micros, query.clone());
+        fleet.submit_at(at as Micros, query.clone());
         queries.push((at as Micros, query));
     }
-    fleet.run(TIME + 30 * SEC);
+    fleet.run_until(TIME + 30 * SEC);
     queries.sort_by_key(|q| std::cmp::Reverse(q.1.prompt_tokens));
     let of = |class: usize| {
         let all: Vec<_> = queries.iter().filter(|q| q.1.class == classes[class]).collect();
@@ -277,7 +278,7 @@
             };
             let more = (0..mixed).map(|n| starts(format!("m{n}"), 2));
             let half = (0..2).flat_map(|n| [starts(format!("p{n}"), 0), starts(format!("d{n}"), 1)]);
-            fleet.tell(ListUpdateKind::Changes, more.chain(half).collect());
+            fleet.update_servers(ListUpdateKind::Changes, more.chain(half).collect());
             // This router's part of a quiet load, and three times as much where there are several: traffic is
             // uneven.
             let per_s = PER_S * 2.0 * 0.5 / f64::from(conductors) * if conductors > 1 { 3.0 } else { 1.0 };
@@ -294,13 +295,14 @@
                     tenant: Some((draws.next() * 3.0) as usize),
                     ..query(&format!("q{}", queries.len()), (300.0 * 10f64.powf(draws.next())) as u64)
                 };
-                fleet.ask_at(at as Micros, query.clone());
+                fleet.submit_at(at as Micros, query.clone());
                 queries.push(query);
             }
-            fleet.run(4 * TIME + 20 * SEC);
+            fleet.run_until(4 * TIME + 20 * SEC);
             let mut sets: BTreeMap<String, (usize, usize)> = BTreeMap::new();
             for query in &queries {
-                let refused = usize::from(!matches!(fleet.ends.get(&query.id), Some(End::Served(_))));
+                let refused =
+                    usize::from(!matches!(fleet.request_ends.get(&query.id), Some(RequestEnd::Served(_))));
                 let names = [
                     format!("session {}", query.session),
                     format!("prefix {:?}", query.prefix),
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -15,57 +15,57 @@
 
 #[test]
 fn a_request_is_read_then_written_then_forgotten() {
-    let mut b = Bench::new(small(), &PAIR);
-    assert_eq!(sends(&b.ask(query("a", 900))), [("a".into(), "r".into())]);
-    let out = b.end("a", 0, "r", Outcome::PrefillDone);
+    let mut harness = RouterHarness::new(small(), &PAIR);
+    assert_eq!(sends(&harness.submit(query("a", 900))), [("a".into(), "r".into())]);
+    let out = harness.end_attempt("a", 0, "r", Outcome::PrefillDone);
     assert_eq!(sends(&out), [("a".into(), "w".into())]);
-    b.begin("a", 1);
-    let out = b.end("a", 1, "w", Outcome::Served);
+    harness.start_answer("a", 1);
+    let out = harness.end_attempt("a", 1, "w", Outcome::Served);
     assert!(out.iter().all(|a| matches!(a, Action::Log(_))));
-    assert!(b.end("a", 1, "w", Outcome::Served).is_empty(), "a second outcome is passed over");
+    assert!(harness.end_attempt("a", 1, "w", Outcome::Served).is_empty(), "a second outcome is passed over");
 }
 
 #[test]
 fn held_requests_leave_shortest_first() {
-    let mut b = Bench::new(small(), &TRIO);
+    let mut harness = RouterHarness::new(small(), &TRIO);
     for i in 0..4 {
-        assert_eq!(sends(&b.ask(query(&format!("first-{i}"), 900))).len(), 1);
+        assert_eq!(sends(&harness.submit(query(&format!("first-{i}"), 900))).len(), 1);
     }
-    assert!(sends(&b.ask(query("long", 4_000))).is_empty(), "the reader is at its cap");
-    assert!(sends(&b.ask(query("short", 300))).is_empty());
-    let out = b.end("first-0", 0, "r", Outcome::PrefillDone);
+    assert!(sends(&harness.submit(query("long", 4_000))).is_empty(), "the reader is at its cap");
+    assert!(sends(&harness.submit(query("short", 300))).is_empty());
+    let out = harness.end_attempt("first-0", 0, "r", Outcome::PrefillDone);
     assert_eq!(sends(&out)[1], ("short".into(), "r".into()));
 }
 
 #[test]
 fn a_starved_long_prompt_leaves_ahead_of_short_ones() {
-    let mut b = Bench::new(small(), &TRIO);
+    let mut harness = RouterHarness::new(small(), &TRIO);
     for i in 0..4 {
-        b.ask(query(&format!("first-{i}"), 500));
+        harness.submit(query(&format!("first-{i}"), 500));
     }
-    b.ask(query("long", 2_000));
-    b.wait(800 * MS);
-    b.ask(query("short", 300));
-    let out = b.end("first-0", 0, "r", Outcome::PrefillDone);
+    harness.submit(query("long", 2_000));
+    harness.advance(800 * MS);
+    harness.submit(query("short", 300));
+    let out = harness.end_attempt("first-0", 0, "r", Outcome::PrefillDone);
     assert_eq!(sends(&out)[1].0, "long");
 }
 
 #[test]
 fn after_a_stall_starved_long_prompts_do_not_block_the_short_ones() {
-    let mut b = Bench::new(small(), &TRIO);
+    let mut harness = RouterHarness::new(small(), &TRIO);
     for i in 0..4 {
-        b.ask(query(&format!("first-{i}"), 500));
+        harness.submit(query(&format!("first-{i}"), 500));
     }
     for i in 0..3 {
-        b.ask(query(&format!("long-{i}"), 2_000));
+        harness.submit(query(&format!("long-{i}"), 2_000));
     }
-    b.wait(800 * MS);
+    harness.advance(800 * MS);
     for i in 0..3 {
-        b.ask(query(&format!("short-{i}"), 300));
+        harness.submit(query(&format!("short-{i}"), 300));
     }
     let mut left = Vec::new();
     for i in 0..4 {
-        left.extend(sends(&b.end(&format!("first-{i}"), 0, "r", Outcome::PrefillDone)));
+        left.extend(sends(&harness.end_attempt(&format!("first-{i}"), 0, "r", Outcome::PrefillDone)));
     }
     let read: Vec<_> = left.iter().filter(|(_, w)| w == "r").map(|(id, _)| &id[..4]).collect();
     assert_eq!(read, ["long", "shor", "shor", "shor"], "one starved request is promoted at a time");
@@ -75,9 +75,9 @@
 fn one_prefix_is_read_at_one_reader_by_every_router() {
     let fleet = [("r1", 0), ("r2", 0), ("r3", 0), ("w", 1)];
     let home = |seed_list: &[(&str, usize)], session: &str| {
-        let mut b = Bench::new(small(), seed_list);
+        let mut harness = RouterHarness::new(small(), seed_list);
         let q = Query { prefix: Some("p".into()), session: session.into(), ..query("a", 900) };
-        sends(&b.ask(q))[0].1.clone()
+        sends(&harness.submit(q))[0].1.clone()
     };
     let backwards: Vec<_> = fleet.iter().rev().copied().collect();
     assert_eq!(home(&fleet, "s1"), home(&backwards, "s2"));
@@ -85,24 +85,24 @@
 
 #[test]
 fn a_home_with_too_many_own_tokens_passes_to_the_next() {
-    let mut b = Bench::new(small(), &[("r1", 0), ("r2", 0), ("w", 1)]);
+    let mut harness = RouterHarness::new(small(), &[("r1", 0), ("r2", 0), ("w", 1)]);
     let of = |id: &str| Query { prefix: Some("p".into()), ..query(id, 4_000) };
-    let first = sends(&b.ask(of("a")))[0].1.clone();
-    let second = sends(&b.ask(of("b")))[0].1.clone();
+    let first = sends(&harness.submit(of("a")))[0].1.clone();
+    let second = sends(&harness.submit(of("b")))[0].1.clone();
     assert_ne!(first, second);
 }
 
 /// Writers of states that were read by `r` in cell 0, so many one after another, each stream left running.
 fn writers_of(fleet: &[(&str, usize, u64)], states: usize) -> Vec<String> {
-    let mut b = Bench::new(Settings { conductors: 2, ..Settings::example() }, &[("r", 0)]);
+    let mut harness = RouterHarness::new(Settings { conductors: 2, ..Settings::example() }, &[("r", 0)]);
     let one = |(name, kind, cell): &(&str, usize, u64)| ServerEntry { rack: *cell, ..entry(name, *kind) };
-    b.list(ListUpdateKind::Changes, fleet.iter().map(one).collect());
+    harness.update_servers(ListUpdateKind::Changes, fleet.iter().map(one).collect());
     let of = |i: usize| {
         let id = format!("{i}");
         // A long prompt is not read whole by a mixed server.
-        b.ask(query(&id, 4_000));
-        let writer = sends(&b.end(&id, 0, "r", Outcome::PrefillDone)).remove(0).1;
-        b.begin(&id, 1);
+        harness.submit(query(&id, 4_000));
+        let writer = sends(&harness.end_attempt(&id, 0, "r", Outcome::PrefillDone)).remove(0).1;
+        harness.start_answer(&id, 1);
         writer
     };
     (0..states).map(of).collect()
@@ -134,172 +134,173 @@
 #[test]
 fn reads_in_flight_count_against_the_writers_room() {
     let settings = Settings { memory_tokens: vec![0, 15_000, 0], ..small() };
-    let mut b = Bench::new(settings, &PAIR);
-    let sent: Vec<_> = (0..4).map(|i| sends(&b.ask(query(&format!("{i}"), 1_500))).len()).collect();
+    let mut harness = RouterHarness::new(settings, &PAIR);
+    let sent: Vec<_> = (0..4).map(|i| sends(&harness.submit(query(&format!("{i}"), 1_500))).len()).collect();
     assert_eq!(sent, [1, 1, 0, 0]);
 }
 
 #[test]
 fn few_wait_at_one_writer_for_their_first_token() {
-    let mut b = Bench::new(small(), &PAIR);
+    let mut harness = RouterHarness::new(small(), &PAIR);
     for i in 0..4 {
-        b.ask(query(&format!("{i}"), 900));
+        harness.submit(query(&format!("{i}"), 900));
     }
     for i in 0..4 {
-        b.end(&format!("{i}"), 0, "r", Outcome::PrefillDone);
+        harness.end_attempt(&format!("{i}"), 0, "r", Outcome::PrefillDone);
     }
-    assert!(sends(&b.ask(query("next", 900))).is_empty(), "four have not begun");
-    assert_eq!(sends(&b.begin("0", 1)).len(), 1);
+    assert!(sends(&harness.submit(query("next", 900))).is_empty(), "four have not begun");
+    assert_eq!(sends(&harness.start_answer("0", 1)).len(), 1);
 }
 
 #[test]
 fn long_prompts_are_kept_from_mixed_servers_while_there_are_readers() {
-    let mut b = Bench::new(small(), &[("m", 2), ("r", 0), ("w", 1)]);
+    let mut harness = RouterHarness::new(small(), &[("m", 2), ("r", 0), ("w", 1)]);
     for i in 0..4 {
-        b.ask(query(&format!("{i}"), 900));
+        harness.submit(query(&format!("{i}"), 900));
     }
-    assert!(sends(&b.ask(query("long", 9_000))).is_empty());
-    assert_eq!(sends(&b.ask(query("short", 900)))[0].1, "m");
-    let mut alone = Bench::new(small(), &[("m", 2)]);
-    assert_eq!(sends(&alone.ask(query("long", 9_000)))[0].1, "m");
+    assert!(sends(&harness.submit(query("long", 9_000))).is_empty());
+    assert_eq!(sends(&harness.submit(query("short", 900)))[0].1, "m");
+    let mut alone = RouterHarness::new(small(), &[("m", 2)]);
+    assert_eq!(sends(&alone.submit(query("long", 9_000)))[0].1, "m");
 }
 
 #[test]
 fn a_lost_state_is_let_go_and_read_again() {
-    let mut b = Bench::new(small(), &PAIR);
-    b.ask(query("a", 900));
-    b.end("a", 0, "r", Outcome::PrefillDone);
-    let out = b.end("a", 1, "w", Outcome::CacheMissing);
-    assert!(dropped(&out, "a"), "its reader may only be cut off and still hold it");
+    let mut harness = RouterHarness::new(small(), &PAIR);
+    harness.submit(query("a", 900));
+    harness.end_attempt("a", 0, "r", Outcome::PrefillDone);
+    let out = harness.end_attempt("a", 1, "w", Outcome::CacheMissing);
+    assert!(releases_cache(&out, "a"), "its reader may only be cut off and still hold it");
     assert_eq!(sends(&out), [("a".into(), "r".into())]);
 }
 
 #[test]
 fn a_writers_bad_answer_leads_back_to_a_reader_while_a_read_and_a_write_are_left() {
-    let mut b = Bench::new(Settings::example(), &[("r", 0), ("w1", 1), ("w2", 1)]);
-    b.ask(query("a", 900));
-    b.end("a", 0, "r", Outcome::PrefillDone);
-    let out = b.end("a", 1, "w1", Outcome::Failed);
+    let mut harness = RouterHarness::new(Settings::example(), &[("r", 0), ("w1", 1), ("w2", 1)]);
+    harness.submit(query("a", 900));
+    harness.end_attempt("a", 0, "r", Outcome::PrefillDone);
+    let out = harness.end_attempt("a", 1, "w1", Outcome::Failed);
     assert_eq!(sends(&out), [("a".to_string(), "r".to_string())]);
-    assert!(dropped(&out, "a"));
-    assert_eq!(sends(&b.end("a", 2, "r", Outcome::PrefillDone)).len(), 1);
+    assert!(releases_cache(&out, "a"));
+    assert_eq!(sends(&harness.end_attempt("a", 2, "r", Outcome::PrefillDone)).len(), 1);
 }
 
 #[test]
 fn a_read_that_ends_in_a_broken_connection_lets_its_state_go() {
-    let mut b = Bench::new(small(), &PAIR);
-    b.ask(query("a", 900));
-    assert!(dropped(&b.end("a", 0, "r", Outcome::ConnectionLost), "a"));
+    let mut harness = RouterHarness::new(small(), &PAIR);
+    harness.submit(query("a", 900));
+    assert!(releases_cache(&harness.end_attempt("a", 0, "r", Outcome::ConnectionLost), "a"));
 }
 
 #[test]
 fn the_last_attempts_go_whole_to_a_server_that_does_both() {
-    let settings = attempts(2, small());
-    let mut b = Bench::new(settings, &[("r", 0), ("w", 1), ("m", 2)]);
-    b.ask(query("a", 9_000));
-    let out = b.end("a", 0, "r", Outcome::ConnectionLost);
+    let settings = with_max_attempts(2, small());
+    let mut harness = RouterHarness::new(settings, &[("r", 0), ("w", 1), ("m", 2)]);
+    harness.submit(query("a", 9_000));
+    let out = harness.end_attempt("a", 0, "r", Outcome::ConnectionLost);
     assert!(sends(&out).is_empty(), "two stages need two attempts and long prompts spare mixed servers");
-    let out = b.wait(6 * SEC);
-    assert!(declined(&out, "a"));
+    let out = harness.advance(6 * SEC);
+    assert!(is_refused(&out, "a"));
 }
 
 #[test]
 fn stale_connections_are_no_reason_to_leave_a_server_alone() {
-    let mut b = Bench::new(Settings::example(), &[("r1", 0), ("r2", 0), ("r3", 0), ("w", 1)]);
-    let home = sends(&b.ask(query("a", 900)));
+    let mut harness = RouterHarness::new(Settings::example(), &[("r1", 0), ("r2", 0), ("r3", 0), ("w", 1)]);
+    let home = sends(&harness.submit(query("a", 900)));
     for attempt in 0..2 {
-        let out = b.end("a", attempt, &home[0].1, Outcome::StaleConnection);
+        let out = harness.end_attempt("a", attempt, &home[0].1, Outcome::StaleConnection);
         assert_eq!(sends(&out), home, "its reader is as good as before");
     }
 }
 
 #[test]
 fn an_unreachable_server_is_left_alone_then_tried_once() {
-    let mut b = Bench::new(small(), &[("r1", 0), ("r2", 0), ("w", 1)]);
-    let first = sends(&b.ask(query("a", 900)))[0].1.clone();
-    let out = b.end("a", 0, &first, Outcome::NoConnection);
+    let mut harness = RouterHarness::new(small(), &[("r1", 0), ("r2", 0), ("w", 1)]);
+    let first = sends(&harness.submit(query("a", 900)))[0].1.clone();
+    let out = harness.end_attempt("a", 0, &first, Outcome::NoConnection);
     assert!(out.iter().any(|a| matches!(a, Action::Log(words) if words.starts_with("open"))));
     let other = sends(&out)[0].1.clone();
     assert_ne!(first, other);
     for i in 0..20 {
         let id = format!("q{i}");
-        if let Some((_, w)) = sends(&b.ask(query(&id, 100))).first() {
+        if let Some((_, w)) = sends(&harness.submit(query(&id, 100))).first() {
             assert_eq!(*w, other);
-            b.end(&id, 0, w, Outcome::PrefillDone);
-            b.begin(&id, 1);
+            harness.end_attempt(&id, 0, w, Outcome::PrefillDone);
+            harness.start_answer(&id, 1);
         }
     }
-    b.wait(SEC);
-    let tried = (0..20).filter(|i| sends(&b.ask(query(&format!("t{i}"), 100))).iter().any(|s| s.1 == first));
+    harness.advance(SEC);
+    let tried =
+        (0..20).filter(|i| sends(&harness.submit(query(&format!("t{i}"), 100))).iter().any(|s| s.1 == first));
     assert_eq!(tried.count(), 1, "half-open: one trial at a time");
 }
 
 #[test]
 fn a_server_that_is_silent_while_a_peer_answers_gets_nothing_new() {
-    let mut b = Bench::new(small(), &[("r1", 0), ("r2", 0), ("w", 1), ("w2", 1)]);
+    let mut harness = RouterHarness::new(small(), &[("r1", 0), ("r2", 0), ("w", 1), ("w2", 1)]);
     let of = |id: &str, p: &str| Query { prefix: Some(p.into()), ..query(id, 100) };
-    let silent = sends(&b.ask(of("a", "p")))[0].1.clone();
+    let silent = sends(&harness.submit(of("a", "p")))[0].1.clone();
     let mut other = None;
     for i in 0..40 {
         let id = format!("x{i}");
-        b.now += 50 * MS;
-        let Some((_, w)) = sends(&b.ask(of(&id, &id))).first().cloned() else { continue };
+        harness.now += 50 * MS;
+        let Some((_, w)) = sends(&harness.submit(of(&id, &id))).first().cloned() else { continue };
         if w != silent {
-            b.end(&id, 0, &w, Outcome::PrefillDone);
-            b.begin(&id, 1);
+            harness.end_attempt(&id, 0, &w, Outcome::PrefillDone);
+            harness.start_answer(&id, 1);
             other = Some(w);
         }
     }
-    assert_eq!(Some(sends(&b.ask(of("z", "p")))[0].1.clone()), other);
+    assert_eq!(Some(sends(&harness.submit(of("z", "p")))[0].1.clone()), other);
 }
 
 #[test]
 fn when_most_of_a_role_look_bad_the_breakers_are_passed_over() {
-    let mut b = Bench::new(small(), &PAIR);
-    b.ask(query("a", 900));
-    b.end("a", 0, "r", Outcome::NoConnection);
-    assert_eq!(sends(&b.ask(query("b", 900))), [("b".into(), "r".into())]);
+    let mut harness = RouterHarness::new(small(), &PAIR);
+    harness.submit(query("a", 900));
+    harness.end_attempt("a", 0, "r", Outcome::NoConnection);
+    assert_eq!(sends(&harness.submit(query("b", 900))), [("b".into(), "r".into())]);
 }
 
 #[test]
 fn requests_beyond_a_quota_are_refused_early_when_held() {
     let tenants = vec![Tenant { name: "t".into(), quota_per_s: 1.0 }];
-    let mut b = Bench::new(Settings { tenants, over_quota_worth: 0.1, ..small() }, &[]);
+    let mut harness = RouterHarness::new(Settings { tenants, over_quota_worth: 0.1, ..small() }, &[]);
     let of = |id: &str| Query { tenant: Some(0), ..query(id, 900) };
-    b.ask(of("within"));
-    b.ask(of("beyond"));
-    let out = b.wait(600 * MS);
-    assert!(declined(&out, "beyond") && !declined(&out, "within"));
+    harness.submit(of("within"));
+    harness.submit(of("beyond"));
+    let out = harness.advance(600 * MS);
+    assert!(is_refused(&out, "beyond") && !is_refused(&out, "within"));
 }
 
 #[test]
 fn a_broken_stream_that_returns_is_served_as_a_request_of_its_own() {
-    let mut b = Bench::new(Settings { resume: true, ..small() }, &PAIR);
+    let mut harness = RouterHarness::new(Settings { resume: true, ..small() }, &PAIR);
     let again = Query { resumes_stream: true, is_client_retry: true, ..query("a2", 1_000) };
-    assert_eq!(sends(&b.ask(again)).len(), 1);
+    assert_eq!(sends(&harness.submit(again)).len(), 1);
 }
 
 #[test]
 fn the_list_is_asked_for_where_it_is_not_pushed_and_again_when_that_fails() {
-    let mut b = Bench::new(Settings { list_poll_interval: Some(10 * SEC), ..small() }, &PAIR);
+    let mut harness = RouterHarness::new(Settings { list_poll_interval: Some(10 * SEC), ..small() }, &PAIR);
     let asks = |out: &[Action]| out.iter().filter(|a| matches!(a, Action::Watch)).count();
-    assert_eq!(asks(&b.wait(SEC)), 1);
-    b.list(ListUpdateKind::SourceUnavailable, Vec::new());
-    assert_eq!(asks(&b.wait(SEC)), 1);
+    assert_eq!(asks(&harness.advance(SEC)), 1);
+    harness.update_servers(ListUpdateKind::SourceUnavailable, Vec::new());
+    assert_eq!(asks(&harness.advance(SEC)), 1);
 }
 
 #[test]
 fn a_sessions_next_turn_goes_to_the_server_that_read_its_last() {
-    let mut b = Bench::new(small(), &[("r1", 0), ("r2", 0), ("r3", 0), ("w1", 1), ("w2", 1)]);
+    let mut harness = RouterHarness::new(small(), &[("r1", 0), ("r2", 0), ("r3", 0), ("w1", 1), ("w2", 1)]);
     let of = |id: &str, n| Query { prefix: Some("p".into()), session: "s".into(), ..query(id, n) };
-    let home = sends(&b.ask(of("a", 900)))[0].1.clone();
-    let other = sends(&b.end("a", 0, &home, Outcome::ConnectionLost))[0].1.clone();
+    let home = sends(&harness.submit(of("a", 900)))[0].1.clone();
+    let other = sends(&harness.end_attempt("a", 0, &home, Outcome::ConnectionLost))[0].1.clone();
     assert_ne!(home, other);
-    b.end("a", 1, &other, Outcome::PrefillDone);
-    b.begin("a", 2);
-    b.end("a", 2, "w1", Outcome::Served);
-    b.wait(SEC);
-    assert_eq!(sends(&b.ask(of("b", 1_500)))[0].1, other);
+    harness.end_attempt("a", 1, &other, Outcome::PrefillDone);
+    harness.start_answer("a", 2);
+    harness.end_attempt("a", 2, "w1", Outcome::Served);
+    harness.advance(SEC);
+    assert_eq!(sends(&harness.submit(of("b", 1_500)))[0].1, other);
 }
 
 #[test]
@@ -325,13 +326,13 @@
 #[test]
 fn writers_that_can_read_take_short_prompts_when_readers_are_full() {
     let start = |decode_can_prefill| {
-        let mut b = Bench::new(Settings { decode_can_prefill, ..small() }, &TRIO);
+        let mut harness = RouterHarness::new(Settings { decode_can_prefill, ..small() }, &TRIO);
         for i in 0..12 {
-            b.ask(query(&format!("{i}"), 3_900));
+            harness.submit(query(&format!("{i}"), 3_900));
         }
-        assert!(sends(&b.ask(query("short", 500))).is_empty());
-        assert!(sends(&b.wait(200 * MS)).is_empty(), "not before a quarter of the aim");
-        sends(&b.wait(150 * MS))
+        assert!(sends(&harness.submit(query("short", 500))).is_empty());
+        assert!(sends(&harness.advance(200 * MS)).is_empty(), "not before a quarter of the aim");
+        sends(&harness.advance(150 * MS))
     };
     assert!(start(true).iter().any(|(id, w)| id == "short" && w.starts_with('w')));
     assert!(start(false).is_empty());
@@ -348,13 +349,13 @@
 
 #[test]
 fn a_held_request_that_cannot_be_in_time_is_refused_then_and_told_when_to_return() {
-    let mut b = Bench::new(Settings { max_retry_after: 400 * MS, ..small() }, &PAIR);
-    b.list(ListUpdateKind::Full, Vec::new());
-    b.ask(query("a", 900));
-    b.now += 3 * MS;
-    b.ask(query("b", 900));
-    assert!(advice(&b.wait(780 * MS)).is_empty(), "its aim of 1.05 s can still be met");
-    let told = advice(&b.wait(150 * MS));
+    let mut harness = RouterHarness::new(Settings { max_retry_after: 400 * MS, ..small() }, &PAIR);
+    harness.update_servers(ListUpdateKind::Full, Vec::new());
+    harness.submit(query("a", 900));
+    harness.now += 3 * MS;
+    harness.submit(query("b", 900));
+    assert!(advice(&harness.advance(780 * MS)).is_empty(), "its aim of 1.05 s can still be met");
+    let told = advice(&harness.advance(150 * MS));
     assert_eq!(told.len(), 2, "answered as soon as it is given up, not at the deadline of 5 s");
     assert!(told.iter().all(|t| (200 * MS..=400 * MS).contains(&t.1)), "{told:?}");
     assert_ne!(told[0].1, told[1].1, "they must not come back together");
@@ -362,46 +363,50 @@
 
 #[test]
 fn a_request_whose_attempts_went_wrong_is_told_to_come_back_soon() {
-    let mut b = Bench::new(Settings { max_retry_after: 2 * SEC, ..small() }, &TRIO);
-    b.ask(query("a", 900));
-    b.end("a", 0, "r", Outcome::PrefillDone);
-    b.end("a", 1, "w1", Outcome::Failed);
-    b.end("a", 2, "r", Outcome::PrefillDone);
-    let told = advice(&b.end("a", 3, "w2", Outcome::Failed));
+    let mut harness = RouterHarness::new(Settings { max_retry_after: 2 * SEC, ..small() }, &TRIO);
+    harness.submit(query("a", 900));
+    harness.end_attempt("a", 0, "r", Outcome::PrefillDone);
+    harness.end_attempt("a", 1, "w1", Outcome::Failed);
+    harness.end_attempt("a", 2, "r", Outcome::PrefillDone);
+    let told = advice(&harness.end_attempt("a", 3, "w2", Outcome::Failed));
     assert!(told.len() == 1 && (1..=200 * MS).contains(&told[0].1), "{told:?}");
 }
 
 #[test]
 fn without_a_way_to_advise_no_advice_is_given() {
-    let mut b = Bench::new(small(), &[]);
-    b.ask(query("a", 900));
-    assert_eq!(advice(&b.wait(SEC)), [("a".into(), 0)]);
+    let mut harness = RouterHarness::new(small(), &[]);
+    harness.submit(query("a", 900));
+    assert_eq!(advice(&harness.advance(SEC)), [("a".into(), 0)]);
 }
 
 #[test]
 fn a_request_that_failed_too_late_to_be_in_time_is_answered_then() {
-    let mut b = Bench::new(small(), &PAIR);
-    b.ask(query("a", 900));
-    b.now += 2 * SEC;
-    b.list(ListUpdateKind::Full, vec![entry("w", 1)]);
-    let mut out = b.end("a", 0, "r", Outcome::NoAnswer);
-    out.extend(b.wait(20 * MS));
-    assert!(declined(&out, "a") && dropped(&out, "a"));
+    let mut harness = RouterHarness::new(small(), &PAIR);
+    harness.submit(query("a", 900));
+    harness.now += 2 * SEC;
+    harness.update_servers(ListUpdateKind::Full, vec![entry("w", 1)]);
+    let mut out = harness.end_attempt("a", 0, "r", Outcome::NoAnswer);
+    out.extend(harness.advance(20 * MS));
+    assert!(is_refused(&out, "a") && releases_cache(&out, "a"));
 }
 
 #[test]
 fn what_would_be_late_leaves_after_what_can_be_in_time_but_is_not_refused_while_there_is_room() {
-    let mut b = Bench::new(small(), &TRIO);
+    let mut harness = RouterHarness::new(small(), &TRIO);
     let repeat = |id: &str| Query { is_client_retry: true, budget: SEC, ..query(id, 300) };
-    assert_eq!(sends(&b.ask(repeat("room"))).len(), 1, "its client has waited 4 s, but there is room");
+    assert_eq!(
+        sends(&harness.submit(repeat("room"))).len(),
+        1,
+        "its client has waited 4 s, but there is room"
+    );
     for i in 0..3 {
-        b.ask(query(&format!("first-{i}"), 500));
+        harness.submit(query(&format!("first-{i}"), 500));
     }
-    b.ask(query("fresh", 900));
-    b.ask(repeat("late"));
-    let out = b.end("first-0", 0, "r", Outcome::PrefillDone);
+    harness.submit(query("fresh", 900));
+    harness.submit(repeat("late"));
+    let out = harness.end_attempt("first-0", 0, "r", Outcome::PrefillDone);
     assert_eq!(sends(&out)[1].0, "fresh");
-    assert!(declined(&b.wait(20 * MS), "late"));
+    assert!(is_refused(&harness.advance(20 * MS), "late"));
 }
 
 fn two_zones() -> Vec<ServerEntry> {
@@ -411,26 +416,26 @@
 }
 
 /// Asks until `n` sends went to the far zone, which can't be reached; gives their times.
-fn far_sends(b: &mut Bench, span: Micros) -> Vec<Micros> {
-    let (mut times, end, mut i) = (Vec::new(), b.now + span, 0);
-    while b.now < end {
+fn far_sends(harness: &mut RouterHarness, span: Micros) -> Vec<Micros> {
+    let (mut times, end, mut i) = (Vec::new(), harness.now + span, 0);
+    while harness.now < end {
         i += 1;
-        let id = format!("{}-{i}", b.now);
-        let mut out = b.ask(query(&id, 100));
-        out.extend(b.wait(10 * MS));
+        let id = format!("{}-{i}", harness.now);
+        let mut out = harness.submit(query(&id, 100));
+        out.extend(harness.advance(10 * MS));
         let mut attempt = BTreeMap::new();
         while let Some((id, w)) = sends(&out).pop() {
             let n = attempt.entry(id.clone()).or_insert(0);
             let far = w.starts_with("far");
             if far {
-                times.push(b.now);
+                times.push(harness.now);
             }
             let outcome = if far { Outcome::NoConnection } else { Outcome::PrefillDone };
-            out = b.end(&id, *n, &w, outcome);
+            out = harness.end_attempt(&id, *n, &w, outcome);
             *n += 1;
             if !far {
-                b.begin(&id, *n);
-                b.end(&id, *n, "w", Outcome::Served);
+                harness.start_answer(&id, *n);
+                harness.end_attempt(&id, *n, "w", Outcome::Served);
                 break;
             }
         }
@@ -440,9 +445,9 @@
 
 #[test]
 fn a_lost_zone_is_cut_off_as_one_though_it_holds_most_of_a_role() {
-    let mut b = Bench::new(small(), &[]);
-    b.list(ListUpdateKind::Changes, two_zones());
-    let times = far_sends(&mut b, 10 * SEC);
+    let mut harness = RouterHarness::new(small(), &[]);
+    harness.update_servers(ListUpdateKind::Changes, two_zones());
+    let times = far_sends(&mut harness, 10 * SEC);
     // Eight breakers and a panic would send there all the time; a few find out and a few try again.
     assert!((3..=12).contains(&times.len()), "{} sends into the lost zone", times.len());
 }
@@ -450,9 +455,9 @@
 #[test]
 fn routers_do_not_try_a_lost_zone_again_in_step() {
     let tries = |seed| {
-        let mut b = Bench::seeded(small(), seed);
-        b.list(ListUpdateKind::StaleCopy, two_zones());
-        far_sends(&mut b, 4 * SEC)
+        let mut harness = RouterHarness::with_seed(small(), seed);
+        harness.update_servers(ListUpdateKind::StaleCopy, two_zones());
+        far_sends(&mut harness, 4 * SEC)
     };
     let all: std::collections::BTreeSet<_> = (1..9).map(tries).collect();
     assert!(all.len() > 4, "each router has moments of its own");
@@ -460,27 +465,27 @@
 
 #[test]
 fn after_one_that_waited_is_given_up_what_comes_too_late_takes_no_room() {
-    let mut b = Bench::new(small(), &[]);
-    b.ask(query("waited", 900));
-    assert!(declined(&b.wait(950 * MS), "waited"));
-    b.list(ListUpdateKind::Changes, PAIR.iter().map(|(n, k)| entry(n, *k)).collect());
+    let mut harness = RouterHarness::new(small(), &[]);
+    harness.submit(query("waited", 900));
+    assert!(is_refused(&harness.advance(950 * MS), "waited"));
+    harness.update_servers(ListUpdateKind::Changes, PAIR.iter().map(|(n, k)| entry(n, *k)).collect());
     let repeat = |id: &str| Query { is_client_retry: true, budget: SEC, ..query(id, 300) };
-    let out = b.ask(repeat("late"));
-    assert!(declined(&out, "late") && sends(&out).is_empty(), "answered at once");
-    assert_eq!(sends(&b.ask(query("fresh", 300))).len(), 1);
-    b.wait(1_100 * MS);
-    assert_eq!(sends(&b.ask(repeat("after"))).len(), 1, "the jam is over");
+    let out = harness.submit(repeat("late"));
+    assert!(is_refused(&out, "late") && sends(&out).is_empty(), "answered at once");
+    assert_eq!(sends(&harness.submit(query("fresh", 300))).len(), 1);
+    harness.advance(1_100 * MS);
+    assert_eq!(sends(&harness.submit(repeat("after"))).len(), 1, "the jam is over");
 }
 
 #[test]
 fn a_request_with_one_attempt_left_and_nothing_read_is_answered_at_once() {
     let advice = |fleet: &[(&str, usize)]| {
         let settings = Settings { max_retry_after: 2 * SEC, ..small() };
-        let mut b = Bench::new(settings, fleet);
-        b.ask(query("a", 900));
-        b.end("a", 0, "r1", Outcome::PrefillDone);
-        b.end("a", 1, "w1", Outcome::ConnectionLost);
-        let out = b.end("a", 2, "w2", Outcome::CacheMissing);
+        let mut harness = RouterHarness::new(settings, fleet);
+        harness.submit(query("a", 900));
+        harness.end_attempt("a", 0, "r1", Outcome::PrefillDone);
+        harness.end_attempt("a", 1, "w1", Outcome::ConnectionLost);
+        let out = harness.end_attempt("a", 2, "w2", Outcome::CacheMissing);
         out.iter().find_map(|a| match a {
             Action::Refuse { retry_after, .. } => Some(*retry_after),
             _ => None,
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -12,53 +12,53 @@
     settings
 }
 
-fn written(effect: Effect, fleet: &[(&str, usize)]) -> Bench {
-    let mut b = Bench::new(with(effect), fleet);
-    b.ask(query("a", 900));
-    b.end("a", 0, "r", Outcome::PrefillDone);
-    b
+fn written(effect: Effect, fleet: &[(&str, usize)]) -> RouterHarness {
+    let mut harness = RouterHarness::new(with(effect), fleet);
+    harness.submit(query("a", 900));
+    harness.end_attempt("a", 0, "r", Outcome::PrefillDone);
+    harness
 }
 
 const FLEET: [(&str, usize); 3] = [("r", 0), ("w1", 1), ("w2", 1)];
 
 #[test]
 fn a_held_request_is_answered_before_its_client_leaves() {
-    let mut b = Bench::new(Settings::example(), &[]);
+    let mut harness = RouterHarness::new(Settings::example(), &[]);
     // Its client leaves before the aim of 1.05 s has passed; a read and a first token take 0.285 s.
-    b.ask(Query { budget: 800 * MS, ..query("a", 900) });
-    assert!(!declined(&b.wait(510 * MS), "a"));
-    assert!(declined(&b.wait(20 * MS), "a"));
+    harness.submit(Query { budget: 800 * MS, ..query("a", 900) });
+    assert!(!is_refused(&harness.advance(510 * MS), "a"));
+    assert!(is_refused(&harness.advance(20 * MS), "a"));
 }
 
 #[test]
 fn an_unsafe_request_that_may_have_run_is_failed_not_repeated_nor_refused() {
-    let mut b = written(Effect::Unsafe, &FLEET);
-    let out = b.end("a", 1, "w1", Outcome::ConnectionLost);
-    assert!(failed(&out, "a") && sends(&out).is_empty() && !declined(&out, "a"));
-    assert!(dropped(&out, "a"));
+    let mut harness = written(Effect::Unsafe, &FLEET);
+    let out = harness.end_attempt("a", 1, "w1", Outcome::ConnectionLost);
+    assert!(is_failed(&out, "a") && sends(&out).is_empty() && !is_refused(&out, "a"));
+    assert!(releases_cache(&out, "a"));
 }
 
 #[test]
 fn an_unsafe_request_whose_client_is_back_for_the_rest_is_never_refused() {
     for (effect, refused) in [(Effect::Unsafe, false), (Effect::Safe, true)] {
-        let mut b = Bench::new(with(effect), &[]);
-        b.ask(Query { resumes_stream: true, ..query("a", 900) });
-        let out = b.wait(5 * SEC);
-        assert_eq!((declined(&out, "a"), failed(&out, "a")), (refused, !refused), "{effect:?}");
+        let mut harness = RouterHarness::new(with(effect), &[]);
+        harness.submit(Query { resumes_stream: true, ..query("a", 900) });
+        let out = harness.advance(5 * SEC);
+        assert_eq!((is_refused(&out, "a"), is_failed(&out, "a")), (refused, !refused), "{effect:?}");
     }
 }
 
 #[test]
 fn an_unsafe_request_that_never_ran_is_tried_again() {
-    let mut b = written(Effect::Unsafe, &FLEET);
-    assert_eq!(sends(&b.end("a", 1, "w1", Outcome::Rejected)).len(), 1);
+    let mut harness = written(Effect::Unsafe, &FLEET);
+    assert_eq!(sends(&harness.end_attempt("a", 1, "w1", Outcome::Rejected)).len(), 1);
 }
 
 #[test]
 fn an_unsafe_read_that_broke_is_read_again() {
-    let mut b = Bench::new(with(Effect::Unsafe), &FLEET);
-    b.ask(query("a", 900));
-    assert_eq!(sends(&b.end("a", 0, "r", Outcome::ConnectionLost)).len(), 1);
+    let mut harness = RouterHarness::new(with(Effect::Unsafe), &FLEET);
+    harness.submit(query("a", 900));
+    assert_eq!(sends(&harness.end_attempt("a", 0, "r", Outcome::ConnectionLost)).len(), 1);
 }
 
 #[test]
@@ -69,17 +69,18 @@
         let connect = Settings::example().connect_timeout;
         let short = SEC + connect;
         for (window, in_time) in [(10 * SEC, true), (short + MS, true), (short, false), (SEC, false)] {
-            let mut b = Bench::new(with(Effect::Keyed { scope, window }), &[("r", 0), ("w1", 1)]);
+            let mut harness =
+                RouterHarness::new(with(Effect::Keyed { scope, window }), &[("r", 0), ("w1", 1)]);
             let far = ServerEntry { rack: 9, zone: 1, ..entry("w2", 1) };
-            b.list(ListUpdateKind::Changes, vec![far]);
-            b.ask(query("a", 900));
-            assert_eq!(sends(&b.end("a", 0, "r", Outcome::PrefillDone))[0].1, "w1");
-            b.now += SEC;
-            let mut sent = sends(&b.end("a", 1, "w1", Outcome::ConnectionLost));
+            harness.update_servers(ListUpdateKind::Changes, vec![far]);
+            harness.submit(query("a", 900));
+            assert_eq!(sends(&harness.end_attempt("a", 0, "r", Outcome::PrefillDone))[0].1, "w1");
+            harness.now += SEC;
+            let mut sent = sends(&harness.end_attempt("a", 1, "w1", Outcome::ConnectionLost));
             // It may never have arrived: what it was to fetch has waited too long, and is read anew first.
             assert!(sent.iter().all(|s| s.1 == "r"), "{scope:?} {window}");
             if !sent.is_empty() {
-                sent.extend(sends(&b.end("a", 2, "r", Outcome::PrefillDone)));
+                sent.extend(sends(&harness.end_attempt("a", 2, "r", Outcome::PrefillDone)));
             }
             let to_far = sent.iter().any(|s| s.1 == "w2");
             assert_eq!(to_far, crosses && in_time, "{scope:?} {window}");
@@ -91,24 +92,27 @@
 #[test]
 fn nothing_goes_to_a_server_that_drains_or_is_gone() {
     for health in [Health::Draining, Health::Gone] {
-        let mut b = Bench::new(Settings::example(), &FLEET);
-        b.list(ListUpdateKind::Changes, vec![ServerEntry { health, ..entry("r", 0) }]);
-        assert!(sends(&b.ask(query("a", 900))).is_empty());
+        let mut harness = RouterHarness::new(Settings::example(), &FLEET);
+        harness.update_servers(ListUpdateKind::Changes, vec![ServerEntry { health, ..entry("r", 0) }]);
+        assert!(sends(&harness.submit(query("a", 900))).is_empty());
     }
-    let mut b = Bench::new(Settings::example(), &FLEET);
-    b.list(ListUpdateKind::Full, vec![entry("w1", 1)]);
-    assert!(sends(&b.ask(query("a", 900))).is_empty(), "missing in a full list is gone");
+    let mut harness = RouterHarness::new(Settings::example(), &FLEET);
+    harness.update_servers(ListUpdateKind::Full, vec![entry("w1", 1)]);
+    assert!(sends(&harness.submit(query("a", 900))).is_empty(), "missing in a full list is gone");
 }
 
 #[test]
 fn a_cold_server_gets_a_trickle_and_only_this_routers_part_of_it() {
     let sent = |conductors| {
-        let mut b = Bench::new(Settings { conductors, ..Settings::example() }, &[("w", 1)]);
-        b.list(ListUpdateKind::Changes, vec![ServerEntry { started: b.now, ..entry("r", 0) }]);
+        let mut harness = RouterHarness::new(Settings { conductors, ..Settings::example() }, &[("w", 1)]);
+        harness.update_servers(
+            ListUpdateKind::Changes,
+            vec![ServerEntry { started: harness.now, ..entry("r", 0) }],
+        );
         let mut n = 0;
         for i in 0..200 {
-            b.now += 10 * MS;
-            n += sends(&b.ask(query(&format!("q{i}"), 100))).iter().filter(|s| s.1 == "r").count();
+            harness.now += 10 * MS;
+            n += sends(&harness.submit(query(&format!("q{i}"), 100))).iter().filter(|s| s.1 == "r").count();
         }
         n
     };
@@ -119,15 +123,18 @@
 #[test]
 fn a_router_that_is_told_its_part_acts_like_one_of_as_many() {
     let run = |conductors, part: Option<f64>| {
-        let mut b = Bench::new(Settings { conductors, ..Settings::example() }, &FLEET);
+        let mut harness = RouterHarness::new(Settings { conductors, ..Settings::example() }, &FLEET);
         if let Some(part) = part {
-            b.step(Event::QuotaShare { share: part });
+            harness.handle(Event::QuotaShare { share: part });
         }
-        b.list(ListUpdateKind::Changes, vec![ServerEntry { started: b.now, ..entry("r", 0) }]);
+        harness.update_servers(
+            ListUpdateKind::Changes,
+            vec![ServerEntry { started: harness.now, ..entry("r", 0) }],
+        );
         let mut all = Vec::new();
         for i in 0..60 {
-            b.now += 10 * MS;
-            all.push(b.ask(query(&format!("q{i}"), 3_000)));
+            harness.now += 10 * MS;
+            all.push(harness.submit(query(&format!("q{i}"), 3_000)));
         }
         all
     };
@@ -143,11 +150,11 @@
 
 #[test]
 fn a_state_is_let_go_when_no_writer_can_be_named() {
-    let mut b = Bench::new(Settings::example(), &FLEET);
-    b.ask(query("a", 900));
-    b.list(ListUpdateKind::Full, vec![entry("r", 0)]);
-    assert!(sends(&b.end("a", 0, "r", Outcome::PrefillDone)).is_empty());
-    assert!(dropped(&b.wait(480 * MS), "a"));
+    let mut harness = RouterHarness::new(Settings::example(), &FLEET);
+    harness.submit(query("a", 900));
+    harness.update_servers(ListUpdateKind::Full, vec![entry("r", 0)]);
+    assert!(sends(&harness.end_attempt("a", 0, "r", Outcome::PrefillDone)).is_empty());
+    assert!(releases_cache(&harness.advance(480 * MS), "a"));
 }
 
 /// The release beside an attempt that has not been heard of takes nothing where the attempt had arrived and
@@ -155,24 +162,27 @@
 #[test]
 fn a_release_beside_an_attempt_that_had_arrived_is_made_again_at_its_end() {
     for outcome in [Outcome::NoAnswer, Outcome::ConnectionLost, Outcome::Rejected, Outcome::NoConnection] {
-        let mut b = Bench::new(Settings::example(), &[("r", 0), ("w", 1)]);
-        b.ask(query("a", 900));
-        b.end("a", 0, "r", Outcome::PrefillDone);
-        assert!(dropped(&b.wait(800 * MS), "a"), "in time for an attempt that never arrived");
+        let mut harness = RouterHarness::new(Settings::example(), &[("r", 0), ("w", 1)]);
+        harness.submit(query("a", 900));
+        harness.end_attempt("a", 0, "r", Outcome::PrefillDone);
+        assert!(releases_cache(&harness.advance(800 * MS), "a"), "in time for an attempt that never arrived");
         // Nobody takes it from here on: no other attempt can begin.
-        b.list(ListUpdateKind::Full, Vec::new());
-        let at_its_end = dropped(&b.end("a", 1, "w", outcome), "a");
-        assert!(at_its_end || dropped(&b.wait(480 * MS), "a"), "{outcome:?}: within the settings' time");
+        harness.update_servers(ListUpdateKind::Full, Vec::new());
+        let at_its_end = releases_cache(&harness.end_attempt("a", 1, "w", outcome), "a");
+        assert!(
+            at_its_end || releases_cache(&harness.advance(480 * MS), "a"),
+            "{outcome:?}: within the settings' time"
+        );
     }
 }
 
 #[test]
 fn a_state_is_let_go_when_the_client_left_during_the_read() {
-    let mut b = Bench::new(Settings::example(), &FLEET);
-    b.ask(query("a", 900));
-    b.step(Event::ClientGone { id: "a".into() });
-    let out = b.end("a", 0, "r", Outcome::PrefillDone);
-    assert!(dropped(&out, "a") && sends(&out).is_empty());
+    let mut harness = RouterHarness::new(Settings::example(), &FLEET);
+    harness.submit(query("a", 900));
+    harness.handle(Event::ClientGone { id: "a".into() });
+    let out = harness.end_attempt("a", 0, "r", Outcome::PrefillDone);
+    assert!(releases_cache(&out, "a") && sends(&out).is_empty());
 }
 
 #[test]
@@ -206,7 +216,7 @@
     random: u64,
     now: Micros,
     fleet: Vec<ServerEntry>,
-    bells: Vec<(Micros, u64)>,
+    timers: Vec<(Micros, u64)>,
     seen: BTreeMap<String, Seen>,
     log: Vec<Action>,
 }
@@ -237,7 +247,7 @@
             random: seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1,
             now: 50 * SEC,
             fleet: fleet.clone(),
-            bells: Vec::new(),
+            timers: Vec::new(),
             seen: BTreeMap::new(),
             log: Vec::new(),
         };
@@ -264,7 +274,7 @@
     fn check(&mut self, action: &Action) {
         let now = self.now;
         match action {
-            Action::SetTimer { delay, token } => self.bells.push((now + delay, *token)),
+            Action::SetTimer { delay, token } => self.timers.push((now + delay, *token)),
             Action::Send { id, server, stop_at, send_by } => {
                 self.check_repeat_by(id, *send_by);
                 self.check_send(id, server, *stop_at);
@@ -459,8 +469,9 @@
         for step in 0..steps {
             self.now += (1 + self.below(6)) * MS;
             let now = self.now;
-            let due: Vec<u64> = self.bells.iter().filter(|b| b.0 <= now).map(|b| b.1).collect();
-            self.bells.retain(|b| b.0 > now);
+            let due: Vec<u64> =
+                self.timers.iter().filter(|timer| timer.0 <= now).map(|timer| timer.1).collect();
+            self.timers.retain(|timer| timer.0 > now);
             due.into_iter().for_each(|token| self.feed(Event::TimerFired { token }));
             let over = |s: &Seen| s.out.is_some_and(|o| o.2 <= now);
             let ids: Vec<String> =
@@ -515,9 +526,9 @@
 
 #[test]
 fn a_request_that_comes_with_no_time_left_is_answered_at_once() {
-    let mut b = Bench::new(Settings::example(), &FLEET);
-    let out = b.ask(Query { budget: 0, ..query("a", 900) });
-    assert!(declined(&out, "a") && sends(&out).is_empty());
+    let mut harness = RouterHarness::new(Settings::example(), &FLEET);
+    let out = harness.submit(Query { budget: 0, ..query("a", 900) });
+    assert!(is_refused(&out, "a") && sends(&out).is_empty());
 }
 
 /// The final answers among the actions: `Some` advice for a refusal, `None` for a failure.
@@ -532,7 +543,7 @@
 
 #[test]
 fn each_way_to_end_gives_one_answer_at_once_and_advice_where_it_refuses() {
-    let settings = |effect| attempts(2, Settings { max_retry_after: 400 * MS, ..with(effect) });
+    let settings = |effect| with_max_attempts(2, Settings { max_retry_after: 400 * MS, ..with(effect) });
     let one = |out: Vec<Action>| {
         let told = answers(&out);
         assert_eq!(told.len(), 1, "{out:?}");
@@ -542,11 +553,11 @@
     let keyed = |scope| Effect::Keyed { scope, window: 2 * SEC };
 
     // No time left, and no attempt left after two that never ran.
-    let mut b = Bench::new(settings(Effect::Safe), &FLEET);
-    assert!(advised(one(b.ask(Query { budget: 0, ..query("none", 900) }))));
-    b.ask(query("spent", 900));
-    b.end("spent", 0, "r", Outcome::PrefillDone);
-    assert!(advised(one(b.end("spent", 1, "w1", Outcome::Rejected))));
+    let mut harness = RouterHarness::new(settings(Effect::Safe), &FLEET);
+    assert!(advised(one(harness.submit(Query { budget: 0, ..query("none", 900) }))));
+    harness.submit(query("spent", 900));
+    harness.end_attempt("spent", 0, "r", Outcome::PrefillDone);
+    assert!(advised(one(harness.end_attempt("spent", 1, "w1", Outcome::Rejected))));
 
     // It may have run: a refusal where a repeat is harmless, else a failure, which gives no advice.
     let effects = [
@@ -557,44 +568,44 @@
         (Effect::Unsafe, false),
     ];
     for (effect, harmless) in effects {
-        let mut b = Bench::new(settings(effect), &FLEET);
-        b.ask(query("a", 900));
-        b.end("a", 0, "r", Outcome::PrefillDone);
-        let told = one(b.end("a", 1, "w1", Outcome::NoAnswer));
+        let mut harness = RouterHarness::new(settings(effect), &FLEET);
+        harness.submit(query("a", 900));
+        harness.end_attempt("a", 0, "r", Outcome::PrefillDone);
+        let told = one(harness.end_attempt("a", 1, "w1", Outcome::NoAnswer));
         assert!(if harmless { advised(told) } else { told.is_none() }, "{effect:?}: {told:?}");
     }
 
     // The client has left, or is served: nothing more is owed.
-    let mut b = Bench::new(settings(Effect::Safe), &FLEET);
-    b.ask(query("left", 900));
-    b.ask(query("served", 900));
-    let mut out = b.step(Event::ClientGone { id: "left".into() });
-    out.extend(b.end("left", 0, "r", Outcome::PrefillDone));
-    b.end("served", 0, "r", Outcome::PrefillDone);
-    b.begin("served", 1);
-    out.extend(b.end("served", 1, "w1", Outcome::Served));
-    out.extend(b.wait(6 * SEC));
+    let mut harness = RouterHarness::new(settings(Effect::Safe), &FLEET);
+    harness.submit(query("left", 900));
+    harness.submit(query("served", 900));
+    let mut out = harness.handle(Event::ClientGone { id: "left".into() });
+    out.extend(harness.end_attempt("left", 0, "r", Outcome::PrefillDone));
+    harness.end_attempt("served", 0, "r", Outcome::PrefillDone);
+    harness.start_answer("served", 1);
+    out.extend(harness.end_attempt("served", 1, "w1", Outcome::Served));
+    out.extend(harness.advance(6 * SEC));
     assert!(answers(&out).is_empty(), "{out:?}");
 }
 
 #[test]
 fn an_open_request_keeps_its_class_when_the_settings_change() {
     for (before, after, repeats) in [(Effect::Unsafe, Effect::Safe, 0), (Effect::Safe, Effect::Unsafe, 1)] {
-        let mut b = written(before, &FLEET);
-        b.step(Event::Settings(attempts(1, with(after))));
-        let out = b.end("a", 1, "w1", Outcome::ConnectionLost);
+        let mut harness = written(before, &FLEET);
+        harness.handle(Event::Settings(with_max_attempts(1, with(after))));
+        let out = harness.end_attempt("a", 1, "w1", Outcome::ConnectionLost);
         assert_eq!(sends(&out).len(), repeats, "{before:?}, then {after:?}");
         // What comes now goes by the new rules: one attempt leaves nothing for a writer.
-        let class = attempts(1, with(after)).classes[0].clone();
-        assert!(declined(&b.ask(Query { class, ..query("b", 900) }), "b"));
+        let class = with_max_attempts(1, with(after)).classes[0].clone();
+        assert!(is_refused(&harness.submit(Query { class, ..query("b", 900) }), "b"));
     }
 }
 
 #[test]
 fn a_class_that_is_dropped_goes_with_its_last_request() {
-    let mut b = written(Effect::Unsafe, &FLEET);
-    b.step(Event::Settings(Settings { classes: Vec::new(), ..with(Effect::Unsafe) }));
-    assert!(failed(&b.end("a", 1, "w1", Outcome::ConnectionLost), "a"));
+    let mut harness = written(Effect::Unsafe, &FLEET);
+    harness.handle(Event::Settings(Settings { classes: Vec::new(), ..with(Effect::Unsafe) }));
+    assert!(is_failed(&harness.end_attempt("a", 1, "w1", Outcome::ConnectionLost), "a"));
 }
 
 #[test]
@@ -604,12 +615,12 @@
         let tenants = names.iter().map(|name| tenant(name)).collect();
         Settings { tenants, over_quota_worth: 0.1, ..Settings::example() }
     };
-    let mut b = Bench::new(of(&["spent", "other"]), &[]);
-    b.ask(Query { tenant: Some(0), ..query("first", 900) });
-    b.step(Event::Settings(of(&["new", "spent"])));
-    b.ask(Query { tenant: Some(0), ..query("within", 900) });
-    b.ask(Query { tenant: Some(1), ..query("beyond", 900) });
+    let mut harness = RouterHarness::new(of(&["spent", "other"]), &[]);
+    harness.submit(Query { tenant: Some(0), ..query("first", 900) });
+    harness.handle(Event::Settings(of(&["new", "spent"])));
+    harness.submit(Query { tenant: Some(0), ..query("within", 900) });
+    harness.submit(Query { tenant: Some(1), ..query("beyond", 900) });
     // Beyond its quota a request is given up after a tenth of its client's time.
-    let out = b.wait(600 * MS);
-    assert!(declined(&out, "beyond") && !declined(&out, "within"));
+    let out = harness.advance(600 * MS);
+    assert!(is_refused(&out, "beyond") && !is_refused(&out, "within"));
 }
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -2,7 +2,7 @@
 
 mod support;
 use frosttrail::*;
-use support::side::Side;
+use support::side::RouterGroup;
 use support::*;
 
 const ROUTERS: u32 = 100;
@@ -24,15 +24,15 @@
 fn all_routers_together_keep_a_cold_server_within_its_budget() {
     for back in ["r0", "w0"] {
         let settings = large();
-        let mut side = Side::new(&settings, &fleet(10, 10));
-        side.run(15 * SEC);
-        let from = side.now;
+        let mut group = RouterGroup::new(&settings, &fleet(10, 10));
+        group.run_for(15 * SEC);
+        let from = group.now;
         let kind = usize::from(back.starts_with('w'));
-        side.tell(&[ServerEntry { started: from, ..entry(back, kind) }]);
-        side.run(8 * SEC);
+        group.update_servers(&[ServerEntry { started: from, ..entry(back, kind) }]);
+        group.run_for(8 * SEC);
         // A warm peer takes 20 a second here, and can do at least that.
         let budget = 20.0 * settings.slow_start_initial_share * settings.overload_multiple;
-        let most = side.busiest_second(back, from);
+        let most = group.max_sends_in_a_second(back, from);
         assert!(most > 0, "{back}: a cold server must be filled");
         assert!(most as f64 <= budget, "{back}: {most} sends in a second, budget {budget}");
     }
@@ -44,13 +44,13 @@
 fn routers_that_see_little_or_have_just_started_fill_a_cold_server_all_the_same() {
     for (back, before) in [("r0", 15), ("w0", 15), ("r0", 0), ("w0", 0)] {
         let settings = large();
-        let mut side = Side::new(&settings, &fleet(10, 10));
-        side.run(before * SEC);
-        let from = side.now;
+        let mut group = RouterGroup::new(&settings, &fleet(10, 10));
+        group.run_for(before * SEC);
+        let from = group.now;
         let kind = usize::from(back.starts_with('w'));
-        side.tell(&[ServerEntry { started: from, ..entry(back, kind) }]);
-        side.run(8 * SEC);
-        let to = |server: &str| side.sent.iter().filter(|s| &*s.1 == server && s.0 >= from).count();
+        group.update_servers(&[ServerEntry { started: from, ..entry(back, kind) }]);
+        group.run_for(8 * SEC);
+        let to = |server: &str| group.send_log.iter().filter(|s| &*s.1 == server && s.0 >= from).count();
         let peers: usize = (1..10).map(|i| to(&format!("{}{i}", &back[..1]))).sum();
         let (cold, warm) = (to(back), peers / 9);
         // Half of what it may be sent, were a warm one at its limit; most of that is to arrive.
@@ -61,27 +61,27 @@
 
 #[test]
 fn a_new_server_that_looks_empty_to_all_draws_no_herd() {
-    let mut side = Side::new(&large(), &fleet(10, 10));
-    side.run(15 * SEC);
-    let from = side.now;
-    side.tell(&[ServerEntry { started: from, ..entry("r99", 0) }]);
-    side.run(200 * MS);
-    assert!(side.busiest_second("r99", from) <= 3);
+    let mut group = RouterGroup::new(&large(), &fleet(10, 10));
+    group.run_for(15 * SEC);
+    let from = group.now;
+    group.update_servers(&[ServerEntry { started: from, ..entry("r99", 0) }]);
+    group.run_for(200 * MS);
+    assert!(group.max_sends_in_a_second("r99", from) <= 3);
 }
 
-fn router(settings: Settings, entries: Vec<ServerEntry>) -> Bench {
-    let mut b = Bench::new(settings, &[]);
-    b.list(ListUpdateKind::Changes, entries);
-    b
+fn router(settings: Settings, entries: Vec<ServerEntry>) -> RouterHarness {
+    let mut harness = RouterHarness::new(settings, &[]);
+    harness.update_servers(ListUpdateKind::Changes, entries);
+    harness
 }
 
 #[test]
 fn turns_of_one_session_meet_at_one_reader_though_their_routers_differ() {
     let read_at = |seed: u64, session: &str| {
-        let mut b = Bench::seeded(large(), seed);
-        b.list(ListUpdateKind::StaleCopy, fleet(12, 4));
+        let mut harness = RouterHarness::with_seed(large(), seed);
+        harness.update_servers(ListUpdateKind::StaleCopy, fleet(12, 4));
         let q = Query { prefix: Some("p".into()), session: session.into(), ..query("a", 900) };
-        sends(&b.ask(q))[0].1.clone()
+        sends(&harness.submit(q))[0].1.clone()
     };
     let mut homes = std::collections::BTreeSet::new();
     for i in 0..40 {
@@ -95,10 +95,10 @@
 
 #[test]
 fn the_parts_of_all_readers_bound_what_one_router_has_waiting_there() {
-    let mut b = router(large(), fleet(20, 20));
+    let mut harness = router(large(), fleet(20, 20));
     let mut reads = 0;
     for i in 0..20 {
-        reads += sends(&b.ask(query(&format!("q{i}"), 900))).len();
+        reads += sends(&harness.submit(query(&format!("q{i}"), 900))).len();
     }
     // A part is 0.12 reads; of twenty readers 2.4, not twenty.
     assert_eq!(reads, 2);
@@ -117,63 +117,63 @@
     actions.iter().filter_map(server).collect()
 }
 
-fn says(b: &mut Bench, server: &str, outcome: Outcome, outstanding: f64) -> Vec<Action> {
+fn says(harness: &mut RouterHarness, server: &str, outcome: Outcome, outstanding: f64) -> Vec<Action> {
     let load = Some(LoadReport { outstanding: Some(outstanding), ..LoadReport::default() });
-    b.step(Event::ProbeEnded { server: server.into(), outcome, load })
+    harness.handle(Event::ProbeEnded { server: server.into(), outcome, load })
 }
 
 #[test]
 fn a_reader_that_others_have_filled_is_passed_over_before_anything_goes_there() {
-    let mut b = router(asking(), fleet(20, 20));
-    let first = b.ask(query("q", 900));
+    let mut harness = router(asking(), fleet(20, 20));
+    let first = harness.submit(query("q", 900));
     let home = asked(&first)[0].clone();
     assert!(sends(&first).is_empty(), "it is asked first");
-    let second = says(&mut b, &home, Outcome::Served, 9.0);
+    let second = says(&mut harness, &home, Outcome::Served, 9.0);
     let next = asked(&second)[0].clone();
     assert!(sends(&second).is_empty() && next != home);
-    let third = says(&mut b, &next, Outcome::Served, 1.0);
+    let third = says(&mut harness, &next, Outcome::Served, 1.0);
     assert_eq!(sends(&third), [("q".to_string(), next)]);
 }
 
 #[test]
 fn the_least_full_of_those_asked_is_taken_and_none_that_is_past_its_bound() {
-    let mut b = router(asking(), fleet(20, 20));
-    let mut home = asked(&b.ask(query("q", 900)))[0].clone();
+    let mut harness = router(asking(), fleet(20, 20));
+    let mut home = asked(&harness.submit(query("q", 900)))[0].clone();
     let mut last = Vec::new();
     let mut homes = Vec::new();
     for holds in [9.0, 6.0, 8.0] {
         homes.push(home.clone());
-        last = says(&mut b, &home, Outcome::Served, holds);
+        last = says(&mut harness, &home, Outcome::Served, holds);
         home = asked(&last).first().cloned().unwrap_or_default();
     }
     assert_eq!(sends(&last), [("q".to_string(), homes[1].clone())]);
     // All are past what all routers together want there: it is held, and asks again in time.
-    let mut b = router(asking(), fleet(3, 3));
-    let mut home = asked(&b.ask(query("q", 900)));
+    let mut harness = router(asking(), fleet(3, 3));
+    let mut home = asked(&harness.submit(query("q", 900)));
     while let Some(at) = home.first().cloned() {
-        let then = says(&mut b, &at, Outcome::Served, 40.0);
+        let then = says(&mut harness, &at, Outcome::Served, 40.0);
         assert!(sends(&then).is_empty());
         home = asked(&then);
     }
-    let later = b.wait(400 * MS);
+    let later = harness.advance(400 * MS);
     assert!(sends(&later).is_empty() && !asked(&later).is_empty());
 }
 
 #[test]
 fn a_reader_that_does_not_answer_costs_a_probe_and_no_attempt() {
-    let mut b = router(asking(), fleet(20, 20));
-    let home = asked(&b.ask(query("q", 900)))[0].clone();
-    let then = says(&mut b, &home, Outcome::NoConnection, 0.0);
+    let mut harness = router(asking(), fleet(20, 20));
+    let home = asked(&harness.submit(query("q", 900)))[0].clone();
+    let then = says(&mut harness, &home, Outcome::NoConnection, 0.0);
     let next = asked(&then);
     assert_eq!(next.len(), 1, "the next one, once");
     assert!(next[0] != home && sends(&then).is_empty());
     // Where most are gone, each is asked once for a while, not again and again.
-    let mut b = router(asking(), fleet(3, 3));
-    let (mut home, mut n) = (asked(&b.ask(query("q", 900))), 0);
+    let mut harness = router(asking(), fleet(3, 3));
+    let (mut home, mut n) = (asked(&harness.submit(query("q", 900))), 0);
     while let Some(at) = home.first().cloned() {
         n += 1;
         assert!(n <= 3, "asked without an end");
-        home = asked(&says(&mut b, &at, Outcome::NoConnection, 0.0));
+        home = asked(&says(&mut harness, &at, Outcome::NoConnection, 0.0));
     }
 }
 
@@ -181,10 +181,10 @@
 #[test]
 fn routers_that_ask_spread_one_prefix_over_as_many_readers_as_it_takes() {
     let most = |settings: &Settings| {
-        let mut side = Side::new(settings, &fleet(20, 20));
-        side.prefix = Some("p".into());
-        side.run(5 * SEC);
-        side.most
+        let mut group = RouterGroup::new(settings, &fleet(20, 20));
+        group.prefix = Some("p".into());
+        group.run_for(5 * SEC);
+        group.max_active
     };
     let (blind, open) = (most(&large()), most(&asking()));
     assert!(open <= 6 && blind > open, "out at one reader: {open} when asked, else {blind}");
@@ -192,10 +192,10 @@
 
 #[test]
 fn a_server_that_was_slow_for_this_router_rests_while_others_take_its_work() {
-    let mut b = router(large(), fleet(30, 30));
+    let mut harness = router(large(), fleet(30, 30));
     let of = |id: &str| Query { session: "s".into(), ..query(id, 900) };
-    let home = sends(&b.ask(of("a")))[0].1.clone();
-    b.now += 600 * MS;
+    let home = sends(&harness.submit(of("a")))[0].1.clone();
+    harness.now += 600 * MS;
     let slow = Event::AttemptEnded {
         id: "a".into(),
         attempt: 0,
@@ -206,24 +206,24 @@
         finished: false,
         load: None,
     };
-    b.step(slow);
-    b.begin("a", 1);
-    b.now += 100 * MS;
-    assert_ne!(sends(&b.ask(of("b")))[0].1, home);
+    harness.handle(slow);
+    harness.start_answer("a", 1);
+    harness.now += 100 * MS;
+    assert_ne!(sends(&harness.submit(of("b")))[0].1, home);
 }
 
 #[test]
 fn a_server_that_turned_a_request_away_rests_and_comes_back() {
-    let mut b = Bench::new(Settings::example(), &[("m1", 2), ("m2", 2)]);
-    let first = sends(&b.ask(query("a", 900)))[0].1.clone();
-    b.end("a", 0, &first, Outcome::Rejected);
-    let taken = |b: &mut Bench, round: &str| {
+    let mut harness = RouterHarness::new(Settings::example(), &[("m1", 2), ("m2", 2)]);
+    let first = sends(&harness.submit(query("a", 900)))[0].1.clone();
+    harness.end_attempt("a", 0, &first, Outcome::Rejected);
+    let taken = |harness: &mut RouterHarness, round: &str| {
         let ids = (0..3).map(|i| format!("{round}{i}"));
-        ids.filter(|id| sends(&b.ask(query(id, 900))).iter().any(|s| s.1 == first)).count()
+        ids.filter(|id| sends(&harness.submit(query(id, 900))).iter().any(|s| s.1 == first)).count()
     };
-    assert_eq!(taken(&mut b, "at once "), 0, "it rests");
-    b.wait(500 * MS);
-    assert!(taken(&mut b, "later ") > 0, "and is asked again");
+    assert_eq!(taken(&mut harness, "at once "), 0, "it rests");
+    harness.advance(500 * MS);
+    assert!(taken(&mut harness, "later ") > 0, "and is asked again");
 }
 
 #[test]
@@ -232,9 +232,9 @@
     for e in &mut entries {
         e.rack = if e.kind == 0 || &*e.server == "w0" { 1 } else { 2 };
     }
-    let mut side = Side::new(&large(), &entries);
-    side.run(15 * SEC);
-    let count = |w: &str| side.sent.iter().filter(|s| &*s.1 == w).count();
+    let mut group = RouterGroup::new(&large(), &entries);
+    group.run_for(15 * SEC);
+    let count = |w: &str| group.send_log.iter().filter(|s| &*s.1 == w).count();
     let all: usize = (0..6).map(|i| count(&format!("w{i}"))).sum();
     assert!(count("w0") * 2 < all, "{} of {all} writes in the readers' rack", count("w0"));
 }
@@ -242,15 +242,15 @@
 #[test]
 fn a_large_list_that_shrinks_to_none_and_returns_is_no_trouble() {
     for conductors in [1, 1_000] {
-        let mut b = router(Settings { conductors, ..Settings::example() }, fleet(50, 50));
-        b.list(ListUpdateKind::Full, Vec::new());
-        assert!(sends(&b.ask(query("a", 900))).is_empty());
+        let mut harness = router(Settings { conductors, ..Settings::example() }, fleet(50, 50));
+        harness.update_servers(ListUpdateKind::Full, Vec::new());
+        assert!(sends(&harness.submit(query("a", 900))).is_empty());
         // A clock that jumps by far more than the client's patience: the answer is still the first thing.
-        let out = b.list(ListUpdateKind::Full, fleet(50, 50));
+        let out = harness.update_servers(ListUpdateKind::Full, fleet(50, 50));
         assert_eq!(sends(&out).len(), 1);
-        b.now += 60 * SEC;
-        let out = b.end("a", 0, &sends(&out)[0].1, Outcome::NoAnswer);
-        assert!(declined(&out, "a"));
+        harness.now += 60 * SEC;
+        let out = harness.end_attempt("a", 0, &sends(&out)[0].1, Outcome::NoAnswer);
+        assert!(is_refused(&out, "a"));
     }
 }
 
@@ -262,8 +262,8 @@
         conductors: 1_000,
         ..Settings::example()
     };
-    let mut b = router(settings, fleet(3, 3));
-    let first = sends(&b.ask(Query { tenant: Some(0), ..query("a", 900) }));
+    let mut harness = router(settings, fleet(3, 3));
+    let first = sends(&harness.submit(Query { tenant: Some(0), ..query("a", 900) }));
     let load = Some(LoadReport {
         memory: Some(f64::NAN),
         waiting_ktokens: Some(-1e300),
@@ -271,7 +271,7 @@
         queued: None,
         outstanding: Some(f64::NAN),
     });
-    let out = b.step(Event::AttemptEnded {
+    let out = harness.handle(Event::AttemptEnded {
         id: "a".into(),
         attempt: 0,
         server: first[0].1.as_str().into(),
@@ -286,61 +286,61 @@
 
 #[test]
 fn what_waits_at_the_writers_holds_the_next_read() {
-    let mut b = router(large(), fleet(40, 10));
-    let reader = sends(&b.ask(query("a", 900)))[0].1.clone();
-    b.end("a", 0, &reader, Outcome::PrefillDone);
-    assert!(sends(&b.ask(query("b", 900))).is_empty(), "a part of ten writers is 1.2");
-    assert_eq!(sends(&[b.begin("a", 1), b.wait(200 * MS)].concat()).len(), 1);
+    let mut harness = router(large(), fleet(40, 10));
+    let reader = sends(&harness.submit(query("a", 900)))[0].1.clone();
+    harness.end_attempt("a", 0, &reader, Outcome::PrefillDone);
+    assert!(sends(&harness.submit(query("b", 900))).is_empty(), "a part of ten writers is 1.2");
+    assert_eq!(sends(&[harness.start_answer("a", 1), harness.advance(200 * MS)].concat()).len(), 1);
 }
 
 #[test]
 fn starved_requests_of_many_routers_do_not_all_leave_ahead() {
     // At 120 routers a tenth of the rate of promotions is each router's part.
     let settings = Settings { conductors: 120, ..Settings::example() };
-    let mut b = router(settings, fleet(0, 30));
+    let mut harness = router(settings, fleet(0, 30));
     for i in 0..3 {
-        b.ask(query(&format!("long-{i}"), 2_000));
+        harness.submit(query(&format!("long-{i}"), 2_000));
     }
-    b.wait(770 * MS);
+    harness.advance(770 * MS);
     for i in 0..6 {
-        b.ask(query(&format!("short-{i}"), 300));
+        harness.submit(query(&format!("short-{i}"), 300));
     }
-    let left = sends(&b.list(ListUpdateKind::Changes, fleet(30, 0)));
+    let left = sends(&harness.update_servers(ListUpdateKind::Changes, fleet(30, 0)));
     let kinds: Vec<_> = left.iter().map(|s| &s.0[..4]).collect();
     assert_eq!(kinds, ["long", "shor", "shor"], "the readers' parts together are three");
-    b.wait(100 * MS);
-    let next = sends(&b.end(&left[0].0, 0, &left[0].1, Outcome::PrefillDone));
+    harness.advance(100 * MS);
+    let next = sends(&harness.end_attempt(&left[0].0, 0, &left[0].1, Outcome::PrefillDone));
     assert!(next[1].0.starts_with("short"), "{next:?}");
 }
 
 #[test]
 fn a_role_that_keeps_all_waiting_is_asked_less_often_though_that_has_become_usual() {
     // Nine readers for a hundred routers: a part of 0.36 waiting requests, kept in time.
-    let mut b = router(large(), fleet(9, 9));
+    let mut harness = router(large(), fleet(9, 9));
     let mut sent = 0;
-    let (end, mut i) = (b.now + 10 * SEC, 0);
+    let (end, mut i) = (harness.now + 10 * SEC, 0);
     let mut out = Vec::new();
     let mut due: Vec<(Micros, String, String)> = Vec::new();
-    while b.now < end {
+    while harness.now < end {
         i += 1;
-        out.extend(b.ask(query(&format!("q{i}"), 900)));
+        out.extend(harness.submit(query(&format!("q{i}"), 900)));
         for (id, w) in sends(&std::mem::take(&mut out)) {
             if w.starts_with('r') {
                 sent += 1;
-                due.push((b.now + 800 * MS, id, w));
+                due.push((harness.now + 800 * MS, id, w));
             } else {
-                b.begin(&id, 1);
-                b.end(&id, 1, &w, Outcome::Served);
+                harness.start_answer(&id, 1);
+                harness.end_attempt(&id, 1, &w, Outcome::Served);
             }
         }
-        out.extend(b.wait(50 * MS));
-        let over: Vec<_> = due.iter().filter(|d| d.0 <= b.now).cloned().collect();
-        due.retain(|d| d.0 > b.now);
+        out.extend(harness.advance(50 * MS));
+        let over: Vec<_> = due.iter().filter(|d| d.0 <= harness.now).cloned().collect();
+        due.retain(|d| d.0 > harness.now);
         for (_, id, server) in over {
             let (id, server): (Id, Id) = (id.as_str().into(), server.as_str().into());
             let (outcome, elapsed, cached_tokens, load) = (Outcome::PrefillDone, 800 * MS, 0, None);
             let (attempt, finished) = (0, false);
-            out.extend(b.step(Event::AttemptEnded {
+            out.extend(harness.handle(Event::AttemptEnded {
                 id,
                 attempt,
                 server,
@@ -365,11 +365,11 @@
     }
     let mut shares = [0, 0];
     for i in 0..200u64 {
-        let mut b = Bench::seeded(large(), i);
-        b.list(ListUpdateKind::StaleCopy, entries.clone());
+        let mut harness = RouterHarness::with_seed(large(), i);
+        harness.update_servers(ListUpdateKind::StaleCopy, entries.clone());
         let id = format!("q{i}");
-        let reader = sends(&b.ask(query(&id, 900)))[0].1.clone();
-        let writer = sends(&b.end(&id, 0, &reader, Outcome::PrefillDone))[0].1.clone();
+        let reader = sends(&harness.submit(query(&id, 900)))[0].1.clone();
+        let writer = sends(&harness.end_attempt(&id, 0, &reader, Outcome::PrefillDone))[0].1.clone();
         if reader != "r3" {
             shares[usize::from(writer == "w0")] += 1;
         } else {
@@ -382,10 +382,10 @@
 
 #[test]
 fn one_hung_server_does_not_rest_its_whole_role() {
-    let mut b = router(large(), fleet(9, 9));
-    let hung = sends(&b.ask(query("a", 900)))[0].1.clone();
-    b.now += 3 * SEC;
-    b.step(Event::AttemptEnded {
+    let mut harness = router(large(), fleet(9, 9));
+    let hung = sends(&harness.submit(query("a", 900)))[0].1.clone();
+    harness.now += 3 * SEC;
+    harness.handle(Event::AttemptEnded {
         id: "a".into(),
         attempt: 0,
         server: hung.as_str().into(),
@@ -396,6 +396,6 @@
         load: None,
     });
     // By its own 3 s the role would rest for 5.3 s; by twice the usual, 3 s counted in, for 2.7 s.
-    b.wait(2_700 * MS);
-    assert_eq!(sends(&[b.ask(query("b", 900)), b.wait(200 * MS)].concat()).len(), 1);
+    harness.advance(2_700 * MS);
+    assert_eq!(sends(&[harness.submit(query("b", 900)), harness.advance(200 * MS)].concat()).len(), 1);
 }
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -5,7 +5,7 @@
 mod support;
 
 use frosttrail::*;
-use support::side::Side;
+use support::side::RouterGroup;
 use support::*;
 
 /// Requests a second that a warm server of the fleet gets: one request comes every 5 ms, for 10 servers.
@@ -44,8 +44,8 @@
 /// budgets of the whole time that it got.
 fn start(routers: u32, case: Case, seed: u64, kind: usize) -> (f64, f64, f64) {
     let settings = Settings { conductors: routers, ..Settings::example() };
-    let mut side = Side::new(&settings, &servers());
-    side.whose = Box::new(move |asked, routers| {
+    let mut group = RouterGroup::new(&settings, &servers());
+    group.choose_router = Box::new(move |asked, routers| {
         let drawn = draw(seed, asked);
         let even = (drawn >> 8) as usize % routers;
         match case {
@@ -53,32 +53,32 @@
             _ => even,
         }
     });
-    side.run(8 * SEC);
-    let (begin, name) = (side.now, if kind == 0 { "new-r" } else { "new-w" });
+    group.run_for(8 * SEC);
+    let (begin, name) = (group.now, if kind == 0 { "new-r" } else { "new-w" });
     let news = [ServerEntry { started: begin, ..entry(name, kind) }];
     let mut late = Vec::new();
     for i in 0..routers as usize {
         match case {
             Case::Started if i % 2 == 0 => {
                 let all = [servers(), news.to_vec()].concat();
-                side.restart(i, &settings, &all);
+                group.restart_router(i, &settings, &all);
             }
             Case::Late if i % 3 == 0 => late.push((begin + draw(seed, i) % (2 * SEC), i)),
-            _ => side.tell_one(i, &news),
+            _ => group.update_servers_at(i, &news),
         }
     }
-    while side.now < begin + TIME {
-        side.run(20 * MS);
-        let now = side.now;
+    while group.now < begin + TIME {
+        group.run_for(20 * MS);
+        let now = group.now;
         late.retain(|&(at, i)| {
             let due = at <= now;
             if due {
-                side.tell_one(i, &news);
+                group.update_servers_at(i, &news);
             }
             !due
         });
     }
-    let times: Vec<Micros> = side.sent.iter().filter(|s| &*s.1 == name).map(|s| s.0).collect();
+    let times: Vec<Micros> = group.send_log.iter().filter(|s| &*s.1 == name).map(|s| s.0).collect();
     let within =
         |&t: &Micros| times.iter().filter(|&&u| u >= t && u < t + settings.overload_duration).count();
     let most = times.iter().map(within).max().unwrap_or(0) as f64;
--- a/tests/support/fleet.rs
+++ b/tests/support/fleet.rs
@@ -8,16 +8,16 @@
 use super::SEC;
 
 /// Tokens that a prefill server reads a second, and what each read takes besides.
-pub const READS_PER_S: u64 = 15_000;
-const READ_FIXED: Micros = 20_000;
+pub const PREFILL_TOKENS_PER_S: u64 = 15_000;
+const PREFILL_OVERHEAD: Micros = 20_000;
 /// Answers that a decode server streams at once; each takes so long, its first token a little.
-pub const SLOTS: usize = 8;
-pub const STREAMS: Micros = SEC;
-const FIRST: Micros = 30_000;
+pub const DECODE_SLOTS: usize = 8;
+pub const STREAM_DURATION: Micros = SEC;
+const FIRST_TOKEN_DELAY: Micros = 30_000;
 
 /// How a request ended, for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum RequestEnd {
     /// Its first token came after so long.
     Served(Micros),
     Refused,
@@ -25,36 +25,36 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
-    Asks(usize),
-    Read(Id, u32),
-    Begins(Id, u32),
-    Ends(Id, u32),
-    GivenUp(Id, u32),
-    Bell(u64),
+enum ScheduledEvent {
+    RequestArrives(usize),
+    PrefillEnds(Id, u32),
+    AnswerStarts(Id, u32),
+    AnswerEnds(Id, u32),
+    AttemptTimesOut(Id, u32),
+    TimerFires(u64),
 }
 
 #[derive(Default)]
 struct Server {
     /// A prefill server's: when it has read what it has.
-    until: Micros,
+    prefill_busy_until: Micros,
     /// A decode server's: when each of its places is free.
-    slots: Vec<Micros>,
+    slots_free_at: Vec<Micros>,
 }
 
 /// A router, its servers and its clients.
 pub struct Fleet {
     router: Router,
     now: Micros,
-    due: std::collections::BTreeSet<(Micros, u64, Due)>,
-    order: u64,
+    schedule: std::collections::BTreeSet<(Micros, u64, ScheduledEvent)>,
+    sequence: u64,
     servers: BTreeMap<Id, Server>,
     /// The attempt that is out: number, server, send time.
-    out: BTreeMap<Id, (u32, Id, Micros)>,
-    numbers: BTreeMap<Id, u32>,
-    asked: BTreeMap<Id, (Micros, u64)>,
+    active: BTreeMap<Id, (u32, Id, Micros)>,
+    next_attempt: BTreeMap<Id, u32>,
+    arrivals: BTreeMap<Id, (Micros, u64)>,
     queries: Vec<Query>,
-    pub ends: BTreeMap<Id, End>,
+    pub request_ends: BTreeMap<Id, RequestEnd>,
     pub log: Vec<String>,
 }
 
@@ -64,86 +64,89 @@
         let mut fleet = Fleet {
             router: Router::new(settings, seed),
             now: 100 * SEC,
-            due: Default::default(),
-            order: 0,
+            schedule: Default::default(),
+            sequence: 0,
             servers: BTreeMap::new(),
-            out: BTreeMap::new(),
-            numbers: BTreeMap::new(),
-            asked: BTreeMap::new(),
+            active: BTreeMap::new(),
+            next_attempt: BTreeMap::new(),
+            arrivals: BTreeMap::new(),
             queries: Vec::new(),
-            ends: BTreeMap::new(),
+            request_ends: BTreeMap::new(),
             log: Vec::new(),
         };
         let names =
             (0..prefill).map(|n| (format!("p{n}"), 0)).chain((0..decode).map(|n| (format!("d{n}"), 1)));
-        fleet.tell(ListUpdateKind::StaleCopy, names.map(|(name, kind)| super::entry(&name, kind)).collect());
+        fleet.update_servers(
+            ListUpdateKind::StaleCopy,
+            names.map(|(name, kind)| super::entry(&name, kind)).collect(),
+        );
         fleet
     }
 
-    pub fn tell(&mut self, form: ListUpdateKind, entries: Vec<ServerEntry>) {
+    pub fn update_servers(&mut self, form: ListUpdateKind, entries: Vec<ServerEntry>) {
         for entry in &entries {
             let server = self.servers.entry(entry.server.clone()).or_default();
-            server.slots.resize(SLOTS, 0);
+            server.slots_free_at.resize(DECODE_SLOTS, 0);
         }
-        self.feed(Event::Members { form, entries });
+        self.handle(Event::Members { form, entries });
     }
 
     /// A client asks, so long after the start.
-    pub fn ask_at(&mut self, after: Micros, query: Query) {
+    pub fn submit_at(&mut self, after: Micros, query: Query) {
         self.queries.push(query);
-        self.plan(100 * SEC + after, Due::Asks(self.queries.len() - 1));
+        self.schedule_at(100 * SEC + after, ScheduledEvent::RequestArrives(self.queries.len() - 1));
     }
 
-    fn plan(&mut self, at: Micros, due: Due) {
-        self.order += 1;
-        self.due.insert((at.max(self.now), self.order, due));
+    fn schedule_at(&mut self, at: Micros, event: ScheduledEvent) {
+        self.sequence += 1;
+        self.schedule.insert((at.max(self.now), self.sequence, event));
     }
 
     /// Lets time pass until so long after the start.
-    pub fn run(&mut self, until: Micros) {
-        while let Some((at, ..)) = self.due.first() {
+    pub fn run_until(&mut self, until: Micros) {
+        while let Some((at, ..)) = self.schedule.first() {
             if *at > 100 * SEC + until {
                 return;
             }
-            let Some((at, _, due)) = self.due.pop_first() else { return };
+            let Some((at, _, event)) = self.schedule.pop_first() else { return };
             self.now = at;
-            self.happens(due);
+            self.process(event);
         }
     }
 
-    fn is_out(&self, id: &Id, attempt: u32) -> Option<(Id, Micros)> {
-        self.out.get(id).filter(|out| out.0 == attempt).map(|out| (out.1.clone(), out.2))
+    fn active_attempt(&self, id: &Id, attempt: u32) -> Option<(Id, Micros)> {
+        self.active.get(id).filter(|out| out.0 == attempt).map(|out| (out.1.clone(), out.2))
     }
 
-    fn happens(&mut self, due: Due) {
-        match due {
-            Due::Bell(token) => self.feed(Event::TimerFired { token }),
-            Due::Asks(n) => {
+    fn process(&mut self, event: ScheduledEvent) {
+        match event {
+            ScheduledEvent::TimerFires(token) => self.handle(Event::TimerFired { token }),
+            ScheduledEvent::RequestArrives(n) => {
                 let query = self.queries[n].clone();
-                self.asked.insert(query.id.clone(), (self.now, query.prompt_tokens));
-                self.feed(Event::Query(query));
+                self.arrivals.insert(query.id.clone(), (self.now, query.prompt_tokens));
+                self.handle(Event::Query(query));
             }
-            Due::Begins(id, attempt) => {
-                let Some((_, sent)) = self.is_out(&id, attempt) else { return };
-                self.ends.insert(id.clone(), End::Served(self.now - self.asked[&id].0));
-                self.feed(Event::AnswerStarted { id, attempt, elapsed: self.now - sent });
+            ScheduledEvent::AnswerStarts(id, attempt) => {
+                let Some((_, sent)) = self.active_attempt(&id, attempt) else { return };
+                self.request_ends.insert(id.clone(), RequestEnd::Served(self.now - self.arrivals[&id].0));
+                self.handle(Event::AnswerStarted { id, attempt, elapsed: self.now - sent });
             }
-            Due::Read(id, attempt) => self.ended(id, attempt, Outcome::PrefillDone),
-            Due::Ends(id, attempt) => self.ended(id, attempt, Outcome::Served),
-            Due::GivenUp(id, attempt) => match self.ends.get(&id) {
-                Some(End::Served(_)) => {}
-                _ => self.ended(id, attempt, Outcome::NoAnswer),
+            ScheduledEvent::PrefillEnds(id, attempt) => self.end_attempt(id, attempt, Outcome::PrefillDone),
+            ScheduledEvent::AnswerEnds(id, attempt) => self.end_attempt(id, attempt, Outcome::Served),
+            ScheduledEvent::AttemptTimesOut(id, attempt) => match self.request_ends.get(&id) {
+                Some(RequestEnd::Served(_)) => {}
+                _ => self.end_attempt(id, attempt, Outcome::NoAnswer),
             },
         }
     }
 
-    fn ended(&mut self, id: Id, attempt: u32, outcome: Outcome) {
-        let Some((server, sent)) = self.is_out(&id, attempt) else { return };
-        self.out.remove(&id);
+    fn end_attempt(&mut self, id: Id, attempt: u32, outcome: Outcome) {
+        let Some((server, sent)) = self.active_attempt(&id, attempt) else { return };
+        self.active.remove(&id);
         let (elapsed, finished) = (self.now - sent, outcome == Outcome::Served);
         let cached_tokens = 0;
         let load = None;
-        self.feed(Event::AttemptEnded {
+        self.handle(Event::AttemptEnded {
             id,
             attempt,
             server,
@@ -155,40 +158,46 @@
         });
     }
 
-    fn send(&mut self, id: Id, server: Id, stop_at: Micros) {
-        let number = self.numbers.entry(id.clone()).or_default();
+    fn start_attempt(&mut self, id: Id, server: Id, stop_at: Micros) {
+        let number = self.next_attempt.entry(id.clone()).or_default();
         let attempt = *number;
         *number += 1;
-        self.out.insert(id.clone(), (attempt, server.clone(), self.now));
-        let (now, tokens) = (self.now, self.asked[&id].1);
-        let prefills = server.starts_with('p');
+        self.active.insert(id.clone(), (attempt, server.clone(), self.now));
+        let (now, tokens) = (self.now, self.arrivals[&id].1);
+        let is_prefill = server.starts_with('p');
         let Some(server) = self.servers.get_mut(&server) else { return };
-        if prefills {
-            server.until = server.until.max(now) + READ_FIXED + tokens * SEC / READS_PER_S;
-            let until = server.until;
-            self.plan(until, Due::Read(id.clone(), attempt));
-        } else if let Some(slot) = server.slots.iter_mut().min() {
-            let begins = (*slot).max(now) + FIRST;
+        if is_prefill {
+            server.prefill_busy_until =
+                server.prefill_busy_until.max(now) + PREFILL_OVERHEAD + tokens * SEC / PREFILL_TOKENS_PER_S;
+            let until = server.prefill_busy_until;
+            self.schedule_at(until, ScheduledEvent::PrefillEnds(id.clone(), attempt));
+        } else if let Some(slot) = server.slots_free_at.iter_mut().min() {
+            let starts_at = (*slot).max(now) + FIRST_TOKEN_DELAY;
             // Who is given up before it begins leaves its place.
-            if begins < stop_at {
-                *slot = begins + STREAMS;
-                self.plan(begins, Due::Begins(id.clone(), attempt));
-                self.plan(begins + STREAMS, Due::Ends(id.clone(), attempt));
+            if starts_at < stop_at {
+                *slot = starts_at + STREAM_DURATION;
+                self.schedule_at(starts_at, ScheduledEvent::AnswerStarts(id.clone(), attempt));
+                self.schedule_at(
+                    starts_at + STREAM_DURATION,
+                    ScheduledEvent::AnswerEnds(id.clone(), attempt),
+                );
             }
         }
-        self.plan(stop_at, Due::GivenUp(id, attempt));
+        self.schedule_at(stop_at, ScheduledEvent::AttemptTimesOut(id, attempt));
     }
 
-    fn feed(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         let mut out = Vec::new();
         self.router.handle(self.now, event, &mut out);
         for action in out {
             match action {
-                Action::Send { id, server, stop_at, .. } => self.send(id, server, stop_at),
-                Action::SetTimer { delay, token } => self.plan(self.now + delay, Due::Bell(token)),
-                Action::Refuse { id, .. } => drop(self.ends.insert(id, End::Refused)),
-                Action::Fail { id } => drop(self.ends.insert(id, End::Failed)),
-                Action::Cancel { id, attempt } => self.ended(id, attempt, Outcome::Cancelled),
+                Action::Send { id, server, stop_at, .. } => self.start_attempt(id, server, stop_at),
+                Action::SetTimer { delay, token } => {
+                    self.schedule_at(self.now + delay, ScheduledEvent::TimerFires(token))
+                }
+                Action::Refuse { id, .. } => drop(self.request_ends.insert(id, RequestEnd::Refused)),
+                Action::Fail { id } => drop(self.request_ends.insert(id, RequestEnd::Failed)),
+                Action::Cancel { id, attempt } => self.end_attempt(id, attempt, Outcome::Cancelled),
                 Action::Log(line) => self.log.push(line),
                 _ => {}
             }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -34,59 +34,59 @@
 }
 
 /// A router and the clock that drives it.
-pub struct Bench {
+pub struct RouterHarness {
     pub router: Router,
     pub now: Micros,
     /// The bell that it asked for last.
-    pub token: u64,
+    pub timer_token: u64,
     /// The class of requests that name none.
     class: Arc<RequestClass>,
 }
 
 /// The same settings with so many attempts for each request.
-pub fn attempts(max_attempts: u32, mut settings: Settings) -> Settings {
+pub fn with_max_attempts(max_attempts: u32, mut settings: Settings) -> Settings {
     for class in &mut settings.classes {
         Arc::make_mut(class).max_attempts = max_attempts;
     }
     settings
 }
 
-impl Bench {
+impl RouterHarness {
     /// `fleet` holds names and kinds: 0 reads, 1 writes, 2 does both.
     pub fn new(settings: Settings, fleet: &[(&str, usize)]) -> Self {
-        let mut bench = Bench::seeded(settings, 7);
-        bench.list(ListUpdateKind::StaleCopy, fleet.iter().map(|(n, k)| entry(n, *k)).collect());
-        bench
+        let mut harness = RouterHarness::with_seed(settings, 7);
+        harness.update_servers(ListUpdateKind::StaleCopy, fleet.iter().map(|(n, k)| entry(n, *k)).collect());
+        harness
     }
 
     /// A router with a seed of its own that knows no server yet.
-    pub fn seeded(settings: Settings, seed: u64) -> Self {
+    pub fn with_seed(settings: Settings, seed: u64) -> Self {
         let class = settings.classes[0].clone();
-        Bench { router: Router::new(settings, seed), now: 100 * SEC, token: 0, class }
+        RouterHarness { router: Router::new(settings, seed), now: 100 * SEC, timer_token: 0, class }
     }
 
-    pub fn step(&mut self, event: Event) -> Vec<Action> {
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.router.handle(self.now, event, &mut out);
         for action in &out {
             if let Action::SetTimer { token, .. } = action {
-                self.token = *token;
+                self.timer_token = *token;
             }
         }
         out
     }
 
-    pub fn list(&mut self, form: ListUpdateKind, entries: Vec<ServerEntry>) -> Vec<Action> {
-        self.step(Event::Members { form, entries })
+    pub fn update_servers(&mut self, form: ListUpdateKind, entries: Vec<ServerEntry>) -> Vec<Action> {
+        self.handle(Event::Members { form, entries })
     }
 
-    pub fn ask(&mut self, query: Query) -> Vec<Action> {
+    pub fn submit(&mut self, query: Query) -> Vec<Action> {
         let class = if query.class == Arc::default() { self.class.clone() } else { query.class };
-        self.step(Event::Query(Query { class, ..query }))
+        self.handle(Event::Query(Query { class, ..query }))
     }
 
-    pub fn end(&mut self, id: &str, attempt: u32, server: &str, outcome: Outcome) -> Vec<Action> {
-        self.step(Event::AttemptEnded {
+    pub fn end_attempt(&mut self, id: &str, attempt: u32, server: &str, outcome: Outcome) -> Vec<Action> {
+        self.handle(Event::AttemptEnded {
             id: id.into(),
             attempt,
             server: server.into(),
@@ -98,16 +98,16 @@
         })
     }
 
-    pub fn begin(&mut self, id: &str, attempt: u32) -> Vec<Action> {
-        self.step(Event::AnswerStarted { id: id.into(), attempt, elapsed: 50 * MS })
+    pub fn start_answer(&mut self, id: &str, attempt: u32) -> Vec<Action> {
+        self.handle(Event::AnswerStarted { id: id.into(), attempt, elapsed: 50 * MS })
     }
 
     /// Rings the sweep's bell as often as `span` holds it.
-    pub fn wait(&mut self, span: Micros) -> Vec<Action> {
+    pub fn advance(&mut self, span: Micros) -> Vec<Action> {
         let (mut all, end) = (Vec::new(), self.now + span);
         while self.now < end {
             self.now += 10 * MS;
-            all.extend(self.step(Event::TimerFired { token: self.token }));
+            all.extend(self.handle(Event::TimerFired { token: self.timer_token }));
         }
         all
     }
@@ -122,14 +122,14 @@
     actions.iter().filter_map(pair).collect()
 }
 
-pub fn declined(actions: &[Action], id: &str) -> bool {
+pub fn is_refused(actions: &[Action], id: &str) -> bool {
     actions.iter().any(|a| matches!(a, Action::Refuse { id: i, .. } if &**i == id))
 }
 
-pub fn failed(actions: &[Action], id: &str) -> bool {
+pub fn is_failed(actions: &[Action], id: &str) -> bool {
     actions.iter().any(|a| matches!(a, Action::Fail { id: i } if &**i == id))
 }
 
-pub fn dropped(actions: &[Action], id: &str) -> bool {
+pub fn releases_cache(actions: &[Action], id: &str) -> bool {
     actions.iter().any(|a| matches!(a, Action::ReleaseCache { id: i } if &**i == id))
 }
