--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -5,19 +5,19 @@
 use frosttrail::*;
 use support::{query, MS, SEC};
 
-fn account(effect: Effect) -> ExecutionRecord {
+fn execution_record(effect: Effect) -> ExecutionRecord {
     let class = std::sync::Arc::new(RequestClass { effect, ..RequestClass::example() });
     ExecutionRecord::new(&Query { class, ..query("q", 100) })
 }
 
 #[test]
-fn a_request_is_refused_at_the_door_once_its_decision_would_eat_a_quarter_of_its_time() {
+fn a_request_is_refused_on_arrival_when_its_expected_wait_exceeds_a_quarter_of_its_budget() {
     assert!(admits(0, 0) && admits(50 * MS, 0) && admits(250 * MS, SEC));
     assert!(!admits(251 * MS, SEC) && !admits(51 * MS, 0));
 }
 
 #[test]
-fn those_that_are_refused_together_do_not_come_back_together() {
+fn retry_after_differs_between_requests_refused_together() {
     let times: std::collections::BTreeSet<Micros> =
         (0..50).map(|n| retry_after(SEC, &query(&format!("q{n}"), 100))).collect();
     assert!(times.len() > 45 && times.iter().all(|at| (SEC / 2..=SEC).contains(at)));
@@ -25,13 +25,13 @@
 }
 
 #[test]
-fn an_answer_and_a_release_come_within_their_times() {
+fn answer_and_release_timeouts_stay_within_their_limits() {
     assert_eq!((answer_timeout(2 * SEC), answer_timeout(0)), (2 * SEC, 50 * MS));
     assert!(release_timeout(SEC) < SEC && release_timeout(SEC) > SEC * 3 / 4);
 }
 
 #[test]
-fn what_may_have_run_is_refused_only_where_a_repeat_is_harmless() {
+fn a_request_that_may_have_run_is_refused_only_where_a_repeat_is_harmless() {
     let keyed = |scope| Effect::Keyed { scope, window: SEC };
     for (effect, harmless) in [
         (Effect::Safe, true),
@@ -39,17 +39,17 @@
         (keyed(DedupScope::Zone), false),
         (Effect::Unsafe, false),
     ] {
-        let mut run = account(effect);
-        assert!(run.may_be_refused(), "nothing was sent");
-        run.sent(false);
-        run.ended();
-        assert!(run.may_be_refused(), "a prefill takes no effect");
-        run.sent(true);
-        assert_eq!(run.may_be_refused(), harmless, "it is out");
-        run.ended();
-        assert_eq!(run.may_be_refused(), harmless, "it may have run");
-        run.sent(false);
-        run.ended();
-        assert_eq!(run.may_be_refused(), harmless, "it may have run before");
+        let mut record = execution_record(effect);
+        assert!(record.may_be_refused(), "nothing was sent");
+        record.sent(false);
+        record.ended();
+        assert!(record.may_be_refused(), "a prefill takes no effect");
+        record.sent(true);
+        assert_eq!(record.may_be_refused(), harmless, "it is out");
+        record.ended();
+        assert_eq!(record.may_be_refused(), harmless, "it may have run");
+        record.sent(false);
+        record.ended();
+        assert_eq!(record.may_be_refused(), harmless, "it may have run before");
     }
 }
--- a/tests/cost.rs
+++ b/tests/cost.rs
@@ -6,20 +6,20 @@
 use frosttrail::*;
 use support::*;
 
-const SIZES: [usize; 4] = [100, 1_000, 3_200, 11_000];
+const FLEET_SIZES: [usize; 4] = [100, 1_000, 3_200, 11_000];
 /// Beyond one pass over a role for the request itself, an event has so many looks.
-const FIXED: u64 = 60_000;
+const FIXED_SCANS: u64 = 60_000;
 
 /// What the events of a run have cost.
 struct Cost {
-    worst: u64,
-    events: u64,
-    all: u64,
+    max_scans: u64,
+    event_count: u64,
+    total_scans: u64,
 }
 
 impl Cost {
-    fn mean(&self) -> f64 {
-        self.all as f64 / self.events as f64
+    fn mean_scans(&self) -> f64 {
+        self.total_scans as f64 / self.event_count as f64
     }
 }
 
@@ -30,34 +30,36 @@
 }
 
 /// Requests at 100 a second, a part of which is answered late, while a quarter of the servers restarts.
-fn play(size: usize, conductors: u32, may_probe: bool) -> Cost {
+fn simulate(size: usize, conductors: u32, may_probe: bool) -> Cost {
     let settings = Settings { conductors, may_probe, ..Settings::example() };
     let (mut harness, servers) = (RouterHarness::with_seed(settings, 7), fleet(size));
     harness.update_servers(ListUpdateKind::Full, servers.clone());
-    let mut cost = Cost { worst: 0, events: 0, all: 0 };
-    let mut counted = |harness: &mut RouterHarness,
-                       step: &mut dyn FnMut(&mut RouterHarness) -> Vec<Action>| {
-        let before = harness.router.scan_count();
-        let out = step(harness);
-        let looks = harness.router.scan_count() - before;
-        (cost.worst, cost.events, cost.all) = (cost.worst.max(looks), cost.events + 1, cost.all + looks);
-        out
-    };
-    let mut lost: Vec<(usize, String, String)> = Vec::new();
+    let mut cost = Cost { max_scans: 0, event_count: 0, total_scans: 0 };
+    let mut count_scans =
+        |harness: &mut RouterHarness, step: &mut dyn FnMut(&mut RouterHarness) -> Vec<Action>| {
+            let before = harness.router.scan_count();
+            let out = step(harness);
+            let scans = harness.router.scan_count() - before;
+            (cost.max_scans, cost.event_count, cost.total_scans) =
+                (cost.max_scans.max(scans), cost.event_count + 1, cost.total_scans + scans);
+            out
+        };
+    let mut unanswered: Vec<(usize, String, String)> = Vec::new();
     for nth in 0..1_000 {
         if nth % 20 == 0 {
-            let part = size / 200;
-            let restarted = (0..part).map(|n| {
-                let server = (nth * part / 20 + n) % size;
+            let restart_count = size / 200;
+            let restarted = (0..restart_count).map(|n| {
+                let server = (nth * restart_count / 20 + n) % size;
                 ServerEntry { started: harness.now, ..servers[server].clone() }
             });
             let entries: Vec<ServerEntry> = restarted.collect();
-            counted(&mut harness, &mut |harness| {
+            count_scans(&mut harness, &mut |harness| {
                 harness.update_servers(ListUpdateKind::Changes, entries.clone())
             });
         }
-        let mut due = counted(&mut harness, &mut |harness| harness.submit(query(&format!("q{nth}"), 900)));
-        due.extend(counted(&mut harness, &mut |harness| {
+        let mut due =
+            count_scans(&mut harness, &mut |harness| harness.submit(query(&format!("q{nth}"), 900)));
+        due.extend(count_scans(&mut harness, &mut |harness| {
             harness.now += 10 * MS;
             harness.handle(Event::TimerFired { token: harness.timer_token })
         }));
@@ -68,24 +70,24 @@
         for server in probes.collect::<Vec<_>>() {
             let load = Some(LoadReport { outstanding: Some(1.0), ..LoadReport::default() });
             let probed = Event::ProbeEnded { server, outcome: Outcome::Served, load };
-            due.extend(counted(&mut harness, &mut |harness| harness.handle(probed.clone())));
+            due.extend(count_scans(&mut harness, &mut |harness| harness.handle(probed.clone())));
         }
         // Every tenth read is not heard of, and given up after a second.
         if nth % 10 == 0 {
-            lost.extend(sends(&due).into_iter().map(|(id, server)| (nth + 100, id, server)));
+            unanswered.extend(sends(&due).into_iter().map(|(id, server)| (nth + 100, id, server)));
             due.clear();
         }
-        let (given_up, out) = lost.into_iter().partition::<Vec<_>, _>(|(at, ..)| *at <= nth);
-        lost = out;
-        for (_, id, server) in given_up {
-            counted(&mut harness, &mut |harness| harness.end_attempt(&id, 0, &server, Outcome::NoAnswer));
+        let (timed_out, out) = unanswered.into_iter().partition::<Vec<_>, _>(|(at, ..)| *at <= nth);
+        unanswered = out;
+        for (_, id, server) in timed_out {
+            count_scans(&mut harness, &mut |harness| harness.end_attempt(&id, 0, &server, Outcome::NoAnswer));
         }
         for (id, server) in sends(&due) {
-            let first = counted(&mut harness, &mut |harness| {
+            let decode_sends = count_scans(&mut harness, &mut |harness| {
                 harness.end_attempt(&id, 0, &server, Outcome::PrefillDone)
             });
-            for (id, _) in sends(&first).iter().filter(|sent| sent.0 == id) {
-                counted(&mut harness, &mut |harness| harness.start_answer(id, 1));
+            for (id, _) in sends(&decode_sends).iter().filter(|sent| sent.0 == id) {
+                count_scans(&mut harness, &mut |harness| harness.start_answer(id, 1));
             }
         }
     }
@@ -93,38 +95,38 @@
 }
 
 #[test]
-fn an_event_costs_no_multiple_of_servers_and_held_requests() {
+fn scans_per_event_do_not_grow_with_the_number_of_queued_requests() {
     for (conductors, may_probe) in [(8, false), (48, false), (300, true)] {
-        let costs = SIZES.map(|size| (size, play(size, conductors, may_probe)));
+        let costs = FLEET_SIZES.map(|size| (size, simulate(size, conductors, may_probe)));
         for (size, cost) in &costs {
-            let most = FIXED + 4 * *size as u64;
-            assert!(cost.worst <= most, "{size} servers, {conductors}: {} of {most}", cost.worst);
+            let limit = FIXED_SCANS + 4 * *size as u64;
+            assert!(cost.max_scans <= limit, "{size} servers, {conductors}: {} of {limit}", cost.max_scans);
         }
         for (size, cost) in &costs {
-            let mean = cost.mean();
+            let mean_scans = cost.mean_scans();
             // The small fleets' parts can't take what is asked of them: requests are held.
-            let most = if *size <= SIZES[1] { 10_000.0 } else { *size as f64 / 2.0 };
-            assert!(mean <= most, "{size} servers, {conductors}: {mean} looks an event");
+            let limit = if *size <= FLEET_SIZES[1] { 10_000.0 } else { *size as f64 / 2.0 };
+            assert!(mean_scans <= limit, "{size} servers, {conductors}: {mean_scans} scans an event");
         }
     }
 }
 
 #[test]
-fn a_thousand_held_requests_before_servers_that_all_start_cost_no_more() {
-    for size in SIZES {
+fn a_thousand_queued_requests_cost_no_more_scans_when_all_servers_are_in_slow_start() {
+    for size in FLEET_SIZES {
         let settings = Settings { conductors: 8, ..Settings::example() };
         let mut harness = RouterHarness::with_seed(settings, 7);
         let started = harness.now;
-        let cold = fleet(size).into_iter().map(|server| ServerEntry { started, ..server }).collect();
-        harness.update_servers(ListUpdateKind::Full, cold);
+        let in_slow_start = fleet(size).into_iter().map(|server| ServerEntry { started, ..server }).collect();
+        harness.update_servers(ListUpdateKind::Full, in_slow_start);
         for nth in 0..1_000 {
             harness.submit(query(&format!("q{nth}"), 900));
         }
         for _ in 0..20 {
             let before = harness.router.scan_count();
             harness.advance(10 * MS);
-            let (looks, most) = (harness.router.scan_count() - before, FIXED + 4 * size as u64);
-            assert!(looks <= most, "{size} servers: {looks} of {most}");
+            let (scans, limit) = (harness.router.scan_count() - before, FIXED_SCANS + 4 * size as u64);
+            assert!(scans <= limit, "{size} servers: {scans} of {limit}");
         }
     }
 }
--- a/tests/facade.rs
+++ b/tests/facade.rs
@@ -9,7 +9,7 @@
 
 const NOW: Micros = 100 * SEC;
 
-fn of_effect(effect: Effect, query: Query) -> Query {
+fn with_effect(effect: Effect, query: Query) -> Query {
     let class = Arc::new(RequestClass { effect, ..RequestClass::example() });
     Query { class, ..query }
 }
@@ -25,39 +25,45 @@
 }
 
 /// The verdicts' kinds; a send by its server.
-fn kinds(verdicts: &Decisions) -> Vec<String> {
-    let kind = |(_, verdict): &(Id, Decision)| match verdict {
+fn decision_names(decisions: &Decisions) -> Vec<String> {
+    let name = |(_, decision): &(Id, Decision)| match decision {
         Decision::Send { server, .. } => server.to_string(),
         other => format!("{other:?}").split(' ').next().unwrap_or_default().to_string(),
     };
-    verdicts.requests.iter().map(kind).collect()
+    decisions.requests.iter().map(name).collect()
 }
 
 #[test]
-fn a_request_goes_its_way_by_reports() {
+fn reports_lead_a_request_through_prefill_and_decode() {
     let (mut facade, id) = (facade(), Id::from("a"));
-    assert_eq!(kinds(&facade.submit(NOW, of_effect(Effect::Unsafe, query("a", 1_000))).unwrap()), ["reader"]);
-    assert!(facade.submit(NOW, of_effect(Effect::Unsafe, query("a", 1_000))).is_none(), "the id is in use");
-    assert_eq!(kinds(&facade.report(NOW + 30 * MS, &id, ended(Outcome::PrefillDone))), ["writer"]);
-    assert!(kinds(&facade.report(NOW + 50 * MS, &id, Report::Started)).is_empty());
-    assert!(kinds(&facade.report(NOW + 90 * MS, &id, ended(Outcome::Served))).is_empty());
-    assert!(kinds(&facade.report(NOW + 90 * MS, &id, Report::Closed)).is_empty(), "nothing is left to do");
+    assert_eq!(
+        decision_names(&facade.submit(NOW, with_effect(Effect::Unsafe, query("a", 1_000))).unwrap()),
+        ["reader"]
+    );
+    assert!(facade.submit(NOW, with_effect(Effect::Unsafe, query("a", 1_000))).is_none(), "the id is in use");
+    assert_eq!(decision_names(&facade.report(NOW + 30 * MS, &id, ended(Outcome::PrefillDone))), ["writer"]);
+    assert!(decision_names(&facade.report(NOW + 50 * MS, &id, Report::Started)).is_empty());
+    assert!(decision_names(&facade.report(NOW + 90 * MS, &id, ended(Outcome::Served))).is_empty());
+    assert!(
+        decision_names(&facade.report(NOW + 90 * MS, &id, Report::Closed)).is_empty(),
+        "nothing is left to do"
+    );
     assert!(
-        facade.submit(NOW + 91 * MS, of_effect(Effect::Unsafe, query("a", 1_000))).is_some(),
+        facade.submit(NOW + 91 * MS, with_effect(Effect::Unsafe, query("a", 1_000))).is_some(),
         "the id is free again"
     );
 }
 
 #[test]
-fn leaving_calls_off_what_is_out_and_lets_go() {
+fn a_client_that_leaves_cancels_its_attempt_and_releases_the_kv_cache() {
     let (mut facade, id) = (facade(), Id::from("a"));
-    facade.submit(NOW, of_effect(Effect::Unsafe, query("a", 1_000)));
+    facade.submit(NOW, with_effect(Effect::Unsafe, query("a", 1_000)));
     facade.report(NOW + 30 * MS, &id, ended(Outcome::PrefillDone));
-    assert_eq!(kinds(&facade.report(NOW + 40 * MS, &id, Report::Closed)), ["Cancel", "Release"]);
+    assert_eq!(decision_names(&facade.report(NOW + 40 * MS, &id, Report::Closed)), ["Cancel", "Release"]);
 }
 
 #[test]
-fn reports_on_what_is_not_out_change_nothing() {
+fn reports_on_unknown_requests_change_nothing() {
     let (mut facade, id) = (facade(), Id::from("a"));
     assert_eq!(facade.report(NOW, &id, Report::Started), Decisions::default());
     assert_eq!(facade.report(NOW, &id, ended(Outcome::Served)), Decisions::default());
@@ -65,47 +71,50 @@
 }
 
 #[test]
-fn closing_fails_what_may_have_run_and_refuses_the_rest() {
+fn closing_fails_requests_that_may_have_run_and_refuses_the_rest() {
     let mut facade = facade();
     for id in ["reads", "writes", "streams"] {
-        facade.submit(NOW, of_effect(Effect::Unsafe, query(id, 1_000)));
+        facade.submit(NOW, with_effect(Effect::Unsafe, query(id, 1_000)));
         if id != "reads" {
             facade.report(NOW + 10 * MS, &id.into(), ended(Outcome::PrefillDone));
         }
     }
     facade.report(NOW + 20 * MS, &"streams".into(), Report::Started);
-    let verdicts = facade.close(NOW + 30 * MS);
-    let of = |id: &str| {
-        let own = verdicts.requests.iter().filter(|(of, _)| &**of == id).cloned().collect();
-        kinds(&Decisions { requests: own, ..Decisions::default() })
+    let decisions = facade.close(NOW + 30 * MS);
+    let names_of = |id: &str| {
+        let own = decisions.requests.iter().filter(|(request, _)| &**request == id).cloned().collect();
+        decision_names(&Decisions { requests: own, ..Decisions::default() })
     };
-    assert_eq!((of("reads"), of("writes")), (strings(&["Refuse", "Cancel"]), strings(&["Fail", "Cancel"])));
-    assert!(of("streams").is_empty());
+    assert_eq!(
+        (names_of("reads"), names_of("writes")),
+        (to_strings(&["Refuse", "Cancel"]), to_strings(&["Fail", "Cancel"]))
+    );
+    assert!(names_of("streams").is_empty());
 }
 
-fn strings(words: &[&str]) -> Vec<String> {
+fn to_strings(words: &[&str]) -> Vec<String> {
     words.iter().map(|w| w.to_string()).collect()
 }
 
 #[test]
-fn ticks_come_due_and_time_alone_ends_what_waits() {
+fn timers_alone_end_a_request_that_waits() {
     let mut facade = Facade::new(Settings::example(), 7);
     facade.submit(NOW, query("a", 1_000));
-    let (mut at, mut last) = (NOW, Vec::new());
-    while last.is_empty() && at < NOW + 10 * SEC {
+    let (mut now, mut names) = (NOW, Vec::new());
+    while names.is_empty() && now < NOW + 10 * SEC {
         let due = facade.next_timer_at().expect("a timer runs for as long as the facade is used");
-        assert!(due > at, "each tick sets the next one later");
-        at = due;
-        last = kinds(&facade.fire_timers(at));
+        assert!(due > now, "each tick sets the next one later");
+        now = due;
+        names = decision_names(&facade.fire_timers(now));
     }
-    assert_eq!(last, ["Refuse"], "no server is known");
-    assert!(at <= NOW + 5 * SEC, "before its client gives up");
+    assert_eq!(names, ["Refuse"], "no server is known");
+    assert!(now <= NOW + 5 * SEC, "before its client gives up");
 }
 
 #[test]
-fn a_long_day_of_new_ids_keeps_no_more_than_a_short_one() {
+fn entries_do_not_accumulate_over_a_long_run_of_new_ids() {
     let mut facade = Facade::new(Settings::example(), 7);
-    let mut most = [0, 0];
+    let mut max_entries = [0, 0];
     for n in 0..400_u64 {
         let now = NOW + n * SEC;
         // All servers are replaced; every client, session and request is new, and some never end well.
@@ -121,8 +130,8 @@
         for ms in (100..1_000).step_by(10) {
             facade.fire_timers(now + ms * MS);
         }
-        let half = usize::from(n >= 200);
-        most[half] = facade.entry_count().max(most[half]);
+        let half_index = usize::from(n >= 200);
+        max_entries[half_index] = facade.entry_count().max(max_entries[half_index]);
     }
-    assert!(most[1] <= most[0] && most[0] < 200, "{most:?}");
+    assert!(max_entries[1] <= max_entries[0] && max_entries[0] < 200, "{max_entries:?}");
 }
--- a/tests/floors.rs
+++ b/tests/floors.rs
@@ -11,9 +11,9 @@
 use support::*;
 
 /// Servers of either kind, which are in balance: each pair answers 8 requests of mean length a second.
-const PAIRS: usize = 2;
-const PER_S: f64 = 8.0 * PAIRS as f64;
-const TIME: Micros = 60 * SEC;
+const SERVER_PAIRS: usize = 2;
+const CAPACITY_PER_S: f64 = 8.0 * SERVER_PAIRS as f64;
+const LOAD_DURATION: Micros = 60 * SEC;
 
 /// Two classes of either effect, three tenants within their quotas.
 fn settings() -> Settings {
@@ -24,9 +24,9 @@
 }
 
 /// A small generator, so that a failure can be played again.
-struct Draws(u64);
+struct Random(u64);
 
-impl Draws {
+impl Random {
     fn next(&mut self) -> f64 {
         self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (self.0 >> 11) as f64 / (1u64 << 53) as f64
@@ -35,17 +35,22 @@
 
 /// Requests that come evenly but for chance, at so many times what the servers can do. Lengths are spread
 /// over a factor of 20, with a mean at which reading and answering are in balance.
-fn load(seed: u64, times: f64, budget: Micros, classes: &[Arc<RequestClass>]) -> Vec<(Micros, Query)> {
-    let (mut draws, mut at, mut queries) = (Draws(seed), 0.0, Vec::new());
-    while at < TIME as f64 {
-        at += -(1.0 - draws.next()).ln() / (PER_S * times) * 1e6;
+fn generate_load(
+    seed: u64,
+    load_factor: f64,
+    budget: Micros,
+    classes: &[Arc<RequestClass>],
+) -> Vec<(Micros, Query)> {
+    let (mut random, mut at, mut queries) = (Random(seed), 0.0, Vec::new());
+    while at < LOAD_DURATION as f64 {
+        at += -(1.0 - random.next()).ln() / (CAPACITY_PER_S * load_factor) * 1e6;
         let n = queries.len();
-        let tokens = (300.0 * 20f64.powf(draws.next())) as u64;
-        let session = format!("s{}", (draws.next() * 300.0) as u64);
+        let tokens = (300.0 * 20f64.powf(random.next())) as u64;
+        let session = format!("s{}", (random.next() * 300.0) as u64);
         let query = Query {
             session: session.as_str().into(),
-            class: classes[(draws.next() * 2.0) as usize].clone(),
-            tenant: Some((draws.next() * 3.0) as usize),
+            class: classes[(random.next() * 2.0) as usize].clone(),
+            tenant: Some((random.next() * 3.0) as usize),
             budget,
             ..query(&format!("q{n}"), tokens)
         };
@@ -54,17 +59,17 @@
     queries
 }
 
-fn play(seed: u64, times: f64, budget: Micros) -> (Vec<(Micros, Query)>, Fleet) {
-    let queries = load(seed, times, budget, &settings().classes);
-    let mut fleet = Fleet::new(settings(), seed, PAIRS, PAIRS);
+fn simulate(seed: u64, load_factor: f64, budget: Micros) -> (Vec<(Micros, Query)>, Fleet) {
+    let queries = generate_load(seed, load_factor, budget, &settings().classes);
+    let mut fleet = Fleet::new(settings(), seed, SERVER_PAIRS, SERVER_PAIRS);
     for (at, query) in &queries {
         fleet.submit_at(*at, query.clone());
     }
-    fleet.run_until(TIME + 20 * SEC);
+    fleet.run_until(LOAD_DURATION + 20 * SEC);
     (queries, fleet)
 }
 
-fn share<'a>(fleet: &Fleet, queries: impl Iterator<Item = &'a (Micros, Query)>) -> f64 {
+fn served_share<'a>(fleet: &Fleet, queries: impl Iterator<Item = &'a (Micros, Query)>) -> f64 {
     let (mut all, mut served) = (0.0, 0.0);
     for (_, query) in queries {
         all += 1.0;
@@ -75,47 +80,48 @@
 }
 
 #[test]
-fn under_too_much_load_no_class_tenant_length_or_third_is_starved() {
-    for (seed, times) in [(1, 1.5), (2, 1.5), (3, 2.0), (4, 2.0), (5, 2.0)] {
-        let (mut queries, fleet) = play(seed, times, 5 * SEC);
-        let name = format!("seed {seed}, {times} times");
-        let all = share(&fleet, queries.iter());
+fn under_overload_no_class_tenant_prompt_length_or_third_of_the_run_is_starved() {
+    for (seed, load_factor) in [(1, 1.5), (2, 1.5), (3, 2.0), (4, 2.0), (5, 2.0)] {
+        let (mut queries, fleet) = simulate(seed, load_factor, 5 * SEC);
+        let name = format!("seed {seed}, {load_factor} times");
+        let all = served_share(&fleet, queries.iter());
         // Half of what the servers can do at least.
-        assert!(all >= 0.5 / times, "{name}: {all:.2} served");
+        assert!(all >= 0.5 / load_factor, "{name}: {all:.2} served");
         for class in settings().classes {
-            let of = share(&fleet, queries.iter().filter(|q| q.1.class == class));
+            let share = served_share(&fleet, queries.iter().filter(|q| q.1.class == class));
             let class = &class.name;
-            assert!(of >= all * 0.5, "{name}: class {class}: {of:.2} of {all:.2}");
+            assert!(share >= all * 0.5, "{name}: class {class}: {share:.2} of {all:.2}");
         }
         for tenant in 0..3 {
-            let of = share(&fleet, queries.iter().filter(|q| q.1.tenant == Some(tenant)));
-            assert!(of >= all * 0.5, "{name}: tenant {tenant}: {of:.2} of {all:.2}");
+            let share = served_share(&fleet, queries.iter().filter(|q| q.1.tenant == Some(tenant)));
+            assert!(share >= all * 0.5, "{name}: tenant {tenant}: {share:.2} of {all:.2}");
         }
         for third in 0..3 {
-            let of = share(&fleet, queries.iter().filter(|q| q.0 / (TIME / 3) == third));
-            assert!(of >= all * 0.5, "{name}: third {third}: {of:.2} of {all:.2}");
+            let share = served_share(&fleet, queries.iter().filter(|q| q.0 / (LOAD_DURATION / 3) == third));
+            assert!(share >= all * 0.5, "{name}: third {third}: {share:.2} of {all:.2}");
         }
         queries.sort_by_key(|q| std::cmp::Reverse(q.1.prompt_tokens));
         let tenth = queries.len() / 10;
-        for (longest, of) in [("tenth", &queries[..tenth]), ("next fifth", &queries[tenth..3 * tenth])] {
-            let of = share(&fleet, of.iter());
+        for (longest, part) in [("tenth", &queries[..tenth]), ("next fifth", &queries[tenth..3 * tenth])] {
+            let share = served_share(&fleet, part.iter());
             // Shortest first leaves them less, but a third of what the others have.
-            assert!(of >= all / 3.0, "{name}: the longest prompts' {longest}: {of:.2} of {all:.2}");
+            assert!(share >= all / 3.0, "{name}: the longest prompts' {longest}: {share:.2} of {all:.2}");
         }
     }
 }
 
 #[test]
-fn what_is_little_over_capacity_is_refused_to_all_sessions_alike() {
+fn slight_overload_is_refused_to_all_sessions_alike() {
     for seed in [6, 7, 8] {
-        let (queries, fleet) = play(seed, 1.1, 5 * SEC);
+        let (queries, fleet) = simulate(seed, 1.1, 5 * SEC);
         let mut sessions: BTreeMap<&Id, (usize, usize)> = BTreeMap::new();
         for (_, query) in &queries {
-            let of = sessions.entry(&query.session).or_default();
-            of.0 += 1;
-            of.1 += usize::from(!matches!(fleet.request_ends.get(&query.id), Some(RequestEnd::Served(_))));
+            let counts = sessions.entry(&query.session).or_default();
+            counts.0 += 1;
+            counts.1 +=
+                usize::from(!matches!(fleet.request_ends.get(&query.id), Some(RequestEnd::Served(_))));
         }
-        let refused = 1.0 - share(&fleet, queries.iter());
+        let refused = 1.0 - served_share(&fleet, queries.iter());
         let shut_out = sessions.values().filter(|s| s.0 > 1 && s.0 == s.1).count() as f64;
         let chance: f64 = sessions.values().filter(|s| s.0 > 1).map(|s| refused.powi(s.0 as i32)).sum();
         let over = (shut_out - chance) / sessions.len() as f64;
@@ -126,36 +132,36 @@
 /// Clients wait for less than the class's aim, and half of the servers go: what can't be answered in that
 /// time is refused while it is held, rather than sent, cut short and failed as what may have run.
 #[test]
-fn short_patience_and_half_of_the_capacity_make_refusals_not_failures() {
+fn short_budgets_and_the_loss_of_half_the_servers_cause_refusals_not_failures() {
     for seed in [11, 12, 13] {
         let mut settings = settings();
         settings.classes.iter_mut().for_each(|class| Arc::make_mut(class).first_token_target = 4 * SEC);
         let budget = 1_200 * MS;
-        let queries = load(seed, 0.9, budget, &settings.classes);
-        let mut fleet = Fleet::new(settings, seed, PAIRS, PAIRS);
+        let queries = generate_load(seed, 0.9, budget, &settings.classes);
+        let mut fleet = Fleet::new(settings, seed, SERVER_PAIRS, SERVER_PAIRS);
         for (at, query) in &queries {
             fleet.submit_at(*at, query.clone());
         }
-        fleet.run_until(TIME / 3);
+        fleet.run_until(LOAD_DURATION / 3);
         let gone = |name: &str, kind| ServerEntry { health: Health::Gone, ..entry(name, kind) };
         fleet.update_servers(ListUpdateKind::Changes, vec![gone("p1", 0), gone("d1", 1)]);
-        fleet.run_until(TIME + 20 * SEC);
-        let of = |what: RequestEnd| fleet.request_ends.values().filter(|end| **end == what).count();
-        let (failed, refused) = (of(RequestEnd::Failed), of(RequestEnd::Refused));
+        fleet.run_until(LOAD_DURATION + 20 * SEC);
+        let count = |wanted: RequestEnd| fleet.request_ends.values().filter(|end| **end == wanted).count();
+        let (failed, refused) = (count(RequestEnd::Failed), count(RequestEnd::Refused));
         assert!(failed * 25 <= refused, "seed {seed}: {failed} failed, {refused} refused");
-        assert!(share(&fleet, queries.iter()) >= 0.4, "seed {seed}");
+        assert!(served_share(&fleet, queries.iter()) >= 0.4, "seed {seed}");
         assert_eq!(fleet.request_ends.len(), queries.len(), "each has one answer");
     }
 }
 
-fn opened(actions: &[Action]) -> bool {
+fn opens_breaker(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Log(line) if line.starts_with("open")))
 }
 
 /// A wait that the client's time cut short says nothing of the server; a wait in full does.
 #[test]
-fn an_own_cut_is_no_mark_against_a_server() {
-    for (budget, marks) in [(200 * MS, false), (5 * SEC, true)] {
+fn a_timeout_from_the_clients_budget_does_not_open_the_breaker() {
+    for (budget, opens) in [(200 * MS, false), (5 * SEC, true)] {
         // Enough for one read and its answer, so that each is sent once.
         let mut harness = RouterHarness::new(with_max_attempts(2, settings()), &[("p", 0), ("d", 1)]);
         let mut all = Vec::new();
@@ -166,35 +172,35 @@
             all.extend(harness.end_attempt(&id, 0, "p", Outcome::NoAnswer));
             all.extend(harness.handle(Event::ClientGone { id: id.as_str().into() }));
         }
-        assert_eq!(opened(&all), marks, "{budget} us");
+        assert_eq!(opens_breaker(&all), opens, "{budget} us");
     }
 }
 
 /// Lengths over a factor of 20; a few that are ten times as long; a long tail.
 #[derive(Clone, Copy, Debug)]
-enum Shape {
-    Even,
-    Two,
-    Tail,
+enum LengthDistribution {
+    LogUniform,
+    Bimodal,
+    HeavyTail,
 }
 
-impl Shape {
-    fn draw(self, draws: &mut Draws) -> u64 {
-        let x = draws.next();
+impl LengthDistribution {
+    fn draw(self, random: &mut Random) -> u64 {
+        let x = random.next();
         match self {
-            Shape::Even => (300.0 * 20f64.powf(x)) as u64,
-            Shape::Two if x < 0.85 => 700 + (x * 350.0) as u64,
-            Shape::Two => 8_000 + ((x - 0.85) * 13_000.0) as u64,
-            Shape::Tail => ((600.0 * (1.0 - x).powf(-0.6)) as u64).min(14_000),
+            LengthDistribution::LogUniform => (300.0 * 20f64.powf(x)) as u64,
+            LengthDistribution::Bimodal if x < 0.85 => 700 + (x * 350.0) as u64,
+            LengthDistribution::Bimodal => 8_000 + ((x - 0.85) * 13_000.0) as u64,
+            LengthDistribution::HeavyTail => ((600.0 * (1.0 - x).powf(-0.6)) as u64).min(14_000),
         }
     }
 }
 
 /// Of each class the answered share, and that of its tenth with the longest prompts.
-fn shares_by_class(
-    shape: Shape,
+fn served_shares_by_class(
+    lengths: LengthDistribution,
     [per_ktoken, aim, deadline]: [Micros; 3],
-    times: f64,
+    load_factor: f64,
     seed: u64,
 ) -> Vec<(f64, f64)> {
     let slow = RequestClass {
@@ -212,29 +218,33 @@
     };
     let fragile = RequestClass { name: "fragile".into(), effect: Effect::Unsafe, ..slow.clone() };
     let classes = [slow, fragile, quick].map(Arc::new).to_vec();
-    let (mut draws, mut at, mut queries) = (Draws(seed), 0.0, Vec::new());
-    let mut fleet = Fleet::new(Settings { classes: classes.clone(), ..settings() }, seed, PAIRS, PAIRS);
-    while at < TIME as f64 {
-        at += -(1.0 - draws.next()).ln() / (PER_S * times) * 1e6;
-        let (class, tokens) = (classes[(draws.next() * 3.0) as usize].clone(), shape.draw(&mut draws));
+    let (mut random, mut at, mut queries) = (Random(seed), 0.0, Vec::new());
+    let mut fleet =
+        Fleet::new(Settings { classes: classes.clone(), ..settings() }, seed, SERVER_PAIRS, SERVER_PAIRS);
+    while at < LOAD_DURATION as f64 {
+        at += -(1.0 - random.next()).ln() / (CAPACITY_PER_S * load_factor) * 1e6;
+        let (class, tokens) = (classes[(random.next() * 3.0) as usize].clone(), lengths.draw(&mut random));
         let budget = class.deadline + 2 * per_ktoken * tokens / 1_000;
         let query = Query { class, budget, ..query(&format!("q{}", queries.len()), tokens) };
         fleet.submit_at(at as Micros, query.clone());
         queries.push((at as Micros, query));
     }
-    fleet.run_until(TIME + 30 * SEC);
+    fleet.run_until(LOAD_DURATION + 30 * SEC);
     queries.sort_by_key(|q| std::cmp::Reverse(q.1.prompt_tokens));
-    let of = |class: usize| {
+    let shares_of = |class: usize| {
         let all: Vec<_> = queries.iter().filter(|q| q.1.class == classes[class]).collect();
-        (share(&fleet, all.iter().copied()), share(&fleet, all[..all.len() / 10].iter().copied()))
+        (
+            served_share(&fleet, all.iter().copied()),
+            served_share(&fleet, all[..all.len() / 10].iter().copied()),
+        )
     };
-    (0..3).map(of).collect()
+    (0..3).map(shares_of).collect()
 }
 
 /// Two thirds of its class's answered share on a quiet load, half under too much: in each class, whatever the
 /// lengths and the settings.
 #[test]
-fn the_longest_tenth_of_each_class_gets_its_part_of_the_answers() {
+fn the_longest_tenth_of_each_class_gets_its_share_of_the_answers() {
     let all_times = [
         [40 * MS, 1_500 * MS, 6 * SEC],
         [0, 1_500 * MS, 5 * SEC],
@@ -242,16 +252,20 @@
         [40 * MS, 700 * MS, 1_800 * MS],
         [40 * MS, 3 * SEC, 15 * SEC],
     ];
-    for shape in [Shape::Even, Shape::Two, Shape::Tail] {
+    for lengths in
+        [LengthDistribution::LogUniform, LengthDistribution::Bimodal, LengthDistribution::HeavyTail]
+    {
         for class_times in all_times {
-            for (times, part) in [(0.6, 2.0 / 3.0), (1.5, 0.5), (2.0, 0.5)] {
+            for (load_factor, min_ratio) in [(0.6, 2.0 / 3.0), (1.5, 0.5), (2.0, 0.5)] {
                 for seed in [21, 22, 23] {
                     for (class, (all, longest)) in
-                        shares_by_class(shape, class_times, times, seed).into_iter().enumerate()
+                        served_shares_by_class(lengths, class_times, load_factor, seed)
+                            .into_iter()
+                            .enumerate()
                     {
                         assert!(
-                            longest >= all * part,
-                            "{shape:?}, {class_times:?}, {times} times, seed {seed}, class {class}: \
+                            longest >= all * min_ratio,
+                            "{lengths:?}, {class_times:?}, {load_factor} times, seed {seed}, class {class}: \
                              {longest:.2} of {all:.2}"
                         );
                     }
@@ -264,7 +278,7 @@
 /// On a quiet load, with servers of every role and half of them just started: whatever is drawn by a hash, by
 /// a prefix, a tenant or a class, no set of requests is refused throughout.
 #[test]
-fn on_a_quiet_load_no_session_and_no_set_of_them_is_shut_out() {
+fn under_light_load_no_session_prefix_tenant_or_class_is_shut_out() {
     for (conductors, mixed, cold) in
         [(1, 0, false), (1, 2, true), (4, 2, false), (4, 0, true), (24, 0, false), (24, 2, true)]
     {
@@ -281,24 +295,25 @@
             fleet.update_servers(ListUpdateKind::Changes, more.chain(half).collect());
             // This router's part of a quiet load, and three times as much where there are several: traffic is
             // uneven.
-            let per_s = PER_S * 2.0 * 0.5 / f64::from(conductors) * if conductors > 1 { 3.0 } else { 1.0 };
-            let (mut draws, mut at, mut queries) = (Draws(seed), 0.0, Vec::new());
-            while at < 4.0 * TIME as f64 {
-                at += -(1.0 - draws.next()).ln() / per_s * 1e6;
-                let session = format!("s{}", (draws.next() * 60.0) as u64);
-                let prefix =
-                    (draws.next() < 0.7).then(|| format!("x{}", (draws.next() * 6.0) as u64).as_str().into());
+            let per_s =
+                CAPACITY_PER_S * 2.0 * 0.5 / f64::from(conductors) * if conductors > 1 { 3.0 } else { 1.0 };
+            let (mut random, mut at, mut queries) = (Random(seed), 0.0, Vec::new());
+            while at < 4.0 * LOAD_DURATION as f64 {
+                at += -(1.0 - random.next()).ln() / per_s * 1e6;
+                let session = format!("s{}", (random.next() * 60.0) as u64);
+                let prefix = (random.next() < 0.7)
+                    .then(|| format!("x{}", (random.next() * 6.0) as u64).as_str().into());
                 let query = Query {
                     session: session.as_str().into(),
                     prefix,
-                    class: classes[(draws.next() * 2.0) as usize].clone(),
-                    tenant: Some((draws.next() * 3.0) as usize),
-                    ..query(&format!("q{}", queries.len()), (300.0 * 10f64.powf(draws.next())) as u64)
+                    class: classes[(random.next() * 2.0) as usize].clone(),
+                    tenant: Some((random.next() * 3.0) as usize),
+                    ..query(&format!("q{}", queries.len()), (300.0 * 10f64.powf(random.next())) as u64)
                 };
                 fleet.submit_at(at as Micros, query.clone());
                 queries.push(query);
             }
-            fleet.run_until(4 * TIME + 20 * SEC);
+            fleet.run_until(4 * LOAD_DURATION + 20 * SEC);
             let mut sets: BTreeMap<String, (usize, usize)> = BTreeMap::new();
             for query in &queries {
                 let refused =
--- a/tests/guard.rs
+++ b/tests/guard.rs
@@ -18,83 +18,89 @@
     (guard, "a".into())
 }
 
-fn sent(guard: &mut Guard, id: &Id, server: &str) -> Result<(), Violation> {
+fn send(guard: &mut Guard, id: &Id, server: &str) -> Result<(), Violation> {
     guard.send(SEC, id, &server.into())
 }
 
 #[test]
-fn one_attempt_is_out_at_a_time_and_no_more_than_the_class_allows() {
+fn a_request_has_one_attempt_at_a_time_and_no_more_than_its_class_allows() {
     let (mut guard, id) = guard(Effect::Safe);
     for _ in 0..3 {
-        assert_eq!(sent(&mut guard, &id, "r"), Ok(()));
-        assert_eq!(sent(&mut guard, &id, "w1"), Err(Violation::ConcurrentAttempts));
+        assert_eq!(send(&mut guard, &id, "r"), Ok(()));
+        assert_eq!(send(&mut guard, &id, "w1"), Err(Violation::ConcurrentAttempts));
         guard.attempt_ended(&id, Outcome::NoConnection);
     }
-    assert_eq!(sent(&mut guard, &id, "r"), Err(Violation::TooManyAttempts));
+    assert_eq!(send(&mut guard, &id, "r"), Err(Violation::TooManyAttempts));
 }
 
 #[test]
-fn nothing_goes_to_a_server_that_drains_or_is_not_listed() {
+fn no_attempt_goes_to_a_draining_or_unlisted_server() {
     let (mut guard, id) = guard(Effect::Safe);
     guard.members(ListUpdateKind::Changes, &[ServerEntry { health: Health::Draining, ..entry("w1", 1) }]);
-    assert_eq!(sent(&mut guard, &id, "w1"), Err(Violation::ServerNotAccepting));
-    assert_eq!(sent(&mut guard, &id, "nobody"), Err(Violation::ServerNotAccepting));
+    assert_eq!(send(&mut guard, &id, "w1"), Err(Violation::ServerNotAccepting));
+    assert_eq!(send(&mut guard, &id, "nobody"), Err(Violation::ServerNotAccepting));
     guard.members(ListUpdateKind::Full, &[entry("w1", 1)]);
-    assert_eq!(sent(&mut guard, &id, "r"), Err(Violation::ServerNotAccepting));
-    assert_eq!(sent(&mut guard, &id, "w1"), Ok(()));
+    assert_eq!(send(&mut guard, &id, "r"), Err(Violation::ServerNotAccepting));
+    assert_eq!(send(&mut guard, &id, "w1"), Ok(()));
 }
 
 #[test]
-fn nothing_goes_out_after_the_end_of_a_request_or_of_the_conductor() {
+fn no_attempt_goes_out_after_the_request_has_ended_or_the_conductor_is_closing() {
     let (mut guard, id) = guard(Effect::Safe);
     guard.answer_began(&id);
-    assert_eq!(sent(&mut guard, &id, "w1"), Err(Violation::AfterEnd));
+    assert_eq!(send(&mut guard, &id, "w1"), Err(Violation::AfterEnd));
     guard.left(&id);
-    assert_eq!(sent(&mut guard, &id, "w1"), Err(Violation::AfterEnd));
+    assert_eq!(send(&mut guard, &id, "w1"), Err(Violation::AfterEnd));
     guard.asked(&Query { class: class(Effect::Safe), ..query("b", 900) });
     guard.closing();
-    assert_eq!(sent(&mut guard, &"b".into(), "w1"), Err(Violation::Closing));
+    assert_eq!(send(&mut guard, &"b".into(), "w1"), Err(Violation::Closing));
     assert_eq!(guard.answer(&"b".into(), true), Ok(()));
     assert_eq!(guard.answer(&"b".into(), false), Err(Violation::SecondAnswer));
 }
 
 #[test]
-fn what_may_have_run_is_repeated_and_refused_only_as_its_class_allows() {
+fn a_request_that_may_have_run_is_repeated_and_refused_only_as_its_class_allows() {
     let window = 10 * SEC;
     let keyed = |scope| Effect::Keyed { scope, window };
-    for (effect, near, far, late, refused) in [
+    for (effect, may_repeat_in_zone, may_repeat_across_zones, may_repeat_after_window, may_refuse) in [
         (Effect::Safe, true, true, true, true),
         (Effect::Unsafe, false, false, false, false),
         (keyed(DedupScope::All), true, true, false, true),
         (keyed(DedupScope::Zone), true, false, false, false),
         (keyed(DedupScope::Rack), true, true, false, false),
     ] {
-        for (server, now, allowed) in
-            [("w1", 2 * SEC, near), ("w2", 2 * SEC, far), ("w1", SEC + window, late)]
-        {
+        for (server, now, may_repeat) in [
+            ("w1", 2 * SEC, may_repeat_in_zone),
+            ("w2", 2 * SEC, may_repeat_across_zones),
+            ("w1", SEC + window, may_repeat_after_window),
+        ] {
             let (mut guard, id) = guard(effect);
             // A read has no effect, however it ends.
-            assert_eq!(sent(&mut guard, &id, "r"), Ok(()));
+            assert_eq!(send(&mut guard, &id, "r"), Ok(()));
             guard.attempt_ended(&id, Outcome::ConnectionLost);
-            assert_eq!(sent(&mut guard, &id, "w1"), Ok(()));
+            assert_eq!(send(&mut guard, &id, "w1"), Ok(()));
             guard.attempt_ended(&id, Outcome::ConnectionLost);
             let repeat = guard.send(now, &id, &server.into());
             assert_eq!(
                 repeat,
-                if allowed { Ok(()) } else { Err(Violation::UnsafeRepeat) },
+                if may_repeat { Ok(()) } else { Err(Violation::UnsafeRepeat) },
                 "{effect:?} {server}"
             );
             let refusal = guard.answer(&id, true);
-            assert_eq!(refusal, if refused { Ok(()) } else { Err(Violation::UnsafeRefusal) }, "{effect:?}");
+            assert_eq!(
+                refusal,
+                if may_refuse { Ok(()) } else { Err(Violation::UnsafeRefusal) },
+                "{effect:?}"
+            );
         }
     }
 }
 
 #[test]
-fn what_is_out_at_a_server_that_decodes_is_not_refused() {
+fn an_unsafe_request_with_an_active_decode_attempt_is_not_refused() {
     for (server, expected) in [("r", Ok(())), ("w1", Err(Violation::UnsafeRefusal))] {
         let (mut guard, id) = guard(Effect::Unsafe);
-        assert_eq!(sent(&mut guard, &id, server), Ok(()));
+        assert_eq!(send(&mut guard, &id, server), Ok(()));
         assert_eq!(guard.answer(&id, true), expected, "{server}");
     }
 }
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -7,7 +7,7 @@
 
 const FLEET: [(&str, usize); 3] = [("r", 0), ("w1", 1), ("w2", 1)];
 
-fn cold_writer(now: Micros) -> ServerEntry {
+fn decode_server_in_slow_start(now: Micros) -> ServerEntry {
     ServerEntry { started: now - SEC, ..entry("cold", 1) }
 }
 
@@ -18,21 +18,21 @@
         harness.submit(query(&id, 900));
         harness.end_attempt(&id, 0, "r", Outcome::PrefillDone);
         harness.start_answer(&id, 1);
-        let writer = if n % 2 == 0 { "w1" } else { "w2" };
-        harness.end_attempt(&id, 1, writer, Outcome::Served);
+        let decode_server = if n % 2 == 0 { "w1" } else { "w2" };
+        harness.end_attempt(&id, 1, decode_server, Outcome::Served);
         harness.advance(SEC / requests as Micros);
     }
 }
 
 /// How many of 40 requests within 2 s a writer in slow start gets.
-fn sends_to_cold(harness: &mut RouterHarness) -> usize {
+fn sends_to_slow_start_server(harness: &mut RouterHarness) -> usize {
     let mut count = 0;
     for n in 0..40 {
         let id = format!("cold-{n}");
         harness.submit(query(&id, 900));
         let sent = sends(&harness.end_attempt(&id, 0, "r", Outcome::PrefillDone));
-        let writer = sent.first().map(|send| send.1.clone()).unwrap_or_default();
-        count += usize::from(writer == "cold");
+        let decode_server = sent.first().map(|send| send.1.clone()).unwrap_or_default();
+        count += usize::from(decode_server == "cold");
         harness.start_answer(&id, 1);
         harness.advance(50 * MS);
     }
@@ -40,11 +40,11 @@
 }
 
 /// A router that takes the place of one that has served, at the same moment by its own, later clock.
-fn successor(harness: &RouterHarness, ahead: Micros) -> RouterHarness {
+fn successor(harness: &RouterHarness, clock_offset: Micros) -> RouterHarness {
     let text = serde_json::to_string(&harness.router.snapshot(harness.now)).unwrap();
     let mut snapshot: Snapshot = serde_json::from_str(&text).unwrap();
     let mut next = RouterHarness::with_seed(Settings::example(), 8);
-    next.now = harness.now + ahead;
+    next.now = harness.now + clock_offset;
     next.update_servers(ListUpdateKind::Full, FLEET.iter().map(|(name, kind)| entry(name, *kind)).collect());
     let now = next.now;
     next.router.restore(now, 0, &mut snapshot);
@@ -59,15 +59,15 @@
     let mut next = successor(&harness, 500 * SEC);
     let mut fresh = RouterHarness::new(Settings::example(), &FLEET);
     for harness in [&mut harness, &mut next, &mut fresh] {
-        let cold = cold_writer(harness.now);
-        harness.update_servers(ListUpdateKind::Changes, vec![cold]);
+        let slow_start = decode_server_in_slow_start(harness.now);
+        harness.update_servers(ListUpdateKind::Changes, vec![slow_start]);
     }
-    let [before, after, without] = [&mut harness, &mut next, &mut fresh].map(sends_to_cold);
+    let [before, after, without] = [&mut harness, &mut next, &mut fresh].map(sends_to_slow_start_server);
     assert!(after + 1 >= before && before + 1 >= after && after > without, "{before}, {after}, {without}");
 }
 
 #[test]
-fn a_server_that_failed_is_left_alone_by_the_successor_too() {
+fn the_successor_also_avoids_a_server_that_failed() {
     let mut harness = RouterHarness::new(Settings::example(), &FLEET);
     harness.submit(query("a", 900));
     harness.end_attempt("a", 0, "r", Outcome::PrefillDone);
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn nothing_is_taken_over_for_a_server_that_has_restarted_since() {
+fn nothing_is_restored_for_a_server_that_has_restarted_since() {
     let mut harness = RouterHarness::new(Settings::example(), &FLEET);
     harness.submit(query("a", 900));
     harness.end_attempt("a", 0, "r", Outcome::PrefillDone);
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn what_is_not_listed_yet_waits_for_its_list() {
+fn snapshot_entries_of_unlisted_servers_wait_until_the_servers_are_listed() {
     let mut harness = RouterHarness::new(Settings::example(), &FLEET);
     serve(&mut harness, 4);
     let mut snapshot = harness.router.snapshot(harness.now);
@@ -107,31 +107,31 @@
 }
 
 /// Every request that a router sends to its one reader before it holds the rest.
-fn reads_at_once(harness: &mut RouterHarness, name: &str) -> usize {
+fn prefills_before_queueing(harness: &mut RouterHarness, name: &str) -> usize {
     (0..30).map(|n| sends(&harness.submit(query(&format!("{name}-{n}"), 100))).len()).sum()
 }
 
 #[test]
-fn two_processes_together_have_no_more_open_than_one() {
+fn two_processes_together_have_no_more_open_requests_than_one() {
     let mut alone = RouterHarness::new(Settings::example(), &FLEET);
-    let cap = reads_at_once(&mut alone, "alone");
+    let limit = prefills_before_queueing(&mut alone, "alone");
     let (mut old, mut new) =
         (RouterHarness::new(Settings::example(), &FLEET), RouterHarness::new(Settings::example(), &FLEET));
-    for n in 0..cap - 2 {
+    for n in 0..limit - 2 {
         old.submit(query(&format!("old-{n}"), 100));
     }
     new.router.set_foreign_work(old.router.open_work());
-    assert_eq!(reads_at_once(&mut new, "new"), 2);
+    assert_eq!(prefills_before_queueing(&mut new, "new"), 2);
     // What the other has is not told to it as one's own, and is free again once it has gone.
     old.router.set_foreign_work(new.router.open_work());
-    assert_eq!(reads_at_once(&mut old, "more"), 0);
+    assert_eq!(prefills_before_queueing(&mut old, "more"), 0);
     new.router.set_foreign_work(OpenWork::default());
     new.advance(20 * MS);
     assert_eq!(new.router.open_work(), alone.router.open_work());
 }
 
 #[test]
-fn foreign_work_that_is_told_again_counts_once_and_outlives_no_server() {
+fn repeated_reports_of_foreign_work_count_once_and_end_with_their_server() {
     let (mut old, mut new) =
         (RouterHarness::new(Settings::example(), &FLEET), RouterHarness::new(Settings::example(), &FLEET));
     old.submit(query("old", 100));
@@ -143,5 +143,5 @@
     new.advance(3 * SEC);
     new.router.set_foreign_work(OpenWork::default());
     new.update_servers(ListUpdateKind::Full, FLEET.iter().map(|(name, kind)| entry(name, *kind)).collect());
-    assert!(reads_at_once(&mut new, "back") > 0);
+    assert!(prefills_before_queueing(&mut new, "back") > 0);
 }
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -4,12 +4,12 @@
 use std::path::PathBuf;
 use std::process::{Command, Stdio};
 
-const NAMES: &str = "     Running tests/a.rs (target/debug/deps/a-0123abcd)\nlate: test\nnever: test\n\n\
+const TEST_LIST: &str = "     Running tests/a.rs (target/debug/deps/a-0123abcd)\nlate: test\nnever: test\n\n\
     2 tests, 0 benchmarks\n     Running unittests src/lib.rs (target/debug/deps/frost-0123abcd)\n\
     inner::late: test\n";
 
 /// What cargo prints where these tests, of two, ended so.
-fn printed(late: &str, never: &str, inner: &str) -> String {
+fn cargo_output(late: &str, never: &str, inner: &str) -> String {
     format!(
         "     Running tests/a.rs (target/debug/deps/a-0123abcd)\n\nrunning 2 tests\ntest late ... {late}\n\
          test never ... {never}\n\ntest result: so. 1 passed\n\n     Running unittests src/lib.rs \
@@ -26,7 +26,7 @@
     };
     let mut judge = Command::new("bash")
         .arg(concat!(env!("CARGO_MANIFEST_DIR"), "/.ci/judge"))
-        .args([file("list", list), file("names", NAMES)])
+        .args([file("list", list), file("names", TEST_LIST)])
         .arg(code)
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -38,42 +38,63 @@
 }
 
 #[test]
-fn listed_tests_may_fail_and_are_printed_and_nothing_else_may() {
+fn only_listed_tests_may_fail_and_they_are_printed() {
     let line = "a::late | the clock | issue 9\n";
-    let four =
+    let four_lines =
         ["a::late", "a::never", "frost::inner::late", "a::more"].map(|t| format!("{t} | x | issue 1\n"));
-    let four = &*four.concat();
-    let broke = printed("ok", "ok", "ok").replace("test result: so.\n", "");
-    for (case, list, out, code, passes, says) in [
-        ("green", "", printed("ok", "ok", "ok"), "0", true, ""),
-        ("red", line, printed("FAILED", "ok", "ok"), "101", true, "known red: a::late | the clock | issue 9"),
+    let four_lines = &*four_lines.concat();
+    let incomplete = cargo_output("ok", "ok", "ok").replace("test result: so.\n", "");
+    for (case, list, out, code, should_pass, expected) in [
+        ("green", "", cargo_output("ok", "ok", "ok"), "0", true, ""),
+        (
+            "red",
+            line,
+            cargo_output("FAILED", "ok", "ok"),
+            "101",
+            true,
+            "known red: a::late | the clock | issue 9",
+        ),
         (
             "leaves",
             line,
-            printed("ok", "ok", "ok"),
+            cargo_output("ok", "ok", "ok"),
             "0",
             true,
             "due to leave the list, as it has passed: a::late",
         ),
-        ("other", line, printed("FAILED", "FAILED", "ok"), "101", false, "not listed: a::never"),
-        ("namesake", line, printed("ok", "ok", "FAILED"), "101", false, "not listed: frost::inner::late"),
-        ("unlisted", "", printed("FAILED", "ok", "ok"), "101", false, "not listed: a::late"),
+        ("other", line, cargo_output("FAILED", "FAILED", "ok"), "101", false, "not listed: a::never"),
+        (
+            "namesake",
+            line,
+            cargo_output("ok", "ok", "FAILED"),
+            "101",
+            false,
+            "not listed: frost::inner::late",
+        ),
+        ("unlisted", "", cargo_output("FAILED", "ok", "ok"), "101", false, "not listed: a::late"),
         (
             "no test",
             "a::gone | x | issue 1\n",
-            printed("ok", "ok", "ok"),
+            cargo_output("ok", "ok", "ok"),
             "0",
             false,
             "names no test: a::gone",
         ),
-        ("no cause", "a::late\n", printed("FAILED", "ok", "ok"), "101", false, "no 'test | cause | issue'"),
-        ("four", four, printed("FAILED", "ok", "ok"), "101", false, "4 lines, three at most"),
-        ("crash", line, broke, "101", false, "gave a result"),
+        (
+            "no cause",
+            "a::late\n",
+            cargo_output("FAILED", "ok", "ok"),
+            "101",
+            false,
+            "no 'test | cause | issue'",
+        ),
+        ("four", four_lines, cargo_output("FAILED", "ok", "ok"), "101", false, "4 lines, three at most"),
+        ("crash", line, incomplete, "101", false, "gave a result"),
         ("no build", line, String::new(), "101", false, "gave a result"),
-        ("silent", line, printed("ok", "ok", "ok"), "101", false, "ended with 101 and no test failed"),
+        ("silent", line, cargo_output("ok", "ok", "ok"), "101", false, "ended with 101 and no test failed"),
     ] {
-        let (passed, said) = judge(case, list, &out, code);
-        assert_eq!(passed, passes, "{case}: {said}");
-        assert!(said.contains(says), "{case}: {said}");
+        let (passed, printed) = judge(case, list, &out, code);
+        assert_eq!(passed, should_pass, "{case}: {printed}");
+        assert!(printed.contains(expected), "{case}: {printed}");
     }
 }
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -9,30 +9,30 @@
 use support::*;
 
 /// Requests a second that a warm server of the fleet gets: one request comes every 5 ms, for 10 servers.
-const WARM_PER_S: f64 = 20.0;
-const SERVERS: usize = 10;
+const WARM_REQUESTS_PER_S: f64 = 20.0;
+const SERVERS_PER_ROLE: usize = 10;
 /// How long the start is watched.
-const TIME: Micros = 6 * SEC;
+const OBSERVED_DURATION: Micros = 6 * SEC;
 
 fn servers() -> Vec<ServerEntry> {
-    let of = |kind, letter| (0..SERVERS).map(move |n| entry(&format!("{letter}{n}"), kind));
-    of(0, 'r').chain(of(1, 'w')).collect()
+    let servers_of = |kind, letter| (0..SERVERS_PER_ROLE).map(move |n| entry(&format!("{letter}{n}"), kind));
+    servers_of(0, 'r').chain(servers_of(1, 'w')).collect()
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Case {
+enum Scenario {
     /// All alike.
-    Equal,
+    EqualTraffic,
     /// A tenth of them, one at least, have half of the traffic besides their part of the other half.
-    Unequal,
+    UnequalTraffic,
     /// Half of the routers have just started.
-    Started,
+    RestartedRouters,
     /// A third learn of it up to 2 s late.
-    Late,
+    LateDiscovery,
 }
 
 /// Draws from a hash, so that a failure can be played again.
-fn draw(seed: u64, n: usize) -> u64 {
+fn hash_draw(seed: u64, n: usize) -> u64 {
     let mut x = (seed << 32) ^ n as u64 ^ 0x9e37_79b9_7f4a_7c15;
     for _ in 0..3 {
         x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -42,38 +42,40 @@
 
 /// The most that the new server got in a window of the settings, over its budget there; and the share of the
 /// budgets of the whole time that it got.
-fn start(routers: u32, case: Case, seed: u64, kind: usize) -> (f64, f64, f64) {
+fn observe_slow_start(routers: u32, scenario: Scenario, seed: u64, kind: usize) -> (f64, f64, f64) {
     let settings = Settings { conductors: routers, ..Settings::example() };
     let mut group = RouterGroup::new(&settings, &servers());
     group.choose_router = Box::new(move |asked, routers| {
-        let drawn = draw(seed, asked);
+        let drawn = hash_draw(seed, asked);
         let even = (drawn >> 8) as usize % routers;
-        match case {
-            Case::Unequal if drawn % 2 == 0 => even % (routers / 10).max(1),
+        match scenario {
+            Scenario::UnequalTraffic if drawn % 2 == 0 => even % (routers / 10).max(1),
             _ => even,
         }
     });
     group.run_for(8 * SEC);
     let (begin, name) = (group.now, if kind == 0 { "new-r" } else { "new-w" });
-    let news = [ServerEntry { started: begin, ..entry(name, kind) }];
-    let mut late = Vec::new();
+    let new_entry = [ServerEntry { started: begin, ..entry(name, kind) }];
+    let mut late_routers = Vec::new();
     for i in 0..routers as usize {
-        match case {
-            Case::Started if i % 2 == 0 => {
-                let all = [servers(), news.to_vec()].concat();
+        match scenario {
+            Scenario::RestartedRouters if i % 2 == 0 => {
+                let all = [servers(), new_entry.to_vec()].concat();
                 group.restart_router(i, &settings, &all);
             }
-            Case::Late if i % 3 == 0 => late.push((begin + draw(seed, i) % (2 * SEC), i)),
-            _ => group.update_servers_at(i, &news),
+            Scenario::LateDiscovery if i % 3 == 0 => {
+                late_routers.push((begin + hash_draw(seed, i) % (2 * SEC), i))
+            }
+            _ => group.update_servers_at(i, &new_entry),
         }
     }
-    while group.now < begin + TIME {
+    while group.now < begin + OBSERVED_DURATION {
         group.run_for(20 * MS);
         let now = group.now;
-        late.retain(|&(at, i)| {
+        late_routers.retain(|&(at, i)| {
             let due = at <= now;
             if due {
-                group.update_servers_at(i, &news);
+                group.update_servers_at(i, &new_entry);
             }
             !due
         });
@@ -81,10 +83,10 @@
     let times: Vec<Micros> = group.send_log.iter().filter(|s| &*s.1 == name).map(|s| s.0).collect();
     let within =
         |&t: &Micros| times.iter().filter(|&&u| u >= t && u < t + settings.overload_duration).count();
-    let most = times.iter().map(within).max().unwrap_or(0) as f64;
-    let per_s = WARM_PER_S * settings.slow_start_initial_share * settings.overload_multiple;
+    let max_in_window = times.iter().map(within).max().unwrap_or(0) as f64;
+    let per_s = WARM_REQUESTS_PER_S * settings.slow_start_initial_share * settings.overload_multiple;
     let budget = per_s * settings.overload_duration as f64 / 1e6;
-    (most, budget, times.len() as f64 / (per_s * TIME as f64 / 1e6))
+    (max_in_window, budget, times.len() as f64 / (per_s * OBSERVED_DURATION as f64 / 1e6))
 }
 
 #[test]
@@ -92,23 +94,31 @@
     for routers in [2, 3, 20, 30, 300] {
         // Hundreds of routers take their time to play.
         let seeds = if routers > 100 { 1 } else { 6 };
-        for case in [Case::Equal, Case::Unequal, Case::Started, Case::Late] {
+        for scenario in [
+            Scenario::EqualTraffic,
+            Scenario::UnequalTraffic,
+            Scenario::RestartedRouters,
+            Scenario::LateDiscovery,
+        ] {
             for kind in [0, 1] {
-                let mut used = Vec::new();
+                let mut shares = Vec::new();
                 for seed in 0..seeds {
-                    let (most, budget, share) = start(routers, case, seed, kind);
-                    let chance = 2.0 * budget.sqrt() + 2.0;
-                    let name = format!("{routers} routers, {case:?}, kind {kind}, seed {seed}");
-                    assert!(most <= budget + chance, "{name}: {most} of {budget} + {chance:.1}");
-                    used.push(share);
+                    let (max_in_window, budget, share) = observe_slow_start(routers, scenario, seed, kind);
+                    let tolerance = 2.0 * budget.sqrt() + 2.0;
+                    let name = format!("{routers} routers, {scenario:?}, kind {kind}, seed {seed}");
+                    assert!(
+                        max_in_window <= budget + tolerance,
+                        "{name}: {max_in_window} of {budget} + {tolerance:.1}"
+                    );
+                    shares.push(share);
                 }
-                let mean = used.iter().sum::<f64>() / used.len() as f64;
-                println!("{routers} routers, {case:?}, kind {kind}: {mean:.2} of the budget used");
+                let mean = shares.iter().sum::<f64>() / shares.len() as f64;
+                println!("{routers} routers, {scenario:?}, kind {kind}: {mean:.2} of the budget used");
                 // Few routers of which half know nothing yet go by what the others have seen: that is less.
-                let least = if case == Case::Started { 0.1 } else { 0.15 };
+                let min_share = if scenario == Scenario::RestartedRouters { 0.1 } else { 0.15 };
                 assert!(
-                    mean >= least,
-                    "{routers} routers, {case:?}, kind {kind}: {mean:.2} of the budget used"
+                    mean >= min_share,
+                    "{routers} routers, {scenario:?}, kind {kind}: {mean:.2} of the budget used"
                 );
             }
         }
