--- a/drill/src/main.rs
+++ b/drill/src/main.rs
@@ -37,27 +37,27 @@
 
 fn run(input: impl BufRead, mut output: impl Write) -> Result<(), String> {
     let mut instances = Instances::new();
-    let mut open: Option<(u64, u64)> = None;
+    let mut open_batch: Option<(u64, u64)> = None;
     let mut actions = Vec::new();
     for (index, line) in input.lines().enumerate() {
-        let at = |message: String| format!("line {}: {message}", index + 1);
-        let line = line.map_err(|e| at(e.to_string()))?;
+        let with_line_number = |message: String| format!("line {}: {message}", index + 1);
+        let line = line.map_err(|e| with_line_number(e.to_string()))?;
         if line.trim().is_empty() {
             continue;
         }
-        let value: Value = serde_json::from_str(&line).map_err(|e| at(e.to_string()))?;
-        let line = wire::parse(&value).map_err(at)?;
-        match (line, open) {
-            (Line::Mark { now, index }, None) => open = Some((now, index)),
+        let value: Value = serde_json::from_str(&line).map_err(|e| with_line_number(e.to_string()))?;
+        let line = wire::parse_line(&value).map_err(with_line_number)?;
+        match (line, open_batch) {
+            (Line::Mark { now, index }, None) => open_batch = Some((now, index)),
             (Line::End, Some((_, index))) => {
                 writeln!(output, "{}", json!(["ok", index])).map_err(|e| e.to_string())?;
                 output.flush().map_err(|e| e.to_string())?;
-                open = None;
+                open_batch = None;
             }
             (Line::Event { name, instance, rest }, Some((now, _))) => {
-                let step = || step(&mut instances, now, name, instance, rest, &mut actions);
-                let replies = match catch_unwind(AssertUnwindSafe(step)) {
-                    Ok(replies) => replies.map_err(at)?,
+                let process = || process_event(&mut instances, now, name, instance, rest, &mut actions);
+                let replies = match catch_unwind(AssertUnwindSafe(process)) {
+                    Ok(replies) => replies.map_err(with_line_number)?,
                     Err(cause) => {
                         instances.insert(instance.to_string(), None);
                         vec![json!(["panic", instance, panic_text(&*cause)])]
@@ -67,18 +67,18 @@
                     writeln!(output, "{reply}").map_err(|e| e.to_string())?;
                 }
             }
-            (_, Some(_)) => return Err(at("a batch opens within a batch".into())),
-            (_, None) => return Err(at("an event or an end outside a batch".into())),
+            (_, Some(_)) => return Err(with_line_number("a batch opens within a batch".into())),
+            (_, None) => return Err(with_line_number("an event or an end outside a batch".into())),
         }
     }
-    match open {
+    match open_batch {
         Some(_) => Err("the input ends within a batch".into()),
         None => Ok(()),
     }
 }
 
 /// Hands one event to its instance and puts the actions into the wire's words.
-fn step(
+fn process_event(
     instances: &mut Instances,
     now: u64,
     name: &str,
@@ -88,9 +88,9 @@
 ) -> Result<Vec<Value>, String> {
     match name {
         "provision" => {
-            let (seed, setup) = wire::provision(rest)?;
-            let made = ConfiguredNames::new(setup).and_then(|n| Ok((settings(setup, &n)?, n)));
-            return Ok(match made {
+            let (seed, setup) = wire::parse_provision(rest)?;
+            let provisioned = ConfiguredNames::new(setup).and_then(|n| Ok((settings(setup, &n)?, n)));
+            return Ok(match provisioned {
                 Ok((settings, names)) => {
                     let router = Router::new(settings.clone(), seed);
                     instances.insert(instance.to_string(), Some(Instance { names, settings, router }));
@@ -111,10 +111,10 @@
     let Some(Some(Instance { names, settings, router })) = instances.get_mut(instance) else {
         return Ok(Vec::new());
     };
-    let Some(event) = wire::event(name, rest, names, settings)? else { return Ok(Vec::new()) };
+    let Some(event) = wire::parse_event(name, rest, names, settings)? else { return Ok(Vec::new()) };
     actions.clear();
     router.handle(now, event, actions);
-    Ok(actions.drain(..).map(|action| wire::action(instance, action)).collect())
+    Ok(actions.drain(..).map(|action| wire::encode_action(instance, action)).collect())
 }
 
 fn panic_text(cause: &(dyn std::any::Any + Send)) -> String {
--- a/drill/tests/unit/run.rs
+++ b/drill/tests/unit/run.rs
@@ -21,7 +21,7 @@
     text.replace('\n', "")
 }
 
-fn start(setup: &str) -> String {
+fn provision_event(setup: &str) -> String {
     format!(r#"["provision","router_0",7,{}]"#, one_line(setup))
 }
 
@@ -30,43 +30,45 @@
     format!("[\"mark\",{now},{index}]\n{}\n[\"end\"]\n", events.join("\n"))
 }
 
-fn drive(input: &str) -> Result<String, String> {
+fn run_adapter(input: &str) -> Result<String, String> {
     let mut output = Vec::new();
     run(input.as_bytes(), &mut output).map(|()| String::from_utf8(output).unwrap())
 }
 
-fn begun(further: &[&str]) -> String {
-    let provision = start(SETUP);
+fn provisioned_batch(more_events: &[&str]) -> String {
+    let provision = provision_event(SETUP);
     let mut events = vec![&*provision, LIST];
-    events.extend(further);
+    events.extend(more_events);
     batch(1_000_000, 1, &events)
 }
 
 #[test]
-fn an_empty_batch_is_closed() {
-    assert_eq!(drive("[\"mark\",8412250,1]\n[\"end\"]\n").unwrap(), "[\"ok\",1]\n");
-    assert_eq!(drive("").unwrap(), "");
+fn an_empty_batch_is_acknowledged() {
+    assert_eq!(run_adapter("[\"mark\",8412250,1]\n[\"end\"]\n").unwrap(), "[\"ok\",1]\n");
+    assert_eq!(run_adapter("").unwrap(), "");
 }
 
 #[test]
-fn a_request_goes_round_trip() {
-    let read = r#"["result","router_0","id-1",30000,600,false,0,"10.0.0.1:9000","ready_to_answer",
+fn a_request_is_prefilled_decoded_and_served() {
+    let prefilled = r#"["result","router_0","id-1",30000,600,false,0,"10.0.0.1:9000","ready_to_answer",
         {"x0":0.4,"x1":1.5,"new":1}]"#;
     let headers = r#"["headers","router_0","id-1",1,"10.0.0.2:9000",9250]"#;
     let served = r#"["result","router_0","id-1",18500,null,true,1,"10.0.0.2:9000","served",null]"#;
-    let input = begun(&[QUERY]) + &batch(1_100_000, 2, &[read]) + &batch(1_200_000, 3, &[headers, served]);
-    let output = drive(&input).unwrap();
-    let sends: Vec<_> = output.lines().filter(|l| l.starts_with("[\"relay\"")).collect();
-    assert_eq!(sends.len(), 2);
+    let input = provisioned_batch(&[QUERY])
+        + &batch(1_100_000, 2, &[prefilled])
+        + &batch(1_200_000, 3, &[headers, served]);
+    let output = run_adapter(&input).unwrap();
+    let relays: Vec<_> = output.lines().filter(|l| l.starts_with("[\"relay\"")).collect();
+    assert_eq!(relays.len(), 2);
     assert!(
-        sends[0].starts_with(r#"["relay","router_0","id-1","#) && sends[0].ends_with(r#""10.0.0.1:9000"]"#)
+        relays[0].starts_with(r#"["relay","router_0","id-1","#) && relays[0].ends_with(r#""10.0.0.1:9000"]"#)
     );
-    assert!(sends[1].ends_with(r#""10.0.0.2:9000"]"#));
+    assert!(relays[1].ends_with(r#""10.0.0.2:9000"]"#));
     assert!(output.ends_with("[\"ok\",3]\n"));
 }
 
 #[test]
-fn every_other_event_is_read_and_unknown_ones_are_skipped() {
+fn every_other_event_is_parsed_and_unknown_ones_are_skipped() {
     let events = [
         r#"["timed-out-client","router_0","no such"]"#,
         r#"["hold-result","router_0","no such",1,0,0.5,"10.0.0.2:9000"]"#,
@@ -80,12 +82,12 @@
         r#"["retire","router_0"]"#,
         r#"["bell","router_0",1]"#,
     ];
-    assert!(drive(&begun(&events)).unwrap().ends_with("[\"ok\",1]\n"));
+    assert!(run_adapter(&provisioned_batch(&events)).unwrap().ends_with("[\"ok\",1]\n"));
 }
 
 #[test]
-fn malformed_input_ends_the_run_with_the_line() {
-    let bad = [
+fn malformed_input_ends_the_run_with_the_line_number() {
+    let malformed = [
         "{\"not\":\"an array\"}\n".to_string(),
         "not json\n".to_string(),
         "[7]\n".to_string(),
@@ -94,18 +96,18 @@
         "[\"mark\",1,1]\n[\"mark\",2,2]\n".to_string(),
         "[\"mark\",1,1]\n".to_string(),
         "[\"mark\",\"soon\",1]\n".to_string(),
-        begun(&[r#"["bell","router_0","x"]"#]),
-        begun(&[r#"["result","router_0","i",1,0,false,0,"w","no such word",null]"#]),
-        begun(&[r#"["query","router_0","i",false,0,"p",1,1,1,false,"s","no such class",5,"t"]"#]),
+        provisioned_batch(&[r#"["bell","router_0","x"]"#]),
+        provisioned_batch(&[r#"["result","router_0","i",1,0,false,0,"w","no such word",null]"#]),
+        provisioned_batch(&[r#"["query","router_0","i",false,0,"p",1,1,1,false,"s","no such class",5,"t"]"#]),
     ];
-    for input in bad {
-        let error = drive(&input).expect_err(&input);
+    for input in malformed {
+        let error = run_adapter(&input).expect_err(&input);
         assert!(error.starts_with("line ") || error.contains("ends within"), "{error}");
     }
 }
 
 #[test]
-fn settings_that_are_missing_or_ill_typed_give_a_panic_that_names_the_key() {
+fn missing_or_invalid_settings_print_a_panic_that_names_the_key() {
     let cases = [
         ("\"balancers\":1", "\"balancers\":\"one\"", "balancers"),
         ("\"fall\":1000000,", "", "rules.fall"),
@@ -118,7 +120,7 @@
     for (from, to, key) in cases {
         let setup = one_line(SETUP).replace(from, to);
         assert_ne!(setup, one_line(SETUP), "{key}");
-        let output = drive(&batch(1, 1, &[&start(&setup), LIST, QUERY])).unwrap();
+        let output = run_adapter(&batch(1, 1, &[&provision_event(&setup), LIST, QUERY])).unwrap();
         let first = output.lines().next().unwrap();
         assert!(first.starts_with("[\"panic\",\"router_0\",") && first.contains(key), "{key}: {output}");
         assert!(output.ends_with("[\"ok\",1]\n"));
@@ -126,14 +128,14 @@
 }
 
 #[test]
-fn two_instances_share_nothing() {
-    let alone = drive(&begun(&[QUERY])).unwrap();
+fn instances_do_not_share_state() {
+    let single = run_adapter(&provisioned_batch(&[QUERY])).unwrap();
     let other = |text: &str| one_line(text).replace("router_0", "router_1");
-    let provision = start(SETUP);
+    let provision = provision_event(SETUP);
     let second = [other(&provision), other(LIST)];
     let both = [&*second[0], &*second[1], &*provision, LIST, QUERY];
-    let both = drive(&batch(1_000_000, 1, &both)).unwrap();
-    let of_first =
+    let both = run_adapter(&batch(1_000_000, 1, &both)).unwrap();
+    let lines_of_first =
         |text: &str| text.lines().filter(|l| l.contains("router_0")).collect::<Vec<_>>().join("\n");
-    assert_eq!(of_first(&alone), of_first(&both));
+    assert_eq!(lines_of_first(&single), lines_of_first(&both));
 }
