--- a/drill/src/main.rs
+++ b/drill/src/main.rs
@@ -1,5 +1,5 @@
-//! Drives the frosttrail decision module over a line protocol: batches of JSON events on standard
-//! input, actions on standard output. It decides nothing.
+//! Runs the frosttrail router under a simulator that speaks a line protocol: batches of JSON events on
+//! standard input, actions on standard output. It makes no decisions of its own.
 
 mod wire;
 
@@ -13,14 +13,14 @@
 use serde_json::{json, Value};
 use wire::Line;
 
-/// One router, and what the words of its events stand for.
+/// One router, its settings and the names that its events use for kinds and zones.
 struct Instance {
     names: ConfiguredNames,
     settings: Settings,
     router: Router,
 }
 
-/// `None` for one that has been given up.
+/// Instances by id; `None` for one whose setup was rejected or whose router panicked.
 type Instances = BTreeMap<String, Option<Instance>>;
 
 fn main() -> ExitCode {
@@ -77,7 +77,7 @@
     }
 }
 
-/// Hands one event to its instance and puts the actions into the wire's words.
+/// Passes one event to its instance and encodes the actions; events for unknown instances are ignored.
 fn process_event(
     instances: &mut Instances,
     now: u64,
--- a/drill/src/wire.rs
+++ b/drill/src/wire.rs
@@ -1,4 +1,4 @@
-//! The words of the wire, to and from the types of the library.
+//! Parses the events of the line protocol into the library's types and encodes its actions.
 
 use std::sync::Arc;
 
@@ -11,15 +11,15 @@
 
 /// One line of input.
 pub enum Line<'a> {
-    /// A batch opens.
+    /// Starts a batch of events, all at the time `now`.
     Mark { now: u64, index: u64 },
-    /// A batch closes.
+    /// Ends the batch.
     End,
-    /// An event of an instance, its further values as they came.
+    /// An event for one instance; `rest` holds its remaining values, not parsed yet.
     Event { name: &'a str, instance: &'a str, rest: &'a [Value] },
 }
 
-/// Reads one line.
+/// Parses one line.
 pub fn parse_line(value: &Value) -> Result<Line<'_>, String> {
     let values = value.as_array().ok_or("not an array")?;
     let name = values.first().and_then(Value::as_str).ok_or("no name in front")?;
@@ -33,7 +33,7 @@
     }
 }
 
-/// The seed and the settings of a new instance.
+/// Parses the seed and the settings of a new instance.
 pub fn parse_provision(rest: &[Value]) -> Result<(u64, &Value), String> {
     Ok((required_number(rest, 0, "prng")?, rest.get(1).ok_or("no setup")?))
 }
@@ -46,7 +46,7 @@
     Ok(required(values.get(at).and_then(Value::as_str), key)?)
 }
 
-/// A number that may be absent or null.
+/// Returns 0 for a number that is absent or null.
 fn optional_number(values: &[Value], at: usize, key: &str) -> Result<u64, String> {
     match values.get(at) {
         None | Some(Value::Null) => Ok(0),
@@ -77,7 +77,7 @@
     })
 }
 
-/// A load report; columns that are not known are skipped.
+/// Parses a load report; unknown fields are ignored.
 fn parse_load_report(value: Option<&Value>) -> Result<Option<LoadReport>, String> {
     match value {
         None | Some(Value::Null) => Ok(None),
@@ -141,7 +141,7 @@
     }))
 }
 
-/// Reads an event; `None` for one that is not known.
+/// Parses an event; returns `None` for an unknown one.
 pub fn parse_event(
     name: &str,
     v: &[Value],
@@ -191,7 +191,7 @@
     }))
 }
 
-/// Puts an action into the wire's words.
+/// Encodes an action in the words of the protocol.
 pub fn encode_action(instance: &str, action: Action) -> Value {
     match action {
         Action::Send { id, server, stop_at, .. } => json!(["relay", instance, &*id, stop_at, &*server]),
--- a/drill/tests/unit/run.rs
+++ b/drill/tests/unit/run.rs
@@ -1,4 +1,4 @@
-//! Whole batches through the adapter's loop.
+//! Tests that pass whole batches through the adapter's main loop.
 
 use super::run;
 
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -1,4 +1,4 @@
-//! What is decided without the decisions: at the door, and at the end of a request's time.
+//! Tests the admission functions: refusal on arrival, retry-after advice, timeouts and the execution record.
 
 mod support;
 use frosttrail::admission::{admits, answer_timeout, release_timeout, retry_after, ExecutionRecord};
@@ -40,16 +40,16 @@
         (Effect::Unsafe, false),
     ] {
         let mut record = execution_record(effect);
-        assert!(record.may_be_refused(), "nothing was sent");
+        assert!(record.may_be_refused(), "no attempt was sent");
         record.sent(false);
         record.ended();
         assert!(record.may_be_refused(), "a prefill takes no effect");
         record.sent(true);
-        assert_eq!(record.may_be_refused(), harmless, "it is out");
+        assert_eq!(record.may_be_refused(), harmless, "the attempt is active");
         record.ended();
         assert_eq!(record.may_be_refused(), harmless, "it may have run");
         record.sent(false);
         record.ended();
-        assert_eq!(record.may_be_refused(), harmless, "it may have run before");
+        assert_eq!(record.may_be_refused(), harmless, "an earlier attempt may have run");
     }
 }
--- a/tests/cost.rs
+++ b/tests/cost.rs
@@ -1,16 +1,16 @@
-//! What an event costs, counted in looks at single servers, with fleets of 100 to 11,000 servers of which
-//! many are in slow start: at most a few for each server, however many requests are held, and on average less
-//! than one pass over all of them.
+//! Bounds the cost of an event, counted in scans of single servers, for fleets of 100 to 11,000 servers of
+//! which many are in slow start. An event scans each server a few times at most, however many requests are
+//! queued, and on average takes less than one pass over the fleet.
 
 mod support;
 use frosttrail::*;
 use support::*;
 
 const FLEET_SIZES: [usize; 4] = [100, 1_000, 3_200, 11_000];
-/// Beyond one pass over a role for the request itself, an event has so many looks.
+/// Scans that an event may take in addition to its passes over the servers.
 const FIXED_SCANS: u64 = 60_000;
 
-/// What the events of a run have cost.
+/// The scans that the events of a run have taken.
 struct Cost {
     max_scans: u64,
     event_count: u64,
@@ -29,7 +29,8 @@
         .collect()
 }
 
-/// Requests at 100 a second, a part of which is answered late, while a quarter of the servers restarts.
+/// Plays 1,000 requests at 100 a second. A tenth of them is never answered, and a quarter of the servers
+/// restarts meanwhile.
 fn simulate(size: usize, conductors: u32, may_probe: bool) -> Cost {
     let settings = Settings { conductors, may_probe, ..Settings::example() };
     let (mut harness, servers) = (RouterHarness::with_seed(settings, 7), fleet(size));
@@ -72,7 +73,7 @@
             let probed = Event::ProbeEnded { server, outcome: Outcome::Served, load };
             due.extend(count_scans(&mut harness, &mut |harness| harness.handle(probed.clone())));
         }
-        // Every tenth read is not heard of, and given up after a second.
+        // Every tenth prefill gets no answer and times out after a second.
         if nth % 10 == 0 {
             unanswered.extend(sends(&due).into_iter().map(|(id, server)| (nth + 100, id, server)));
             due.clear();
@@ -104,9 +105,9 @@
         }
         for (size, cost) in &costs {
             let mean_scans = cost.mean_scans();
-            // The small fleets' parts can't take what is asked of them: requests are held.
+            // The router's share of a small fleet can't serve this rate, so requests are queued.
             let limit = if *size <= FLEET_SIZES[1] { 10_000.0 } else { *size as f64 / 2.0 };
-            assert!(mean_scans <= limit, "{size} servers, {conductors}: {mean_scans} scans an event");
+            assert!(mean_scans <= limit, "{size} servers, {conductors}: {mean_scans} scans per event");
         }
     }
 }
--- a/tests/facade.rs
+++ b/tests/facade.rs
@@ -1,4 +1,4 @@
-//! The facade in blocking style: verdicts in order, attempts numbered, timers kept.
+//! Tests the blocking facade: it returns decisions in order, numbers attempts and keeps timers.
 
 mod support;
 
@@ -24,7 +24,7 @@
     Report::Ended { outcome, cached_tokens: 0, load: None }
 }
 
-/// The verdicts' kinds; a send by its server.
+/// The name of each decision; for a send, its server.
 fn decision_names(decisions: &Decisions) -> Vec<String> {
     let name = |(_, decision): &(Id, Decision)| match decision {
         Decision::Send { server, .. } => server.to_string(),
@@ -46,7 +46,7 @@
     assert!(decision_names(&facade.report(NOW + 90 * MS, &id, ended(Outcome::Served))).is_empty());
     assert!(
         decision_names(&facade.report(NOW + 90 * MS, &id, Report::Closed)).is_empty(),
-        "nothing is left to do"
+        "no decision follows the end of a request"
     );
     assert!(
         facade.submit(NOW + 91 * MS, with_effect(Effect::Unsafe, query("a", 1_000))).is_some(),
@@ -103,12 +103,12 @@
     let (mut now, mut names) = (NOW, Vec::new());
     while names.is_empty() && now < NOW + 10 * SEC {
         let due = facade.next_timer_at().expect("a timer runs for as long as the facade is used");
-        assert!(due > now, "each tick sets the next one later");
+        assert!(due > now, "each timer sets the next one for a later time");
         now = due;
         names = decision_names(&facade.fire_timers(now));
     }
     assert_eq!(names, ["Refuse"], "no server is known");
-    assert!(now <= NOW + 5 * SEC, "before its client gives up");
+    assert!(now <= NOW + 5 * SEC, "the refusal comes before the client's budget ends");
 }
 
 #[test]
@@ -117,7 +117,7 @@
     let mut max_entries = [0, 0];
     for n in 0..400_u64 {
         let now = NOW + n * SEC;
-        // All servers are replaced; every client, session and request is new, and some never end well.
+        // All servers are replaced; every session and request is new, and a third of the requests fails.
         let names = [format!("reader {n}"), format!("writer {n}")];
         let entries = vec![entry(&names[0], 0), entry(&names[1], 1)];
         facade.update_servers(now, ListUpdateKind::Full, entries);
--- a/tests/floors.rs
+++ b/tests/floors.rs
@@ -1,5 +1,5 @@
-//! What no class, tenant, prompt length, session or third of a time may be denied while the servers have too
-//! much to do, and that no request is sent that can't be answered in its client's time.
+//! Tests fairness under overload: the least share of answers that each class, tenant, prompt length, session
+//! and third of a run gets. Also tests that no request is sent that can't be answered within its budget.
 
 mod support;
 
@@ -10,12 +10,13 @@
 use support::fleet::{Fleet, RequestEnd};
 use support::*;
 
-/// Servers of either kind, which are in balance: each pair answers 8 requests of mean length a second.
+/// Prefill servers, and as many decode servers. Their capacities match: each pair answers 8 requests of mean
+/// length a second.
 const SERVER_PAIRS: usize = 2;
 const CAPACITY_PER_S: f64 = 8.0 * SERVER_PAIRS as f64;
 const LOAD_DURATION: Micros = 60 * SEC;
 
-/// Two classes of either effect, three tenants within their quotas.
+/// Two classes, one safe and one unsafe, and three tenants within their quotas.
 fn settings() -> Settings {
     let fragile = RequestClass { name: "book".into(), effect: Effect::Unsafe, ..RequestClass::example() };
     let classes = vec![Arc::new(RequestClass::example()), Arc::new(fragile)];
@@ -23,7 +24,7 @@
     Settings { classes, tenants: tenants.to_vec(), ..Settings::example() }
 }
 
-/// A small generator, so that a failure can be played again.
+/// A seeded random number generator, which makes failures reproducible.
 struct Random(u64);
 
 impl Random {
@@ -33,8 +34,8 @@
     }
 }
 
-/// Requests that come evenly but for chance, at so many times what the servers can do. Lengths are spread
-/// over a factor of 20, with a mean at which reading and answering are in balance.
+/// Generates random arrivals at `load_factor` times the servers' capacity. Prompt lengths span a factor of
+/// 20, with a mean that loads prefill and decode servers equally.
 fn generate_load(
     seed: u64,
     load_factor: f64,
@@ -85,7 +86,7 @@
         let (mut queries, fleet) = simulate(seed, load_factor, 5 * SEC);
         let name = format!("seed {seed}, {load_factor} times");
         let all = served_share(&fleet, queries.iter());
-        // Half of what the servers can do at least.
+        // At least half of the servers' capacity is used.
         assert!(all >= 0.5 / load_factor, "{name}: {all:.2} served");
         for class in settings().classes {
             let share = served_share(&fleet, queries.iter().filter(|q| q.1.class == class));
@@ -104,7 +105,7 @@
         let tenth = queries.len() / 10;
         for (longest, part) in [("tenth", &queries[..tenth]), ("next fifth", &queries[tenth..3 * tenth])] {
             let share = served_share(&fleet, part.iter());
-            // Shortest first leaves them less, but a third of what the others have.
+            // Shortest-first order gives long prompts less, but at least a third of the average share.
             assert!(share >= all / 3.0, "{name}: the longest prompts' {longest}: {share:.2} of {all:.2}");
         }
     }
@@ -129,8 +130,9 @@
     }
 }
 
-/// Clients wait for less than the class's aim, and half of the servers go: what can't be answered in that
-/// time is refused while it is held, rather than sent, cut short and failed as what may have run.
+/// Budgets are shorter than the class's first-token target, and half of the servers leave. Requests that
+/// can't be answered in time are refused while queued. If they were sent, they would time out and have to
+/// fail, as they may have run.
 #[test]
 fn short_budgets_and_the_loss_of_half_the_servers_cause_refusals_not_failures() {
     for seed in [11, 12, 13] {
@@ -150,7 +152,7 @@
         let (failed, refused) = (count(RequestEnd::Failed), count(RequestEnd::Refused));
         assert!(failed * 25 <= refused, "seed {seed}: {failed} failed, {refused} refused");
         assert!(served_share(&fleet, queries.iter()) >= 0.4, "seed {seed}");
-        assert_eq!(fleet.request_ends.len(), queries.len(), "each has one answer");
+        assert_eq!(fleet.request_ends.len(), queries.len(), "each request has one final answer");
     }
 }
 
@@ -158,11 +160,12 @@
     actions.iter().any(|a| matches!(a, Action::Log(line) if line.starts_with("open")))
 }
 
-/// A wait that the client's time cut short says nothing of the server; a wait in full does.
+/// A timeout caused by a short client budget says nothing about the server; a timeout after the full wait
+/// does.
 #[test]
 fn a_timeout_from_the_clients_budget_does_not_open_the_breaker() {
     for (budget, opens) in [(200 * MS, false), (5 * SEC, true)] {
-        // Enough for one read and its answer, so that each is sent once.
+        // Two attempts are enough for one prefill and one decode, so each request is sent once.
         let mut harness = RouterHarness::new(with_max_attempts(2, settings()), &[("p", 0), ("d", 1)]);
         let mut all = Vec::new();
         for n in 0..4 {
@@ -176,7 +179,8 @@
     }
 }
 
-/// Lengths over a factor of 20; a few that are ten times as long; a long tail.
+/// Distributions of prompt lengths: log-uniform over a factor of 20, 15 % that are about ten times as long,
+/// or a heavy tail.
 #[derive(Clone, Copy, Debug)]
 enum LengthDistribution {
     LogUniform,
@@ -196,7 +200,7 @@
     }
 }
 
-/// Of each class the answered share, and that of its tenth with the longest prompts.
+/// The answered share of each class, and that of the tenth of its requests with the longest prompts.
 fn served_shares_by_class(
     lengths: LengthDistribution,
     [per_ktoken, aim, deadline]: [Micros; 3],
@@ -241,8 +245,8 @@
     (0..3).map(shares_of).collect()
 }
 
-/// Two thirds of its class's answered share on a quiet load, half under too much: in each class, whatever the
-/// lengths and the settings.
+/// The tenth gets at least two thirds of its class's answered share under light load and half of it under
+/// overload, for all length distributions and class targets.
 #[test]
 fn the_longest_tenth_of_each_class_gets_its_share_of_the_answers() {
     let all_times = [
@@ -275,8 +279,8 @@
     }
 }
 
-/// On a quiet load, with servers of every role and half of them just started: whatever is drawn by a hash, by
-/// a prefix, a tenant or a class, no set of requests is refused throughout.
+/// Under light load, with mixed servers and with servers in slow start, no set of requests that shares a
+/// session, prefix, tenant or class is refused throughout. Such a set may hash to the same servers.
 #[test]
 fn under_light_load_no_session_prefix_tenant_or_class_is_shut_out() {
     for (conductors, mixed, cold) in
@@ -293,8 +297,8 @@
             let more = (0..mixed).map(|n| starts(format!("m{n}"), 2));
             let half = (0..2).flat_map(|n| [starts(format!("p{n}"), 0), starts(format!("d{n}"), 1)]);
             fleet.update_servers(ListUpdateKind::Changes, more.chain(half).collect());
-            // This router's part of a quiet load, and three times as much where there are several: traffic is
-            // uneven.
+            // This router's share of a light load. With several routers it gets three times its share, as
+            // traffic is uneven.
             let per_s =
                 CAPACITY_PER_S * 2.0 * 0.5 / f64::from(conductors) * if conductors > 1 { 3.0 } else { 1.0 };
             let (mut random, mut at, mut queries) = (Random(seed), 0.0, Vec::new());
--- a/tests/guard.rs
+++ b/tests/guard.rs
@@ -1,4 +1,4 @@
-//! The guard of what goes out, by itself: each rule at its edge.
+//! Tests the limits of each rule that the guard enforces on attempts and answers.
 
 mod support;
 
@@ -9,7 +9,7 @@
     std::sync::Arc::new(RequestClass { effect, max_attempts: 3, ..RequestClass::example() })
 }
 
-/// A prefill server and two decode servers in different zones, and one request.
+/// A guard that knows one prefill server, two decode servers in different zones and one request.
 fn guard(effect: Effect) -> (Guard, Id) {
     let mut guard = Guard::new(&Settings::example());
     let entries = [entry("r", 0), entry("w1", 1), ServerEntry { zone: 1, ..entry("w2", 1) }];
@@ -75,7 +75,7 @@
             ("w1", SEC + window, may_repeat_after_window),
         ] {
             let (mut guard, id) = guard(effect);
-            // A read has no effect, however it ends.
+            // A prefill has no effect, however it ends.
             assert_eq!(send(&mut guard, &id, "r"), Ok(()));
             guard.attempt_ended(&id, Outcome::ConnectionLost);
             assert_eq!(send(&mut guard, &id, "w1"), Ok(()));
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -1,4 +1,4 @@
-//! What a router that takes another's place is given of what that one has learned.
+//! Tests what a router's successor takes over: its snapshot and its open work.
 
 mod support;
 
@@ -11,7 +11,7 @@
     ServerEntry { started: now - SEC, ..entry("cold", 1) }
 }
 
-/// Serves so many requests, one after another, in a second.
+/// Serves this many requests, one after another, in a second.
 fn serve(harness: &mut RouterHarness, requests: usize) {
     for n in 0..requests {
         let id = format!("served-{n}");
@@ -24,7 +24,7 @@
     }
 }
 
-/// How many of 40 requests within 2 s a writer in slow start gets.
+/// How many of 40 requests within 2 s go to a decode server in slow start.
 fn sends_to_slow_start_server(harness: &mut RouterHarness) -> usize {
     let mut count = 0;
     for n in 0..40 {
@@ -39,7 +39,7 @@
     count
 }
 
-/// A router that takes the place of one that has served, at the same moment by its own, later clock.
+/// A successor that restores the router's snapshot at the same moment. Its clock is ahead by `clock_offset`.
 fn successor(harness: &RouterHarness, clock_offset: Micros) -> RouterHarness {
     let text = serde_json::to_string(&harness.router.snapshot(harness.now)).unwrap();
     let mut snapshot: Snapshot = serde_json::from_str(&text).unwrap();
@@ -106,7 +106,7 @@
     assert!(snapshot.is_empty());
 }
 
-/// Every request that a router sends to its one reader before it holds the rest.
+/// How many of 30 requests the router sends to its one prefill server before it queues the rest.
 fn prefills_before_queueing(harness: &mut RouterHarness, name: &str) -> usize {
     (0..30).map(|n| sends(&harness.submit(query(&format!("{name}-{n}"), 100))).len()).sum()
 }
@@ -122,7 +122,7 @@
     }
     new.router.set_foreign_work(old.router.open_work());
     assert_eq!(prefills_before_queueing(&mut new, "new"), 2);
-    // What the other has is not told to it as one's own, and is free again once it has gone.
+    // `open_work` excludes foreign work, and foreign work no longer counts once its process has ended.
     old.router.set_foreign_work(new.router.open_work());
     assert_eq!(prefills_before_queueing(&mut old, "more"), 0);
     new.router.set_foreign_work(OpenWork::default());
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -1,4 +1,4 @@
-//! How CI takes tests that are known to fail (`.ci/judge`): those alone may fail, and none is passed over.
+//! Tests `.ci/judge`, which lets only the tests listed as known to fail do so, and reports each of them.
 
 use std::io::Write;
 use std::path::PathBuf;
@@ -8,7 +8,7 @@
     2 tests, 0 benchmarks\n     Running unittests src/lib.rs (target/debug/deps/frost-0123abcd)\n\
     inner::late: test\n";
 
-/// What cargo prints where these tests, of two, ended so.
+/// The output of `cargo test` for two test binaries with these results.
 fn cargo_output(late: &str, never: &str, inner: &str) -> String {
     format!(
         "     Running tests/a.rs (target/debug/deps/a-0123abcd)\n\nrunning 2 tests\ntest late ... {late}\n\
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -1,11 +1,11 @@
-//! The ordinary path and the failures found, one small test each.
+//! Tests the usual path of a request and each failure found so far, in one small test each.
 
 mod support;
 use frosttrail::*;
 use std::collections::BTreeMap;
 use support::*;
 
-/// One of three routers: its part is four reads at a reader, or 4,000 tokens.
+/// One of three routers: its share of a prefill server is four prefills or 4,000 tokens.
 fn settings_of_three_routers() -> Settings {
     Settings { conductors: 3, ..Settings::example() }
 }
@@ -22,7 +22,7 @@
     harness.start_answer("a", 1);
     let out = harness.end_attempt("a", 1, "w", Outcome::Served);
     assert!(out.iter().all(|a| matches!(a, Action::Log(_))));
-    assert!(harness.end_attempt("a", 1, "w", Outcome::Served).is_empty(), "a second outcome is passed over");
+    assert!(harness.end_attempt("a", 1, "w", Outcome::Served).is_empty(), "a second outcome is ignored");
 }
 
 #[test]
@@ -31,7 +31,7 @@
     for i in 0..4 {
         assert_eq!(sends(&harness.submit(query(&format!("first-{i}"), 900))).len(), 1);
     }
-    assert!(sends(&harness.submit(query("long", 4_000))).is_empty(), "the reader is at its cap");
+    assert!(sends(&harness.submit(query("long", 4_000))).is_empty(), "the prefill server is at its limit");
     assert!(sends(&harness.submit(query("short", 300))).is_empty());
     let out = harness.end_attempt("first-0", 0, "r", Outcome::PrefillDone);
     assert_eq!(sends(&out)[1], ("short".into(), "r".into()));
@@ -92,7 +92,8 @@
     assert_ne!(first, second);
 }
 
-/// Writers of states that were read by `r` in cell 0, so many one after another, each stream left running.
+/// The decode servers chosen for this many requests in turn. Each is prefilled by `r` in rack 0, and its
+/// stream stays open.
 fn chosen_decode_servers(fleet: &[(&str, usize, u64)], requests: usize) -> Vec<String> {
     let mut harness = RouterHarness::new(Settings { conductors: 2, ..Settings::example() }, &[("r", 0)]);
     let list_entry =
@@ -100,7 +101,7 @@
     harness.update_servers(ListUpdateKind::Changes, fleet.iter().map(list_entry).collect());
     let decode_server_of = |i: usize| {
         let id = format!("{i}");
-        // A long prompt is not read whole by a mixed server.
+        // A mixed server does not prefill a long prompt.
         harness.submit(query(&id, 4_000));
         let decode_server = sends(&harness.end_attempt(&id, 0, "r", Outcome::PrefillDone)).remove(0).1;
         harness.start_answer(&id, 1);
@@ -111,7 +112,7 @@
 
 #[test]
 fn decode_stays_in_the_prefill_rack_until_a_third_of_the_routers_share_streams_there() {
-    // One of two routers: its part of a writer is forty streams.
+    // One of two routers: its share of a decode server is forty streams.
     let chosen = chosen_decode_servers(&[("near", 1, 0), ("far", 1, 1)], 20);
     assert!(chosen[..14].iter().all(|server| server == "near"), "{chosen:?}");
     assert!(chosen[14..].iter().all(|server| server == "far"), "{chosen:?}");
@@ -155,7 +156,10 @@
     for i in 0..4 {
         harness.end_attempt(&format!("{i}"), 0, "r", Outcome::PrefillDone);
     }
-    assert!(sends(&harness.submit(query("next", 900))).is_empty(), "four have not begun");
+    assert!(
+        sends(&harness.submit(query("next", 900))).is_empty(),
+        "four requests wait for their first token"
+    );
     assert_eq!(sends(&harness.start_answer("0", 1)).len(), 1);
 }
 
@@ -177,7 +181,10 @@
     harness.submit(query("a", 900));
     harness.end_attempt("a", 0, "r", Outcome::PrefillDone);
     let out = harness.end_attempt("a", 1, "w", Outcome::CacheMissing);
-    assert!(releases_cache(&out, "a"), "its reader may only be cut off and still hold it");
+    assert!(
+        releases_cache(&out, "a"),
+        "the prefill server may only be unreachable and still hold the KV cache"
+    );
     assert_eq!(sends(&out), [("a".into(), "r".into())]);
 }
 
@@ -205,7 +212,7 @@
     let mut harness = RouterHarness::new(settings, &[("r", 0), ("w", 1), ("m", 2)]);
     harness.submit(query("a", 9_000));
     let out = harness.end_attempt("a", 0, "r", Outcome::ConnectionLost);
-    assert!(sends(&out).is_empty(), "two stages need two attempts and long prompts spare mixed servers");
+    assert!(sends(&out).is_empty(), "two stages need two attempts, and long prompts avoid mixed servers");
     let out = harness.advance(6 * SEC);
     assert!(is_refused(&out, "a"));
 }
@@ -216,7 +223,7 @@
     let home = sends(&harness.submit(query("a", 900)));
     for attempt in 0..2 {
         let out = harness.end_attempt("a", attempt, &home[0].1, Outcome::StaleConnection);
-        assert_eq!(sends(&out), home, "its reader is as good as before");
+        assert_eq!(sends(&out), home, "the prefill server is as healthy as before");
     }
 }
 
@@ -336,7 +343,7 @@
         first(1, &session) == "m"
     };
     let taken = (0..200).filter(mixed).count();
-    assert!((20..100).contains(&taken), "{taken} of 200 go whole to the mixed server");
+    assert!((20..100).contains(&taken), "{taken} of 200 go to the mixed server for both stages");
 }
 
 #[test]
@@ -350,14 +357,17 @@
             harness.submit(query(&format!("{i}"), 3_900));
         }
         assert!(sends(&harness.submit(query("short", 500))).is_empty());
-        assert!(sends(&harness.advance(200 * MS)).is_empty(), "not before a quarter of the aim");
+        assert!(
+            sends(&harness.advance(200 * MS)).is_empty(),
+            "not before a quarter of the first-token target"
+        );
         sends(&harness.advance(150 * MS))
     };
     assert!(start(true).iter().any(|(id, server)| id == "short" && server.starts_with('w')));
     assert!(start(false).is_empty());
 }
 
-/// What a client is told: the ids that were refused, with the advice.
+/// The ids of the refused requests, with their retry-after.
 fn refusals(actions: &[Action]) -> Vec<(String, Micros)> {
     let pair = |a: &Action| match a {
         Action::Refuse { id, retry_after } => Some((id.to_string(), *retry_after)),
@@ -376,11 +386,14 @@
     harness.submit(query("a", 900));
     harness.now += 3 * MS;
     harness.submit(query("b", 900));
-    assert!(refusals(&harness.advance(780 * MS)).is_empty(), "its aim of 1.05 s can still be met");
+    assert!(
+        refusals(&harness.advance(780 * MS)).is_empty(),
+        "the first-token target of 1.05 s can still be met"
+    );
     let refused = refusals(&harness.advance(150 * MS));
-    assert_eq!(refused.len(), 2, "answered as soon as it is given up, not at the deadline of 5 s");
+    assert_eq!(refused.len(), 2, "refused once the target is out of reach, not at the deadline of 5 s");
     assert!(refused.iter().all(|refusal| (200 * MS..=400 * MS).contains(&refusal.1)), "{refused:?}");
-    assert_ne!(refused[0].1, refused[1].1, "they must not come back together");
+    assert_ne!(refused[0].1, refused[1].1, "the retries must be spread");
 }
 
 #[test]
@@ -422,7 +435,7 @@
     assert_eq!(
         sends(&harness.submit(client_retry("room"))).len(),
         1,
-        "its client has waited 4 s, but there is room"
+        "its client has waited 4 s, but the server has room"
     );
     for i in 0..3 {
         harness.submit(query(&format!("first-{i}"), 500));
@@ -440,7 +453,7 @@
     near.chain(far).chain([entry("w", 1), entry("w2", 1)]).collect()
 }
 
-/// Asks until `n` sends went to the far zone, which can't be reached; gives their times.
+/// Submits requests for `span` and returns the times of the sends to the far zone, which is unreachable.
 fn sends_to_unreachable_zone(harness: &mut RouterHarness, span: Micros) -> Vec<Micros> {
     let (mut times, end, mut i) = (Vec::new(), harness.now + span, 0);
     while harness.now < end {
@@ -473,8 +486,9 @@
     let mut harness = RouterHarness::new(settings_of_three_routers(), &[]);
     harness.update_servers(ListUpdateKind::Changes, two_zones());
     let times = sends_to_unreachable_zone(&mut harness, 10 * SEC);
-    // Eight breakers and a panic would send there all the time; a few find out and a few try again.
-    assert!((3..=12).contains(&times.len()), "{} sends into the lost zone", times.len());
+    // Without a check of whole zones, eight open breakers would be ignored as most of the role and every
+    // request could go there. With it, a few attempts find the failure and a few more retry.
+    assert!((3..=12).contains(&times.len()), "{} sends to the unreachable zone", times.len());
 }
 
 #[test]
@@ -485,7 +499,7 @@
         sends_to_unreachable_zone(&mut harness, 4 * SEC)
     };
     let all: std::collections::BTreeSet<_> = (1..9).map(retry_times).collect();
-    assert!(all.len() > 4, "each router has moments of its own");
+    assert!(all.len() > 4, "each router retries at times of its own");
 }
 
 #[test]
@@ -499,10 +513,10 @@
     );
     let client_retry = |id: &str| Query { is_client_retry: true, budget: SEC, ..query(id, 300) };
     let out = harness.submit(client_retry("late"));
-    assert!(is_refused(&out, "late") && sends(&out).is_empty(), "answered at once");
+    assert!(is_refused(&out, "late") && sends(&out).is_empty(), "refused at once");
     assert_eq!(sends(&harness.submit(query("fresh", 300))).len(), 1);
     harness.advance(1_100 * MS);
-    assert_eq!(sends(&harness.submit(client_retry("after"))).len(), 1, "the jam is over");
+    assert_eq!(sends(&harness.submit(client_retry("after"))).len(), 1, "the queue has cleared");
 }
 
 #[test]
@@ -519,12 +533,12 @@
             _ => None,
         })
     };
-    // It would be held until its aim has passed, as a reader and a writer are two attempts.
+    // If queued, it would wait until its target has passed, as prefill and decode need two attempts.
     let advised = retry_after(&[("r1", 0), ("w1", 1), ("w2", 1)]);
     assert!(advised.is_some_and(|delay| delay <= 200 * MS), "{advised:?}");
     assert_eq!(
         retry_after(&[("r1", 0), ("w1", 1), ("w2", 1), ("m", 2)]),
         None,
-        "a mixed server can take it whole"
+        "a mixed server can do both stages in one attempt"
     );
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The five rules: each at its edge, and a checker of its own over random orders of events.
+//! Tests the limits of the five rules, and checks them independently over random orders of events.
 
 mod support;
 use frosttrail::*;
@@ -24,7 +24,7 @@
 #[test]
 fn a_queued_request_is_refused_before_its_client_leaves() {
     let mut harness = RouterHarness::new(Settings::example(), &[]);
-    // Its client leaves before the aim of 1.05 s has passed; a read and a first token take 0.285 s.
+    // The client leaves before the first-token target of 1.05 s; prefill and a first token take 0.285 s.
     harness.submit(Query { budget: 800 * MS, ..query("a", 900) });
     assert!(!is_refused(&harness.advance(510 * MS), "a"));
     assert!(is_refused(&harness.advance(20 * MS), "a"));
@@ -65,7 +65,7 @@
 fn a_keyed_request_is_repeated_in_its_scope_and_window_only() {
     let groups = [(DedupScope::All, true), (DedupScope::Zone, false), (DedupScope::Rack, false)];
     for (scope, may_leave_scope) in groups {
-        // A connection to the next one may take its whole time to come up, and only then is the send made.
+        // The connection to the next server may take up to its timeout, and the request is sent only then.
         let connect = Settings::example().connect_timeout;
         let short = SEC + connect;
         for (window, in_window) in [(10 * SEC, true), (short + MS, true), (short, false), (SEC, false)] {
@@ -79,7 +79,8 @@
             assert_eq!(sends(&harness.end_attempt("a", 0, "r", Outcome::PrefillDone))[0].1, "w1");
             harness.now += SEC;
             let mut sent = sends(&harness.end_attempt("a", 1, "w1", Outcome::ConnectionLost));
-            // It may never have arrived: what it was to fetch has waited too long, and is read anew first.
+            // The attempt may never have arrived, so its KV cache has waited too long: the prompt is
+            // prefilled again first.
             assert!(sent.iter().all(|s| s.1 == "r"), "{scope:?} {window}");
             if !sent.is_empty() {
                 sent.extend(sends(&harness.end_attempt("a", 2, "r", Outcome::PrefillDone)));
@@ -100,7 +101,10 @@
     }
     let mut harness = RouterHarness::new(Settings::example(), &FLEET);
     harness.update_servers(ListUpdateKind::Full, vec![entry("w1", 1)]);
-    assert!(sends(&harness.submit(query("a", 900))).is_empty(), "missing in a full list is gone");
+    assert!(
+        sends(&harness.submit(query("a", 900))).is_empty(),
+        "a server that is missing from a full list is gone"
+    );
 }
 
 #[test]
@@ -143,8 +147,8 @@
     for of in [1, 3, 100] {
         assert_eq!(run(7, Some(1.0 / f64::from(of))), run(of, None));
     }
-    assert_ne!(run(1, Some(0.01)), run(1, None), "a smaller part is a smaller part");
-    // Nothing that a part can't be does harm.
+    assert_ne!(run(1, Some(0.01)), run(1, None), "a smaller share has an effect");
+    // Shares out of range are harmless.
     for part in [0.0, -1.0, 7.0, f64::INFINITY] {
         run(2, Some(part));
     }
@@ -159,21 +163,24 @@
     assert!(releases_cache(&harness.advance(480 * MS), "a"));
 }
 
-/// The release beside an attempt that has not been heard of takes nothing where the attempt had arrived and
-/// waits in its server's queue; once it is given up, what it waited for is still held.
+/// A release sent while an attempt is active frees nothing if the attempt has arrived and waits in its
+/// server's queue: its KV cache is still held when the attempt times out, and must be released again.
 #[test]
 fn a_release_during_an_attempt_that_had_arrived_is_repeated_at_its_end() {
     for outcome in [Outcome::NoAnswer, Outcome::ConnectionLost, Outcome::Rejected, Outcome::NoConnection] {
         let mut harness = RouterHarness::new(Settings::example(), &[("r", 0), ("w", 1)]);
         harness.submit(query("a", 900));
         harness.end_attempt("a", 0, "r", Outcome::PrefillDone);
-        assert!(releases_cache(&harness.advance(800 * MS), "a"), "in time for an attempt that never arrived");
-        // Nobody takes it from here on: no other attempt can begin.
+        assert!(
+            releases_cache(&harness.advance(800 * MS), "a"),
+            "released in time in case the attempt never arrived"
+        );
+        // No other attempt can fetch the KV cache: no server is left.
         harness.update_servers(ListUpdateKind::Full, Vec::new());
         let at_its_end = releases_cache(&harness.end_attempt("a", 1, "w", outcome), "a");
         assert!(
             at_its_end || releases_cache(&harness.advance(480 * MS), "a"),
-            "{outcome:?}: within the settings' time"
+            "{outcome:?}: not released within the configured timeout"
         );
     }
 }
@@ -197,17 +204,17 @@
     assert_eq!(run(), run());
 }
 
-/// A request as the checker sees it; it knows nothing of the module.
+/// A request as the checker observes it, without knowledge of the router's state.
 #[derive(Default)]
 struct ObservedRequest {
     deadline: Micros,
     attempts: u32,
-    /// Server, send time, when and how it ends, and whether the stream has begun.
+    /// The active attempt: server, send time, end time, outcome, and whether the answer has started.
     active: Option<(usize, Micros, Micros, Option<Outcome>, bool)>,
     ended: bool,
-    /// A state waits since the last outcome.
+    /// The time of the last outcome, while a KV cache waits.
     cache_since: Option<Micros>,
-    /// Writers that may have run it, with send times.
+    /// Decode and mixed servers that may have run it, with send times.
     executions: Vec<(usize, Micros)>,
 }
 
@@ -225,7 +232,7 @@
 
 impl Simulation {
     fn new(seed: u64, effect: Effect) -> Self {
-        // Few routers and many: a part of several requests, and of less than one.
+        // Few routers or many: the share at a server is several requests, or less than one.
         let conductors = if seed % 2 == 0 { 2 } else { 14 };
         // Shorter than most attempts take, or longer.
         let cache_release_timeout = if seed % 3 == 0 { 300 * MS } else { SEC };
@@ -289,7 +296,7 @@
                 let all = matches!(self.effect, Effect::Safe | Effect::Keyed { scope: DedupScope::All, .. });
                 let advice =
                     |a: &Action| matches!(a, Action::Refuse { retry_after, .. } if *retry_after > 500 * MS);
-                assert!(!advice(action), "{id}: advised beyond the stated limit");
+                assert!(!advice(action), "{id}: retry-after beyond the configured limit");
                 let refused = matches!(action, Action::Refuse { .. });
                 assert!(
                     !refused || all || (request.executions.is_empty() && request.active.is_none()),
@@ -297,7 +304,7 @@
                 );
             }
             Action::ReleaseCache { id } => {
-                // Takes only what no attempt waits for.
+                // A KV cache that an active attempt waits for stays.
                 let request = self.requests.get_mut(&**id).expect("known");
                 let waits =
                     request.active.is_some_and(|(server_index, ..)| self.fleet[server_index].kind != 0);
@@ -306,7 +313,7 @@
             Action::Cancel { id, attempt } => {
                 let due = now + self.random_below(5) * MS;
                 let request = self.requests.get_mut(&**id).expect("known");
-                assert!(*attempt < request.attempts, "cancelled what was never sent");
+                assert!(*attempt < request.attempts, "cancelled an attempt that was never sent");
                 if let Some((_, _, at, outcome, false)) = &mut request.active {
                     (*at, *outcome) = (due, Some(Outcome::Cancelled));
                 }
@@ -315,7 +322,8 @@
         }
     }
 
-    /// A repeat within a window says until when it can be written, with what a process may be held up.
+    /// Checks the `send_by` of a repeat: 150 ms before its window ends, which allows for a stall of the
+    /// process.
     fn check_send_by(&self, id: &Id, send_by: Option<Micros>) {
         let Effect::Keyed { window, .. } = self.effect else { return assert_eq!(send_by, None) };
         let first = self.requests[&**id].executions.iter().map(|(_, sent)| *sent).min();
@@ -330,9 +338,9 @@
         let delay = (1 + self.random_below(400)) * MS;
         let request = self.requests.get_mut(&**id).expect("a send for a request that was asked");
         assert!(!request.ended, "{id} sent after its answer");
-        assert!(request.active.is_none(), "two attempts of {id} out");
+        assert!(request.active.is_none(), "two active attempts of {id}");
         assert!(request.attempts < self.settings.classes[0].max_attempts, "too many attempts of {id}");
-        assert!(stop_at > now && stop_at <= request.deadline, "odd time-out");
+        assert!(stop_at > now && stop_at <= request.deadline, "invalid attempt timeout");
         let fleet = &self.fleet;
         let may_repeat = |&(first, sent): &(usize, Micros)| match self.effect {
             Effect::Safe => true,
@@ -382,7 +390,7 @@
         use Outcome::*;
         match outcome {
             PrefillDone => request.cache_since = Some(now),
-            // A reader whose connection broke may have read to the end.
+            // A prefill server whose connection broke may have finished the prefill.
             ConnectionLost | Failed if is_prefill => request.cache_since = cache_remains.then_some(now),
             NoAnswer | Cancelled | Rejected | NoConnection | NotSent if is_prefill => {
                 request.cache_since = None
@@ -411,7 +419,8 @@
         });
     }
 
-    /// News of the list: drains, ends, restarts, stale and lost lists.
+    /// Changes the server list: a server drains, leaves or restarts, or the source of the list is
+    /// unavailable.
     fn change_server_list(&mut self) {
         let server_index = self.random_below(self.fleet.len() as u64) as usize;
         let health =
@@ -419,7 +428,7 @@
         let form = [ListUpdateKind::Changes, ListUpdateKind::Full, ListUpdateKind::SourceUnavailable]
             [self.random_below(3) as usize];
         if form == ListUpdateKind::SourceUnavailable {
-            // Tells nothing: the list that is held stays in force until the change that follows.
+            // The current list stays in force until the change that follows.
             self.handle(Event::Members { form, entries: Vec::new() });
         }
         if self.fleet[server_index].health != Health::Up && health == Health::Up {
@@ -434,7 +443,7 @@
         self.handle(Event::Members { form, entries });
     }
 
-    /// Events that are odd but legal, or about nothing that is held.
+    /// Sends an event that is unusual but valid, or that concerns an unknown request.
     fn inject_odd_event(&mut self) {
         let n = self.requests.len() as u64 + 3;
         let id: Id = format!("q{}", self.random_below(n)).as_str().into();
@@ -502,7 +511,7 @@
                 let waits = request.active.is_none();
                 let held_too_long = waits
                     && request.cache_since.is_some_and(|at| now > at + self.settings.cache_release_timeout);
-                assert!(!held_too_long, "{id}: its state is neither taken nor let go");
+                assert!(!held_too_long, "{id}: its KV cache is neither fetched nor released");
                 let late = waits && !request.ended && now > request.deadline + self.settings.answer_slack;
                 assert!(!late, "{id}: no answer in time");
             }
@@ -525,7 +534,7 @@
             let mut simulation = Simulation::new(seed, effect);
             simulation.run(3_000);
             let served = simulation.log.iter().filter(|a| matches!(a, Action::Send { .. })).count();
-            assert!(served > 20, "the day must hold work: {served}");
+            assert!(served > 20, "the run must include enough sends: {served}");
         }
     }
 }
@@ -559,14 +568,14 @@
     let has_retry_after = |answer: Option<Micros>| answer.is_some_and(|t| (200 * MS..=400 * MS).contains(&t));
     let keyed = |scope| Effect::Keyed { scope, window: 2 * SEC };
 
-    // No time left, and no attempt left after two that never ran.
+    // No time is left, or no attempt is left after two that never ran.
     let mut harness = RouterHarness::new(settings(Effect::Safe), &FLEET);
     assert!(has_retry_after(one(harness.submit(Query { budget: 0, ..query("none", 900) }))));
     harness.submit(query("spent", 900));
     harness.end_attempt("spent", 0, "r", Outcome::PrefillDone);
     assert!(has_retry_after(one(harness.end_attempt("spent", 1, "w1", Outcome::Rejected))));
 
-    // It may have run: a refusal where a repeat is harmless, else a failure, which gives no advice.
+    // The request may have run: it is refused where a repeat is harmless, else failed, without a retry-after.
     let effects = [
         (Effect::Safe, true),
         (keyed(DedupScope::All), true),
@@ -585,7 +594,7 @@
         );
     }
 
-    // The client has left, or is served: nothing more is owed.
+    // The client has left or is served: no answer is due.
     let mut harness = RouterHarness::new(settings(Effect::Safe), &FLEET);
     harness.submit(query("left", 900));
     harness.submit(query("served", 900));
@@ -605,7 +614,7 @@
         harness.handle(Event::Settings(with_max_attempts(1, settings_with_effect(after))));
         let out = harness.end_attempt("a", 1, "w1", Outcome::ConnectionLost);
         assert_eq!(sends(&out).len(), repeats, "{before:?}, then {after:?}");
-        // What comes now goes by the new rules: one attempt leaves nothing for a writer.
+        // New requests follow the new settings: one attempt is not enough for prefill and decode.
         let class = with_max_attempts(1, settings_with_effect(after)).classes[0].clone();
         assert!(is_refused(&harness.submit(Query { class, ..query("b", 900) }), "b"));
     }
@@ -630,7 +639,7 @@
     harness.handle(Event::Settings(of(&["new", "spent"])));
     harness.submit(Query { tenant: Some(0), ..query("within", 900) });
     harness.submit(Query { tenant: Some(1), ..query("beyond", 900) });
-    // Beyond its quota a request is given up after a tenth of its client's time.
+    // A request beyond its quota is refused after a tenth of its client's budget.
     let out = harness.advance(600 * MS);
     assert!(is_refused(&out, "beyond") && !is_refused(&out, "within"));
 }
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -1,4 +1,4 @@
-//! Many routers beside one another: what a part of less than one request must still keep.
+//! Tests many routers that share one fleet, where a router's share of a server is less than one request.
 
 mod support;
 use frosttrail::*;
@@ -30,16 +30,16 @@
         let kind = usize::from(restarted.starts_with('w'));
         group.update_servers(&[ServerEntry { started: from, ..entry(restarted, kind) }]);
         group.run_for(8 * SEC);
-        // A warm peer takes 20 a second here, and can do at least that.
+        // A warm peer takes 20 requests a second here, and its capacity is at least that.
         let budget = 20.0 * settings.slow_start_initial_share * settings.overload_multiple;
         let max_sends = group.max_sends_in_a_second(restarted, from);
-        assert!(max_sends > 0, "{restarted}: a cold server must be filled");
+        assert!(max_sends > 0, "{restarted}: a server in slow start must get requests");
         assert!(max_sends as f64 <= budget, "{restarted}: {max_sends} sends in a second, budget {budget}");
     }
 }
 
-/// Each router sees two requests a second and most have never sent to this server: what one alone may send
-/// must add up to the share that all together may.
+/// Each router sees two requests a second, and most have never sent to this server. Their own budgets must
+/// add up to the budget of all routers together.
 #[test]
 fn routers_with_little_traffic_or_no_history_still_fill_a_server_in_slow_start() {
     for (restarted, before) in [("r0", 15), ("w0", 15), ("r0", 0), ("w0", 0)] {
@@ -53,7 +53,7 @@
         let to = |server: &str| group.send_log.iter().filter(|s| &*s.1 == server && s.0 >= from).count();
         let peers: usize = (1..10).map(|i| to(&format!("{}{i}", &restarted[..1]))).sum();
         let (in_slow_start, warm) = (to(restarted), peers / 9);
-        // Half of what it may be sent, were a warm one at its limit; most of that is to arrive.
+        // Half of the budget, with the warm peers' rate as their capacity; most of that must arrive.
         let due = warm as f64 * settings.slow_start_initial_share * settings.overload_multiple / 2.0;
         assert!(
             in_slow_start as f64 >= 0.8 * due,
@@ -103,11 +103,11 @@
     for i in 0..20 {
         prefills += sends(&harness.submit(query(&format!("q{i}"), 900))).len();
     }
-    // A part is 0.12 reads; of twenty readers 2.4, not twenty.
+    // The share of one server is 0.12 prefills; of twenty servers it is 2.4, not twenty.
     assert_eq!(prefills, 2);
 }
 
-/// Readers are asked before a read, as routers of a large fleet may.
+/// Settings that allow probes: prefill servers are probed before a prefill.
 fn probing_settings() -> Settings {
     Settings { may_probe: true, ..settings_of_100_routers() }
 }
@@ -130,7 +130,7 @@
     let mut harness = harness_with_servers(probing_settings(), server_list(20, 20));
     let first = harness.submit(query("q", 900));
     let home = probed_servers(&first)[0].clone();
-    assert!(sends(&first).is_empty(), "it is asked first");
+    assert!(sends(&first).is_empty(), "the server is probed first");
     let second = end_probe(&mut harness, &home, Outcome::Served, 9.0);
     let next = probed_servers(&second)[0].clone();
     assert!(sends(&second).is_empty() && next != home);
@@ -150,7 +150,7 @@
         home = probed_servers(&last).first().cloned().unwrap_or_default();
     }
     assert_eq!(sends(&last), [("q".to_string(), homes[1].clone())]);
-    // All are past what all routers together want there: it is held, and asks again in time.
+    // All servers exceed the limit of all routers together: the request is queued, and probes are repeated.
     let mut harness = harness_with_servers(probing_settings(), server_list(3, 3));
     let mut home = probed_servers(&harness.submit(query("q", 900)));
     while let Some(at) = home.first().cloned() {
@@ -168,19 +168,20 @@
     let home = probed_servers(&harness.submit(query("q", 900)))[0].clone();
     let then = end_probe(&mut harness, &home, Outcome::NoConnection, 0.0);
     let next = probed_servers(&then);
-    assert_eq!(next.len(), 1, "the next one, once");
+    assert_eq!(next.len(), 1, "the next server is probed once");
     assert!(next[0] != home && sends(&then).is_empty());
-    // Where most are gone, each is asked once for a while, not again and again.
+    // Where most servers are unreachable, each is probed once for a while and not repeatedly.
     let mut harness = harness_with_servers(probing_settings(), server_list(3, 3));
     let (mut home, mut n) = (probed_servers(&harness.submit(query("q", 900))), 0);
     while let Some(at) = home.first().cloned() {
         n += 1;
-        assert!(n <= 3, "asked without an end");
+        assert!(n <= 3, "probes must not go on without end");
         home = probed_servers(&end_probe(&mut harness, &at, Outcome::NoConnection, 0.0));
     }
 }
 
-/// Unless they can ask, routers with a hundredth of the traffic each pile all of one prefix on its homes.
+/// Without probes, routers with a hundredth of the traffic each send all requests of one prefix to its few
+/// home servers.
 #[test]
 fn probing_routers_spread_one_prefix_over_enough_prefill_servers() {
     let max_sends = |settings: &Settings| {
@@ -193,7 +194,7 @@
         (max_sends(&settings_of_100_routers()), max_sends(&probing_settings()));
     assert!(
         with_probes <= 6 && without_probes > with_probes,
-        "out at one reader: {with_probes} when asked, else {without_probes}"
+        "active at one prefill server: {with_probes} with probes, {without_probes} without"
     );
 }
 
@@ -228,9 +229,9 @@
         let ids = (0..3).map(|i| format!("{round}{i}"));
         ids.filter(|id| sends(&harness.submit(query(id, 900))).iter().any(|s| s.1 == first)).count()
     };
-    assert_eq!(accepted(&mut harness, "at once "), 0, "it rests");
+    assert_eq!(accepted(&mut harness, "at once "), 0, "it is avoided");
     harness.advance(500 * MS);
-    assert!(accepted(&mut harness, "later ") > 0, "and is asked again");
+    assert!(accepted(&mut harness, "later ") > 0, "it gets requests again");
 }
 
 #[test]
@@ -243,7 +244,7 @@
     group.run_for(15 * SEC);
     let count = |server: &str| group.send_log.iter().filter(|s| &*s.1 == server).count();
     let all: usize = (0..6).map(|i| count(&format!("w{i}"))).sum();
-    assert!(count("w0") * 2 < all, "{} of {all} writes in the readers' rack", count("w0"));
+    assert!(count("w0") * 2 < all, "{} of {all} decodes in the rack of the prefill servers", count("w0"));
 }
 
 #[test]
@@ -253,7 +254,7 @@
             harness_with_servers(Settings { conductors, ..Settings::example() }, server_list(50, 50));
         harness.update_servers(ListUpdateKind::Full, Vec::new());
         assert!(sends(&harness.submit(query("a", 900))).is_empty());
-        // A clock that jumps by far more than the client's patience: the answer is still the first thing.
+        // The clock jumps by far more than the client's budget: the request is still answered first.
         let out = harness.update_servers(ListUpdateKind::Full, server_list(50, 50));
         assert_eq!(sends(&out).len(), 1);
         harness.now += 60 * SEC;
@@ -289,7 +290,7 @@
         finished: false,
         load,
     });
-    assert_eq!(sends(&out).len(), 1, "it goes on to a writer");
+    assert_eq!(sends(&out).len(), 1, "it goes on to a decode server");
 }
 
 #[test]
@@ -297,13 +298,13 @@
     let mut harness = harness_with_servers(settings_of_100_routers(), server_list(40, 10));
     let prefill_server = sends(&harness.submit(query("a", 900)))[0].1.clone();
     harness.end_attempt("a", 0, &prefill_server, Outcome::PrefillDone);
-    assert!(sends(&harness.submit(query("b", 900))).is_empty(), "a part of ten writers is 1.2");
+    assert!(sends(&harness.submit(query("b", 900))).is_empty(), "the share of ten decode servers is 1.2");
     assert_eq!(sends(&[harness.start_answer("a", 1), harness.advance(200 * MS)].concat()).len(), 1);
 }
 
 #[test]
 fn routers_share_the_promotion_rate_of_starved_requests() {
-    // At 120 routers a tenth of the rate of promotions is each router's part.
+    // With 120 routers, each router's share is a tenth of the rate of promotions.
     let settings = Settings { conductors: 120, ..Settings::example() };
     let mut harness = harness_with_servers(settings, server_list(0, 30));
     for i in 0..3 {
@@ -315,7 +316,7 @@
     }
     let left = sends(&harness.update_servers(ListUpdateKind::Changes, server_list(30, 0)));
     let kinds: Vec<_> = left.iter().map(|s| &s.0[..4]).collect();
-    assert_eq!(kinds, ["long", "shor", "shor"], "the readers' parts together are three");
+    assert_eq!(kinds, ["long", "shor", "shor"], "the shares of all prefill servers add up to three");
     harness.advance(100 * MS);
     let next = sends(&harness.end_attempt(&left[0].0, 0, &left[0].1, Outcome::PrefillDone));
     assert!(next[1].0.starts_with("short"), "{next:?}");
@@ -323,7 +324,7 @@
 
 #[test]
 fn a_role_that_is_always_slow_still_gets_no_more_than_the_routers_share() {
-    // Nine readers for a hundred routers: a part of 0.36 waiting requests, kept in time.
+    // Nine prefill servers for a hundred routers: the share is 0.36 waiting requests, on average over time.
     let mut harness = harness_with_servers(settings_of_100_routers(), server_list(9, 9));
     let mut sent = 0;
     let (end, mut i) = (harness.now + 10 * SEC, 0);
@@ -360,13 +361,13 @@
             }));
         }
     }
-    // 10 s x 0.36 / 0.8 s = 4.5; with one always out it would be 12.
-    assert!((3..=7).contains(&sent), "{sent} reads left");
+    // 10 s x 0.36 / 0.8 s = 4.5; with one request always active it would be 12.
+    assert!((3..=7).contains(&sent), "{sent} prefills sent");
 }
 
 #[test]
 fn a_rack_with_few_decode_servers_sends_part_of_its_requests_to_other_racks() {
-    // Rack 1 has three readers and one writer, rack 2 one reader and five writers.
+    // Rack 1 has three prefill servers and one decode server, rack 2 one prefill and five decode servers.
     let mut entries = server_list(4, 6);
     for e in &mut entries {
         e.rack = if matches!(&*e.server, "r0" | "r1" | "r2" | "w0") { 1 } else { 2 };
@@ -382,10 +383,13 @@
         if prefill_server != "r3" {
             shares[usize::from(decode_server == "w0")] += 1;
         } else {
-            assert_ne!(decode_server, "w0", "a rack with writers enough keeps what it reads");
+            assert_ne!(
+                decode_server, "w0",
+                "a rack with enough decode servers keeps the requests it prefills"
+            );
         }
     }
-    // Its share of the writers for its share of the reads is 0.22, half more is let.
+    // The rack's share of decode servers over its share of prefills is 0.22; half more than that may stay.
     assert!(shares[1] * 3 < shares[0] * 2 && shares[1] * 6 > shares[0], "{shares:?} leave and stay");
 }
 
@@ -404,7 +408,8 @@
         finished: false,
         load: None,
     });
-    // By its own 3 s the role would rest for 5.3 s; by twice the usual, 3 s counted in, for 2.7 s.
+    // Based on its own 3 s, the role would pause for 5.3 s. Based on twice the usual time, which includes
+    // these 3 s, it pauses for 2.7 s.
     harness.advance(2_700 * MS);
     assert_eq!(sends(&[harness.submit(query("b", 900)), harness.advance(200 * MS)].concat()).len(), 1);
 }
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -1,6 +1,6 @@
-//! Slow start as all routers of a fleet keep it together: what reaches a server that has just started, in any
-//! window of the settings, is its budget and what may be put down to chance, however many routers there are,
-//! however unequal their traffic, whichever have just started or learn of it late.
+//! Tests slow start across all routers of a fleet. In any window of `overload_duration`, a server that has
+//! just started gets at most its budget plus a tolerance for chance. This holds for any number of routers,
+//! for unequal traffic, and where routers have just started or learn of the server late.
 
 mod support;
 
@@ -8,10 +8,10 @@
 use support::side::RouterGroup;
 use support::*;
 
-/// Requests a second that a warm server of the fleet gets: one request comes every 5 ms, for 10 servers.
+/// Requests a second that a warm server gets: one request arrives every 5 ms, for 10 servers of each role.
 const WARM_REQUESTS_PER_S: f64 = 20.0;
 const SERVERS_PER_ROLE: usize = 10;
-/// How long the start is watched.
+/// How long the new server is observed after its start.
 const OBSERVED_DURATION: Micros = 6 * SEC;
 
 fn servers() -> Vec<ServerEntry> {
@@ -21,17 +21,17 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Scenario {
-    /// All alike.
+    /// All routers have the same traffic.
     EqualTraffic,
-    /// A tenth of them, one at least, have half of the traffic besides their part of the other half.
+    /// A tenth of the routers, at least one, gets half of the traffic and its share of the other half.
     UnequalTraffic,
     /// Half of the routers have just started.
     RestartedRouters,
-    /// A third learn of it up to 2 s late.
+    /// A third of the routers learns of the new server up to 2 s late.
     LateDiscovery,
 }
 
-/// Draws from a hash, so that a failure can be played again.
+/// Derives a random number from a hash, which makes failures reproducible.
 fn hash_draw(seed: u64, n: usize) -> u64 {
     let mut x = (seed << 32) ^ n as u64 ^ 0x9e37_79b9_7f4a_7c15;
     for _ in 0..3 {
@@ -40,8 +40,8 @@
     x ^ (x >> 31)
 }
 
-/// The most that the new server got in a window of the settings, over its budget there; and the share of the
-/// budgets of the whole time that it got.
+/// Returns the most requests that the new server got in a window of `overload_duration`, its budget for such
+/// a window, and the share of its budget that it got over the whole time.
 fn observe_slow_start(routers: u32, scenario: Scenario, seed: u64, kind: usize) -> (f64, f64, f64) {
     let settings = Settings { conductors: routers, ..Settings::example() };
     let mut group = RouterGroup::new(&settings, &servers());
@@ -92,7 +92,7 @@
 #[test]
 fn any_number_of_routers_keeps_a_new_server_within_its_budget_and_uses_a_fair_part_of_it() {
     for routers in [2, 3, 20, 30, 300] {
-        // Hundreds of routers take their time to play.
+        // Hundreds of routers take long to simulate.
         let seeds = if routers > 100 { 1 } else { 6 };
         for scenario in [
             Scenario::EqualTraffic,
@@ -114,7 +114,8 @@
                 }
                 let mean = shares.iter().sum::<f64>() / shares.len() as f64;
                 println!("{routers} routers, {scenario:?}, kind {kind}: {mean:.2} of the budget used");
-                // Few routers of which half know nothing yet go by what the others have seen: that is less.
+                // Where half of a few routers have just started, the budget follows what the others have
+                // observed, which is less.
                 let min_share = if scenario == Scenario::RestartedRouters { 0.1 } else { 0.15 };
                 assert!(
                     mean >= min_share,
--- a/tests/support/fleet.rs
+++ b/tests/support/fleet.rs
@@ -1,5 +1,5 @@
-//! Servers with a capacity, in simulated time: prefill servers read one prompt after another, decode servers
-//! stream so many answers at once; what is over that waits there. One router before them.
+//! Simulates one router in front of servers of limited capacity. A prefill server processes one prompt after
+//! another, a decode server streams a fixed number of answers at once; further requests wait at the server.
 
 use std::collections::BTreeMap;
 
@@ -7,18 +7,21 @@
 
 use super::SEC;
 
-/// Tokens that a prefill server reads a second, and what each read takes besides.
+/// Prompt tokens that a prefill server processes a second.
 pub const PREFILL_TOKENS_PER_S: u64 = 15_000;
+/// Fixed time that each prefill takes in addition to its tokens.
 const PREFILL_OVERHEAD: Micros = 20_000;
-/// Answers that a decode server streams at once; each takes so long, its first token a little.
+/// Answers that a decode server streams at once.
 pub const DECODE_SLOTS: usize = 8;
+/// Time that an answer takes from its first token to its end.
 pub const STREAM_DURATION: Micros = SEC;
+/// Time from the start of a decode to its first token.
 const FIRST_TOKEN_DELAY: Micros = 30_000;
 
-/// How a request ended, for its client.
+/// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestEnd {
-    /// Its first token came after so long.
+    /// The time from its arrival to its first token.
     Served(Micros),
     Refused,
     Failed,
@@ -36,9 +39,9 @@
 
 #[derive(Default)]
 struct Server {
-    /// A prefill server's: when it has read what it has.
+    /// When a prefill server has processed all its prompts.
     prefill_busy_until: Micros,
-    /// A decode server's: when each of its places is free.
+    /// When each slot of a decode server is free.
     slots_free_at: Vec<Micros>,
 }
 
@@ -49,7 +52,7 @@
     schedule: std::collections::BTreeSet<(Micros, u64, ScheduledEvent)>,
     sequence: u64,
     servers: BTreeMap<Id, Server>,
-    /// The attempt that is out: number, server, send time.
+    /// The active attempt of each request: number, server, send time.
     active: BTreeMap<Id, (u32, Id, Micros)>,
     next_attempt: BTreeMap<Id, u32>,
     arrivals: BTreeMap<Id, (Micros, u64)>,
@@ -59,7 +62,7 @@
 }
 
 impl Fleet {
-    /// With so many servers of either kind.
+    /// Creates a fleet with this many prefill servers (`p0`, ...) and decode servers (`d0`, ...).
     pub fn new(settings: Settings, seed: u64, prefill: usize, decode: usize) -> Self {
         let mut fleet = Fleet {
             router: Router::new(settings, seed),
@@ -91,7 +94,7 @@
         self.handle(Event::Members { form, entries });
     }
 
-    /// A client asks, so long after the start.
+    /// Schedules a request that arrives this long after the start.
     pub fn submit_at(&mut self, after: Micros, query: Query) {
         self.queries.push(query);
         self.schedule_at(100 * SEC + after, ScheduledEvent::RequestArrives(self.queries.len() - 1));
@@ -102,7 +105,7 @@
         self.schedule.insert((at.max(self.now), self.sequence, event));
     }
 
-    /// Lets time pass until so long after the start.
+    /// Runs the simulation until this long after the start.
     pub fn run_until(&mut self, until: Micros) {
         while let Some((at, ..)) = self.schedule.first() {
             if *at > 100 * SEC + until {
@@ -173,7 +176,7 @@
             self.schedule_at(until, ScheduledEvent::PrefillEnds(id.clone(), attempt));
         } else if let Some(slot) = server.slots_free_at.iter_mut().min() {
             let starts_at = (*slot).max(now) + FIRST_TOKEN_DELAY;
-            // Who is given up before it begins leaves its place.
+            // An attempt that times out before it starts takes no slot.
             if starts_at < stop_at {
                 *slot = starts_at + STREAM_DURATION;
                 self.schedule_at(starts_at, ScheduledEvent::AnswerStarts(id.clone(), attempt));
--- a/tests/support/history.rs
+++ b/tests/support/history.rs
@@ -1,5 +1,5 @@
-//! A seeded history of one router: requests, servers that answer in all the ways they can, and changes of the
-//! list, in simulated time. All that it decides goes into a digest.
+//! Plays a seeded random history of one router in simulated time: requests, attempts with varied outcomes,
+//! and changes of the server list. All decisions go into a digest.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -10,7 +10,7 @@
 
 use super::{entry, MS, SEC};
 
-/// Events of clients and of the list in a history.
+/// Requests and server list changes in a history.
 const STEP_COUNT: usize = 400;
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -21,7 +21,7 @@
     ClientLeaves(Id),
 }
 
-/// One router and all that surrounds it.
+/// One router with its simulated clients and servers.
 pub struct History {
     facade: Facade,
     rng: SmallRng,
@@ -62,7 +62,7 @@
 }
 
 impl History {
-    /// The one of this seed.
+    /// Creates the history of this seed.
     pub fn new(seed: u64) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
         let settings = settings(&mut rng);
@@ -81,7 +81,7 @@
         History { facade, rng, now, servers, settings, attempts, schedule, sequence, digest }
     }
 
-    /// Plays it; gives the digest of all decisions.
+    /// Plays the history and returns the digest of all decisions.
     pub fn play(mut self) -> u64 {
         let decisions = self.facade.update_servers(self.now, ListUpdateKind::Full, self.servers.clone());
         self.apply(decisions);
@@ -131,7 +131,7 @@
         }
     }
 
-    /// One server drains, goes, or starts anew.
+    /// Makes one server drain, leave the list or restart.
     fn change_server(&mut self) {
         let at = self.rng.random_range(0..self.servers.len());
         let server = &mut self.servers[at];
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests share: a small fleet and short ways to say events.
+//! Helpers shared by the tests: a router with a clock, short forms of events and checks of actions.
 #![allow(dead_code)]
 
 pub mod fleet;
@@ -33,17 +33,17 @@
     }
 }
 
-/// A router and the clock that drives it.
+/// A router with a simulated clock.
 pub struct RouterHarness {
     pub router: Router,
     pub now: Micros,
-    /// The bell that it asked for last.
+    /// The token of the timer that was set last.
     pub timer_token: u64,
-    /// The class of requests that name none.
+    /// The class of requests that don't name one.
     class: Arc<RequestClass>,
 }
 
-/// The same settings with so many attempts for each request.
+/// Returns the settings with this limit of attempts in every class.
 pub fn with_max_attempts(max_attempts: u32, mut settings: Settings) -> Settings {
     for class in &mut settings.classes {
         Arc::make_mut(class).max_attempts = max_attempts;
@@ -52,14 +52,14 @@
 }
 
 impl RouterHarness {
-    /// `fleet` holds names and kinds: 0 reads, 1 writes, 2 does both.
+    /// `fleet` holds names and kinds: 0 for prefill, 1 for decode, 2 for mixed servers.
     pub fn new(settings: Settings, fleet: &[(&str, usize)]) -> Self {
         let mut harness = RouterHarness::with_seed(settings, 7);
         harness.update_servers(ListUpdateKind::StaleCopy, fleet.iter().map(|(n, k)| entry(n, *k)).collect());
         harness
     }
 
-    /// A router with a seed of its own that knows no server yet.
+    /// Creates a router with this seed that knows no server yet.
     pub fn with_seed(settings: Settings, seed: u64) -> Self {
         let class = settings.classes[0].clone();
         RouterHarness { router: Router::new(settings, seed), now: 100 * SEC, timer_token: 0, class }
@@ -102,7 +102,7 @@
         self.handle(Event::AnswerStarted { id: id.into(), attempt, elapsed: 50 * MS })
     }
 
-    /// Rings the sweep's bell as often as `span` holds it.
+    /// Advances the clock by `span` and fires the latest timer every 10 ms.
     pub fn advance(&mut self, span: Micros) -> Vec<Action> {
         let (mut all, end) = (Vec::new(), self.now + span);
         while self.now < end {
@@ -113,7 +113,7 @@
     }
 }
 
-/// Requests and servers of the sends, in order.
+/// The request and server of each send, in order.
 pub fn sends(actions: &[Action]) -> Vec<(String, String)> {
     let pair = |a: &Action| match a {
         Action::Send { id, server, .. } => Some((id.to_string(), server.to_string())),
--- a/tests/support/side.rs
+++ b/tests/support/side.rs
@@ -1,4 +1,4 @@
-//! Many routers side by side, in simulated time.
+//! Simulates many routers that share one fleet.
 
 use std::collections::BTreeMap;
 
@@ -6,21 +6,22 @@
 
 use super::{query, MS, SEC};
 
-/// Routers that share a fleet which answers everything after a fixed time.
+/// Routers that share a fleet in which every attempt ends after 50 ms.
 pub struct RouterGroup {
     pub routers: Vec<Router>,
     pub now: Micros,
     request_count: usize,
-    /// At which of so many routers a request comes.
+    /// Picks the router for a request from the request's number and the number of routers.
     pub choose_router: Box<dyn Fn(usize, usize) -> usize>,
-    /// When, router, request, attempt, server.
+    /// Active attempts: end time, router, request, attempt number, server.
     active: Vec<(Micros, usize, Id, u32, Id)>,
     attempts: BTreeMap<Id, u32>,
     timers: BTreeMap<(Micros, usize), u64>,
-    /// When, and to which server; who sent it.
+    /// Every send: time, server, router.
     pub send_log: Vec<(Micros, Id, usize)>,
-    /// The prefix of all requests, and the most that were out at one server.
+    /// The prefix of all requests.
     pub prefix: Option<Id>,
+    /// The most attempts that were active at one server.
     pub max_active: usize,
 }
 
@@ -55,7 +56,7 @@
         );
     }
 
-    /// A router ends, and starts from nothing but the list.
+    /// Replaces a router with a new one that knows only the server list.
     pub fn restart_router(&mut self, router: usize, settings: &Settings, entries: &[ServerEntry]) {
         self.active.retain(|attempt| attempt.1 != router);
         self.timers.retain(|(_, of), _| *of != router);
@@ -94,7 +95,8 @@
         self.active.iter().filter(|d| &*d.4 == server).count()
     }
 
-    /// One new request every five milliseconds, at the routers in turn if `choose_router` says nothing else.
+    /// Runs for `span` with one new request every 5 ms. `choose_router` picks the router; the default spreads
+    /// requests over all of them.
     pub fn run_for(&mut self, span: Micros) {
         let end = self.now + span;
         while self.now < end {
