--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,5 @@
-# What people do with this repository. CI runs the same commands (.ci/run; tests by .ci/test, which knows KNOWN-RED.txt).
+# The common tasks of this repository. CI runs the same commands (.ci/run); it runs the tests with .ci/test, which
+# reads KNOWN-RED.txt.
 
 .PHONY: build test lint run chat regress soak
 
@@ -12,17 +13,17 @@
 	cargo fmt --all --check
 	cargo clippy --workspace --all-targets --locked -- -D warnings
 
-# Both want EDGE_CONFIG to name a conductor's configuration; see README.md.
+# `run` and `chat` need EDGE_CONFIG to name a conductor's configuration; see README.md.
 run: build
 	exec target/release/frosttrail
 
 chat: build
 	exec target/release/frosttrail --chat deploy/chat.toml
 
-# Real conductors under faults that overlap, for some seeds (frosttrail-soak --help). Ends by itself.
+# Runs real conductors under overlapping faults for eight seeds, then exits (see frosttrail-soak --help).
 soak: build
 	target/release/frosttrail-soak --seeds 8
 
-# The bench's panels in turn (see .ci/regress); wants the kit, which CI has not.
+# Runs the bench's panels one after another (see .ci/regress). Needs the kit, which CI does not have.
 regress:
 	.ci/regress
