--- a/tests/cost.rs
+++ b/tests/cost.rs
@@ -58,32 +58,32 @@
                 harness.update_servers(ListUpdateKind::Changes, entries.clone())
             });
         }
-        let mut due =
+        let mut actions =
             count_scans(&mut harness, &mut |harness| harness.submit(query(&format!("q{nth}"), 900)));
-        due.extend(count_scans(&mut harness, &mut |harness| {
+        actions.extend(count_scans(&mut harness, &mut |harness| {
             harness.now += 10 * MS;
             harness.handle(Event::TimerFired { token: harness.timer_token })
         }));
-        let probes = due.iter().filter_map(|action| match action {
+        let probes = actions.iter().filter_map(|action| match action {
             Action::Probe { server } => Some(server.clone()),
             _ => None,
         });
         for server in probes.collect::<Vec<_>>() {
             let load = Some(LoadReport { outstanding: Some(1.0), ..LoadReport::default() });
             let probed = Event::ProbeEnded { server, outcome: Outcome::Served, load };
-            due.extend(count_scans(&mut harness, &mut |harness| harness.handle(probed.clone())));
+            actions.extend(count_scans(&mut harness, &mut |harness| harness.handle(probed.clone())));
         }
         // Every tenth prefill gets no answer and times out after a second.
         if nth % 10 == 0 {
-            unanswered.extend(sends(&due).into_iter().map(|(id, server)| (nth + 100, id, server)));
-            due.clear();
+            unanswered.extend(sends(&actions).into_iter().map(|(id, server)| (nth + 100, id, server)));
+            actions.clear();
         }
-        let (timed_out, out) = unanswered.into_iter().partition::<Vec<_>, _>(|(at, ..)| *at <= nth);
-        unanswered = out;
+        let (timed_out, waiting) = unanswered.into_iter().partition::<Vec<_>, _>(|(at, ..)| *at <= nth);
+        unanswered = waiting;
         for (_, id, server) in timed_out {
             count_scans(&mut harness, &mut |harness| harness.end_attempt(&id, 0, &server, Outcome::NoAnswer));
         }
-        for (id, server) in sends(&due) {
+        for (id, server) in sends(&actions) {
             let decode_sends = count_scans(&mut harness, &mut |harness| {
                 harness.end_attempt(&id, 0, &server, Outcome::PrefillDone)
             });
--- a/tests/facade.rs
+++ b/tests/facade.rs
@@ -82,8 +82,8 @@
     facade.report(NOW + 20 * MS, &"streams".into(), Report::Started);
     let decisions = facade.close(NOW + 30 * MS);
     let names_of = |id: &str| {
-        let own = decisions.requests.iter().filter(|(request, _)| &**request == id).cloned().collect();
-        decision_names(&Decisions { requests: own, ..Decisions::default() })
+        let requests = decisions.requests.iter().filter(|(request, _)| &**request == id).cloned().collect();
+        decision_names(&Decisions { requests, ..Decisions::default() })
     };
     assert_eq!(
         (names_of("reads"), names_of("writes")),
--- a/tests/floors.rs
+++ b/tests/floors.rs
@@ -122,11 +122,12 @@
             counts.1 +=
                 usize::from(!matches!(fleet.request_ends.get(&query.id), Some(RequestEnd::Served(_))));
         }
-        let refused = 1.0 - served_share(&fleet, queries.iter());
+        let refused_share = 1.0 - served_share(&fleet, queries.iter());
         let shut_out = sessions.values().filter(|s| s.0 > 1 && s.0 == s.1).count() as f64;
-        let chance: f64 = sessions.values().filter(|s| s.0 > 1).map(|s| refused.powi(s.0 as i32)).sum();
-        let over = (shut_out - chance) / sessions.len() as f64;
-        assert!(over <= 0.12, "seed {seed}: {shut_out} shut out, {chance:.1} by chance");
+        let expected: f64 =
+            sessions.values().filter(|s| s.0 > 1).map(|s| refused_share.powi(s.0 as i32)).sum();
+        let excess = (shut_out - expected) / sessions.len() as f64;
+        assert!(excess <= 0.12, "seed {seed}: {shut_out} shut out, {expected:.1} by chance");
     }
 }
 
@@ -203,20 +204,20 @@
 /// The answered share of each class, and that of the tenth of its requests with the longest prompts.
 fn served_shares_by_class(
     lengths: LengthDistribution,
-    [per_ktoken, aim, deadline]: [Micros; 3],
+    [per_ktoken, target, deadline]: [Micros; 3],
     load_factor: f64,
     seed: u64,
 ) -> Vec<(f64, f64)> {
     let slow = RequestClass {
         name: "slow".into(),
-        first_token_target: aim,
+        first_token_target: target,
         first_token_target_per_ktoken: per_ktoken,
         deadline,
         ..RequestClass::example()
     };
     let quick = RequestClass {
         name: "quick".into(),
-        first_token_target: aim / 2,
+        first_token_target: target / 2,
         deadline: deadline / 2,
         ..slow.clone()
     };
@@ -249,7 +250,7 @@
 /// overload, for all length distributions and class targets.
 #[test]
 fn the_longest_tenth_of_each_class_gets_its_share_of_the_answers() {
-    let all_times = [
+    let target_sets = [
         [40 * MS, 1_500 * MS, 6 * SEC],
         [0, 1_500 * MS, 5 * SEC],
         [120 * MS, 2 * SEC, 8 * SEC],
@@ -259,18 +260,18 @@
     for lengths in
         [LengthDistribution::LogUniform, LengthDistribution::Bimodal, LengthDistribution::HeavyTail]
     {
-        for class_times in all_times {
+        for class_targets in target_sets {
             for (load_factor, min_ratio) in [(0.6, 2.0 / 3.0), (1.5, 0.5), (2.0, 0.5)] {
                 for seed in [21, 22, 23] {
                     for (class, (all, longest)) in
-                        served_shares_by_class(lengths, class_times, load_factor, seed)
+                        served_shares_by_class(lengths, class_targets, load_factor, seed)
                             .into_iter()
                             .enumerate()
                     {
                         assert!(
                             longest >= all * min_ratio,
-                            "{lengths:?}, {class_times:?}, {load_factor} times, seed {seed}, class {class}: \
-                             {longest:.2} of {all:.2}"
+                            "{lengths:?}, {class_targets:?}, {load_factor} times, seed {seed}, \
+                             class {class}: {longest:.2} of {all:.2}"
                         );
                     }
                 }
@@ -283,27 +284,28 @@
 /// session, prefix, tenant or class is refused throughout. Such a set may hash to the same servers.
 #[test]
 fn under_light_load_no_session_prefix_tenant_or_class_is_shut_out() {
-    for (conductors, mixed, cold) in
+    for (conductors, mixed, in_slow_start) in
         [(1, 0, false), (1, 2, true), (4, 2, false), (4, 0, true), (24, 0, false), (24, 2, true)]
     {
         for seed in [31, 32, 33] {
             let settings = Settings { conductors, ..settings() };
             let classes = settings.classes.clone();
             let mut fleet = Fleet::new(settings, seed, 4, 4);
-            let starts = |name: String, kind| ServerEntry {
-                started: if cold { 99 * SEC } else { 0 },
+            let list_entry = |name: String, kind| ServerEntry {
+                started: if in_slow_start { 99 * SEC } else { 0 },
                 ..entry(&name, kind)
             };
-            let more = (0..mixed).map(|n| starts(format!("m{n}"), 2));
-            let half = (0..2).flat_map(|n| [starts(format!("p{n}"), 0), starts(format!("d{n}"), 1)]);
-            fleet.update_servers(ListUpdateKind::Changes, more.chain(half).collect());
+            let mixed_servers = (0..mixed).map(|n| list_entry(format!("m{n}"), 2));
+            let replaced =
+                (0..2).flat_map(|n| [list_entry(format!("p{n}"), 0), list_entry(format!("d{n}"), 1)]);
+            fleet.update_servers(ListUpdateKind::Changes, mixed_servers.chain(replaced).collect());
             // This router's share of a light load. With several routers it gets three times its share, as
             // traffic is uneven.
-            let per_s =
+            let arrivals_per_s =
                 CAPACITY_PER_S * 2.0 * 0.5 / f64::from(conductors) * if conductors > 1 { 3.0 } else { 1.0 };
             let (mut random, mut at, mut queries) = (Random(seed), 0.0, Vec::new());
             while at < 4.0 * LOAD_DURATION as f64 {
-                at += -(1.0 - random.next()).ln() / per_s * 1e6;
+                at += -(1.0 - random.next()).ln() / arrivals_per_s * 1e6;
                 let session = format!("s{}", (random.next() * 60.0) as u64);
                 let prefix = (random.next() < 0.7)
                     .then(|| format!("x{}", (random.next() * 6.0) as u64).as_str().into());
@@ -334,7 +336,8 @@
                     *set = (set.0 + 1, set.1 + refused);
                 }
             }
-            let name = format!("{conductors} routers, {mixed} mixed, cold: {cold}, seed {seed}");
+            let name =
+                format!("{conductors} routers, {mixed} mixed, in slow start: {in_slow_start}, seed {seed}");
             for (set, (asked, refused)) in &sets {
                 assert!(*asked < 4 || refused * 2 <= *asked, "{name}: {set}: {refused} of {asked} refused");
             }
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -40,29 +40,30 @@
 }
 
 /// A successor that restores the router's snapshot at the same moment. Its clock is ahead by `clock_offset`.
-fn successor(harness: &RouterHarness, clock_offset: Micros) -> RouterHarness {
+fn successor_of(harness: &RouterHarness, clock_offset: Micros) -> RouterHarness {
     let text = serde_json::to_string(&harness.router.snapshot(harness.now)).unwrap();
     let mut snapshot: Snapshot = serde_json::from_str(&text).unwrap();
-    let mut next = RouterHarness::with_seed(Settings::example(), 8);
-    next.now = harness.now + clock_offset;
-    next.update_servers(ListUpdateKind::Full, FLEET.iter().map(|(name, kind)| entry(name, *kind)).collect());
-    let now = next.now;
-    next.router.restore(now, 0, &mut snapshot);
+    let mut successor = RouterHarness::with_seed(Settings::example(), 8);
+    successor.now = harness.now + clock_offset;
+    successor
+        .update_servers(ListUpdateKind::Full, FLEET.iter().map(|(name, kind)| entry(name, *kind)).collect());
+    let now = successor.now;
+    successor.router.restore(now, 0, &mut snapshot);
     assert!(snapshot.is_empty());
-    next
+    successor
 }
 
 #[test]
 fn a_server_in_slow_start_gets_its_budget_from_the_successor_too() {
     let mut harness = RouterHarness::new(Settings::example(), &FLEET);
     serve(&mut harness, 40);
-    let mut next = successor(&harness, 500 * SEC);
+    let mut successor = successor_of(&harness, 500 * SEC);
     let mut fresh = RouterHarness::new(Settings::example(), &FLEET);
-    for harness in [&mut harness, &mut next, &mut fresh] {
-        let slow_start = decode_server_in_slow_start(harness.now);
-        harness.update_servers(ListUpdateKind::Changes, vec![slow_start]);
+    for harness in [&mut harness, &mut successor, &mut fresh] {
+        let entry = decode_server_in_slow_start(harness.now);
+        harness.update_servers(ListUpdateKind::Changes, vec![entry]);
     }
-    let [before, after, without] = [&mut harness, &mut next, &mut fresh].map(sends_to_slow_start_server);
+    let [before, after, without] = [&mut harness, &mut successor, &mut fresh].map(sends_to_slow_start_server);
     assert!(after + 1 >= before && before + 1 >= after && after > without, "{before}, {after}, {without}");
 }
 
@@ -72,7 +73,7 @@
     harness.submit(query("a", 900));
     harness.end_attempt("a", 0, "r", Outcome::PrefillDone);
     harness.end_attempt("a", 1, "w1", Outcome::ConnectionLost);
-    assert_eq!(successor(&harness, 100 * SEC).router.usable_servers(), harness.router.usable_servers());
+    assert_eq!(successor_of(&harness, 100 * SEC).router.usable_servers(), harness.router.usable_servers());
 }
 
 #[test]
@@ -82,13 +83,13 @@
     harness.end_attempt("a", 0, "r", Outcome::PrefillDone);
     harness.end_attempt("a", 1, "w1", Outcome::ConnectionLost);
     let mut snapshot = harness.router.snapshot(harness.now);
-    let mut next = RouterHarness::with_seed(Settings::example(), 8);
+    let mut successor = RouterHarness::with_seed(Settings::example(), 8);
     let restarted =
-        FLEET.iter().map(|(name, kind)| ServerEntry { started: next.now - SEC, ..entry(name, *kind) });
-    next.update_servers(ListUpdateKind::Full, restarted.collect());
-    let now = next.now;
-    next.router.restore(now, 0, &mut snapshot);
-    assert_eq!(next.router.usable_servers(), 3);
+        FLEET.iter().map(|(name, kind)| ServerEntry { started: successor.now - SEC, ..entry(name, *kind) });
+    successor.update_servers(ListUpdateKind::Full, restarted.collect());
+    let now = successor.now;
+    successor.router.restore(now, 0, &mut snapshot);
+    assert_eq!(successor.router.usable_servers(), 3);
 }
 
 #[test]
@@ -96,13 +97,14 @@
     let mut harness = RouterHarness::new(Settings::example(), &FLEET);
     serve(&mut harness, 4);
     let mut snapshot = harness.router.snapshot(harness.now);
-    let mut next = RouterHarness::with_seed(Settings::example(), 8);
-    next.update_servers(ListUpdateKind::Full, vec![entry("r", 0)]);
-    let now = next.now;
-    next.router.restore(now, 0, &mut snapshot);
+    let mut successor = RouterHarness::with_seed(Settings::example(), 8);
+    successor.update_servers(ListUpdateKind::Full, vec![entry("r", 0)]);
+    let now = successor.now;
+    successor.router.restore(now, 0, &mut snapshot);
     assert!(!snapshot.is_empty());
-    next.update_servers(ListUpdateKind::Full, FLEET.iter().map(|(name, kind)| entry(name, *kind)).collect());
-    next.router.restore(now, 0, &mut snapshot);
+    successor
+        .update_servers(ListUpdateKind::Full, FLEET.iter().map(|(name, kind)| entry(name, *kind)).collect());
+    successor.router.restore(now, 0, &mut snapshot);
     assert!(snapshot.is_empty());
 }
 
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -244,9 +244,9 @@
         }
     }
     harness.advance(SEC);
-    let tried =
+    let retries =
         (0..20).filter(|i| sends(&harness.submit(query(&format!("t{i}"), 100))).iter().any(|s| s.1 == first));
-    assert_eq!(tried.count(), 1, "half-open: one trial at a time");
+    assert_eq!(retries.count(), 1, "half-open: one trial at a time");
 }
 
 #[test]
@@ -303,10 +303,10 @@
         Settings { list_poll_interval: Some(10 * SEC), ..settings_of_three_routers() },
         &PREFILL_AND_DECODE,
     );
-    let asks = |out: &[Action]| out.iter().filter(|a| matches!(a, Action::Watch)).count();
-    assert_eq!(asks(&harness.advance(SEC)), 1);
+    let watch_count = |out: &[Action]| out.iter().filter(|a| matches!(a, Action::Watch)).count();
+    assert_eq!(watch_count(&harness.advance(SEC)), 1);
     harness.update_servers(ListUpdateKind::SourceUnavailable, Vec::new());
-    assert_eq!(asks(&harness.advance(SEC)), 1);
+    assert_eq!(watch_count(&harness.advance(SEC)), 1);
 }
 
 #[test]
@@ -329,7 +329,7 @@
 #[test]
 fn every_router_sends_the_same_sessions_to_the_mixed_server() {
     let fleet = [("m", 2), ("r", 0), ("w1", 1), ("w2", 1)];
-    let first = |seed, session: &str| {
+    let first_server = |seed, session: &str| {
         let mut router = Router::new(settings_of_three_routers(), seed);
         let mut out = Vec::new();
         let entries = fleet.iter().map(|(n, k)| entry(n, *k)).collect();
@@ -337,18 +337,18 @@
         router.handle(SEC, Event::Query(Query { session: session.into(), ..query("a", 900) }), &mut out);
         sends(&out)[0].1.clone()
     };
-    let mixed = |i: &u32| {
+    let goes_to_mixed = |i: &u32| {
         let session = format!("s{i}");
-        assert_eq!(first(1, &session), first(2, &session));
-        first(1, &session) == "m"
+        assert_eq!(first_server(1, &session), first_server(2, &session));
+        first_server(1, &session) == "m"
     };
-    let taken = (0..200).filter(mixed).count();
-    assert!((20..100).contains(&taken), "{taken} of 200 go to the mixed server for both stages");
+    let mixed_count = (0..200).filter(goes_to_mixed).count();
+    assert!((20..100).contains(&mixed_count), "{mixed_count} of 200 go to the mixed server for both stages");
 }
 
 #[test]
 fn decode_servers_that_can_prefill_take_short_prompts_when_prefill_servers_are_full() {
-    let start = |decode_can_prefill| {
+    let sends_when_full = |decode_can_prefill| {
         let mut harness = RouterHarness::new(
             Settings { decode_can_prefill, ..settings_of_three_routers() },
             &PREFILL_AND_TWO_DECODE,
@@ -363,8 +363,8 @@
         );
         sends(&harness.advance(150 * MS))
     };
-    assert!(start(true).iter().any(|(id, server)| id == "short" && server.starts_with('w')));
-    assert!(start(false).is_empty());
+    assert!(sends_when_full(true).iter().any(|(id, server)| id == "short" && server.starts_with('w')));
+    assert!(sends_when_full(false).is_empty());
 }
 
 /// The ids of the refused requests, with their retry-after.
@@ -464,14 +464,14 @@
         let mut attempt = BTreeMap::new();
         while let Some((id, server)) = sends(&out).pop() {
             let n = attempt.entry(id.clone()).or_insert(0);
-            let far = server.starts_with("far");
-            if far {
+            let is_far = server.starts_with("far");
+            if is_far {
                 times.push(harness.now);
             }
-            let outcome = if far { Outcome::NoConnection } else { Outcome::PrefillDone };
+            let outcome = if is_far { Outcome::NoConnection } else { Outcome::PrefillDone };
             out = harness.end_attempt(&id, *n, &server, outcome);
             *n += 1;
-            if !far {
+            if !is_far {
                 harness.start_answer(&id, *n);
                 harness.end_attempt(&id, *n, "w", Outcome::Served);
                 break;
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -63,12 +63,14 @@
 
 #[test]
 fn a_keyed_request_is_repeated_in_its_scope_and_window_only() {
-    let groups = [(DedupScope::All, true), (DedupScope::Zone, false), (DedupScope::Rack, false)];
-    for (scope, may_leave_scope) in groups {
+    let scopes = [(DedupScope::All, true), (DedupScope::Zone, false), (DedupScope::Rack, false)];
+    for (scope, may_leave_scope) in scopes {
         // The connection to the next server may take up to its timeout, and the request is sent only then.
-        let connect = Settings::example().connect_timeout;
-        let short = SEC + connect;
-        for (window, in_window) in [(10 * SEC, true), (short + MS, true), (short, false), (SEC, false)] {
+        let connect_timeout = Settings::example().connect_timeout;
+        let shortest_window = SEC + connect_timeout;
+        for (window, in_window) in
+            [(10 * SEC, true), (shortest_window + MS, true), (shortest_window, false), (SEC, false)]
+        {
             let mut harness = RouterHarness::new(
                 settings_with_effect(Effect::Keyed { scope, window }),
                 &[("r", 0), ("w1", 1)],
@@ -115,12 +117,13 @@
             ListUpdateKind::Changes,
             vec![ServerEntry { started: harness.now, ..entry("r", 0) }],
         );
-        let mut n = 0;
+        let mut send_count = 0;
         for i in 0..200 {
             harness.now += 10 * MS;
-            n += sends(&harness.submit(query(&format!("q{i}"), 100))).iter().filter(|s| s.1 == "r").count();
+            send_count +=
+                sends(&harness.submit(query(&format!("q{i}"), 100))).iter().filter(|s| s.1 == "r").count();
         }
-        n
+        send_count
     };
     assert!((1..=2).contains(&sent(1)), "with no warm peer to compare: {}", sent(1));
     assert!(sent(4) <= sent(1));
@@ -128,10 +131,10 @@
 
 #[test]
 fn a_quota_share_acts_like_the_same_number_of_routers() {
-    let run = |conductors, part: Option<f64>| {
+    let run = |conductors, share: Option<f64>| {
         let mut harness = RouterHarness::new(Settings { conductors, ..Settings::example() }, &FLEET);
-        if let Some(part) = part {
-            harness.handle(Event::QuotaShare { share: part });
+        if let Some(share) = share {
+            harness.handle(Event::QuotaShare { share });
         }
         harness.update_servers(
             ListUpdateKind::Changes,
@@ -144,13 +147,13 @@
         }
         all
     };
-    for of in [1, 3, 100] {
-        assert_eq!(run(7, Some(1.0 / f64::from(of))), run(of, None));
+    for routers in [1, 3, 100] {
+        assert_eq!(run(7, Some(1.0 / f64::from(routers))), run(routers, None));
     }
     assert_ne!(run(1, Some(0.01)), run(1, None), "a smaller share has an effect");
     // Shares out of range are harmless.
-    for part in [0.0, -1.0, 7.0, f64::INFINITY] {
-        run(2, Some(part));
+    for share in [0.0, -1.0, 7.0, f64::INFINITY] {
+        run(2, Some(share));
     }
 }
 
@@ -243,12 +246,12 @@
             ..settings_with_effect(effect)
         };
         let names = [("r1", 0), ("r2", 0), ("r3", 0), ("w1", 1), ("w2", 1), ("w3", 1), ("m1", 2), ("m2", 2)];
-        let place = |(i, (n, k)): (usize, &(&str, usize))| ServerEntry {
+        let list_entry = |(i, (name, kind)): (usize, &(&str, usize))| ServerEntry {
             rack: i as u64 % 3,
             zone: i % 2,
-            ..entry(n, *k)
+            ..entry(name, *kind)
         };
-        let fleet: Vec<_> = names.iter().enumerate().map(place).collect();
+        let fleet: Vec<_> = names.iter().enumerate().map(list_entry).collect();
         let mut simulation = Simulation {
             router: Router::new(settings.clone(), seed),
             settings,
@@ -293,22 +296,25 @@
                 assert!(!request.ended, "a second answer for {id}");
                 assert!(now <= request.deadline + self.settings.answer_slack, "{id} answered late");
                 request.ended = true;
-                let all = matches!(self.effect, Effect::Safe | Effect::Keyed { scope: DedupScope::All, .. });
-                let advice =
+                let is_repeat_harmless =
+                    matches!(self.effect, Effect::Safe | Effect::Keyed { scope: DedupScope::All, .. });
+                let exceeds_limit =
                     |a: &Action| matches!(a, Action::Refuse { retry_after, .. } if *retry_after > 500 * MS);
-                assert!(!advice(action), "{id}: retry-after beyond the configured limit");
+                assert!(!exceeds_limit(action), "{id}: retry-after beyond the configured limit");
                 let refused = matches!(action, Action::Refuse { .. });
                 assert!(
-                    !refused || all || (request.executions.is_empty() && request.active.is_none()),
+                    !refused
+                        || is_repeat_harmless
+                        || (request.executions.is_empty() && request.active.is_none()),
                     "{id} refused unsafely"
                 );
             }
             Action::ReleaseCache { id } => {
                 // A KV cache that an active attempt waits for stays.
                 let request = self.requests.get_mut(&**id).expect("known");
-                let waits =
+                let is_waiting =
                     request.active.is_some_and(|(server_index, ..)| self.fleet[server_index].kind != 0);
-                request.cache_since = request.cache_since.filter(|_| waits);
+                request.cache_since = request.cache_since.filter(|_| is_waiting);
             }
             Action::Cancel { id, attempt } => {
                 let due = now + self.random_below(5) * MS;
@@ -376,11 +382,11 @@
     fn end_attempt(&mut self, id: &str) {
         let now = self.now;
         let cache_remains = self.random_below(2) == 0;
-        let more = (1 + self.random_below(3_000)) * MS;
+        let answer_duration = (1 + self.random_below(3_000)) * MS;
         let request = self.requests.get_mut(id).expect("known");
         let Some((server_index, sent, at, Some(outcome), answer_started)) = request.active else { return };
         if outcome == Outcome::Served && !answer_started && !request.ended {
-            request.active = Some((server_index, sent, at + more, Some(outcome), true));
+            request.active = Some((server_index, sent, at + answer_duration, Some(outcome), true));
             request.cache_since = None;
             let attempt = request.attempts - 1;
             return self.handle(Event::AnswerStarted { id: id.into(), attempt, elapsed: now - sent });
@@ -448,12 +454,12 @@
         let n = self.requests.len() as u64 + 3;
         let id: Id = format!("q{}", self.random_below(n)).as_str().into();
         let (server, load) = (self.fleet[0].server.clone(), Some(LoadReport::default()));
-        let known = self.requests.contains_key(&*id);
+        let is_known = self.requests.contains_key(&*id);
         match self.random_below(5) {
             0 => self.handle(Event::TimerFired { token: 1 << 40 }),
             1 => self.handle(Event::SlotReservation { id, server, reserved: false }),
             2 => self.handle(Event::ProbeEnded { server, outcome: Outcome::NoConnection, load }),
-            3 if !known => {
+            3 if !is_known => {
                 let (outcome, finished) = (Outcome::PrefillDone, false);
                 let (attempt, elapsed, cached_tokens) = (9, 1, 0);
                 let event = Event::AttemptEnded {
@@ -488,9 +494,9 @@
                 self.timers.iter().filter(|timer| timer.0 <= now).map(|timer| timer.1).collect();
             self.timers.retain(|timer| timer.0 > now);
             due.into_iter().for_each(|token| self.handle(Event::TimerFired { token }));
-            let over = |s: &ObservedRequest| s.active.is_some_and(|o| o.2 <= now);
+            let has_ended = |s: &ObservedRequest| s.active.is_some_and(|o| o.2 <= now);
             let ids: Vec<String> =
-                self.requests.iter().filter(|(_, s)| over(s)).map(|(id, _)| id.clone()).collect();
+                self.requests.iter().filter(|(_, s)| has_ended(s)).map(|(id, _)| id.clone()).collect();
             ids.iter().for_each(|id| self.end_attempt(id));
             if self.random_below(12) == 0 {
                 let id = format!("q{}", self.requests.len());
@@ -508,12 +514,13 @@
                 self.inject_odd_event();
             }
             for (id, request) in &self.requests {
-                let waits = request.active.is_none();
-                let held_too_long = waits
+                let is_waiting = request.active.is_none();
+                let held_too_long = is_waiting
                     && request.cache_since.is_some_and(|at| now > at + self.settings.cache_release_timeout);
                 assert!(!held_too_long, "{id}: its KV cache is neither fetched nor released");
-                let late = waits && !request.ended && now > request.deadline + self.settings.answer_slack;
-                assert!(!late, "{id}: no answer in time");
+                let is_late =
+                    is_waiting && !request.ended && now > request.deadline + self.settings.answer_slack;
+                assert!(!is_late, "{id}: no answer in time");
             }
         }
     }
@@ -533,8 +540,8 @@
         for seed in 0..12 {
             let mut simulation = Simulation::new(seed, effect);
             simulation.run(3_000);
-            let served = simulation.log.iter().filter(|a| matches!(a, Action::Send { .. })).count();
-            assert!(served > 20, "the run must include enough sends: {served}");
+            let send_count = simulation.log.iter().filter(|a| matches!(a, Action::Send { .. })).count();
+            assert!(send_count > 20, "the run must include enough sends: {send_count}");
         }
     }
 }
@@ -560,20 +567,20 @@
 fn each_request_gets_one_final_answer_with_a_retry_after_where_it_is_refused() {
     let settings =
         |effect| with_max_attempts(2, Settings { max_retry_after: 400 * MS, ..settings_with_effect(effect) });
-    let one = |out: Vec<Action>| {
-        let answer = final_answers(&out);
-        assert_eq!(answer.len(), 1, "{out:?}");
-        answer[0]
+    let only_answer = |out: Vec<Action>| {
+        let answers = final_answers(&out);
+        assert_eq!(answers.len(), 1, "{out:?}");
+        answers[0]
     };
     let has_retry_after = |answer: Option<Micros>| answer.is_some_and(|t| (200 * MS..=400 * MS).contains(&t));
     let keyed = |scope| Effect::Keyed { scope, window: 2 * SEC };
 
     // No time is left, or no attempt is left after two that never ran.
     let mut harness = RouterHarness::new(settings(Effect::Safe), &FLEET);
-    assert!(has_retry_after(one(harness.submit(Query { budget: 0, ..query("none", 900) }))));
+    assert!(has_retry_after(only_answer(harness.submit(Query { budget: 0, ..query("none", 900) }))));
     harness.submit(query("spent", 900));
     harness.end_attempt("spent", 0, "r", Outcome::PrefillDone);
-    assert!(has_retry_after(one(harness.end_attempt("spent", 1, "w1", Outcome::Rejected))));
+    assert!(has_retry_after(only_answer(harness.end_attempt("spent", 1, "w1", Outcome::Rejected))));
 
     // The request may have run: it is refused where a repeat is harmless, else failed, without a retry-after.
     let effects = [
@@ -587,7 +594,7 @@
         let mut harness = RouterHarness::new(settings(effect), &FLEET);
         harness.submit(query("a", 900));
         harness.end_attempt("a", 0, "r", Outcome::PrefillDone);
-        let answer = one(harness.end_attempt("a", 1, "w1", Outcome::NoAnswer));
+        let answer = only_answer(harness.end_attempt("a", 1, "w1", Outcome::NoAnswer));
         assert!(
             if may_refuse { has_retry_after(answer) } else { answer.is_none() },
             "{effect:?}: {answer:?}"
@@ -630,13 +637,13 @@
 #[test]
 fn tenants_keep_their_remaining_quota_when_the_settings_change() {
     let tenant = |name: &str| Tenant { name: name.into(), quota_per_s: 1.0 };
-    let of = |names: &[&str]| {
+    let settings = |names: &[&str]| {
         let tenants = names.iter().map(|name| tenant(name)).collect();
         Settings { tenants, over_quota_worth: 0.1, ..Settings::example() }
     };
-    let mut harness = RouterHarness::new(of(&["spent", "other"]), &[]);
+    let mut harness = RouterHarness::new(settings(&["spent", "other"]), &[]);
     harness.submit(Query { tenant: Some(0), ..query("first", 900) });
-    harness.handle(Event::Settings(of(&["new", "spent"])));
+    harness.handle(Event::Settings(settings(&["new", "spent"])));
     harness.submit(Query { tenant: Some(0), ..query("within", 900) });
     harness.submit(Query { tenant: Some(1), ..query("beyond", 900) });
     // A request beyond its quota is refused after a tenth of its client's budget.
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -50,14 +50,16 @@
         let kind = usize::from(restarted.starts_with('w'));
         group.update_servers(&[ServerEntry { started: from, ..entry(restarted, kind) }]);
         group.run_for(8 * SEC);
-        let to = |server: &str| group.send_log.iter().filter(|s| &*s.1 == server && s.0 >= from).count();
-        let peers: usize = (1..10).map(|i| to(&format!("{}{i}", &restarted[..1]))).sum();
-        let (in_slow_start, warm) = (to(restarted), peers / 9);
+        let sends_to =
+            |server: &str| group.send_log.iter().filter(|s| &*s.1 == server && s.0 >= from).count();
+        let peers: usize = (1..10).map(|i| sends_to(&format!("{}{i}", &restarted[..1]))).sum();
+        let (sends_in_slow_start, sends_warm) = (sends_to(restarted), peers / 9);
         // Half of the budget, with the warm peers' rate as their capacity; most of that must arrive.
-        let due = warm as f64 * settings.slow_start_initial_share * settings.overload_multiple / 2.0;
+        let expected_sends =
+            sends_warm as f64 * settings.slow_start_initial_share * settings.overload_multiple / 2.0;
         assert!(
-            in_slow_start as f64 >= 0.8 * due,
-            "{restarted} after {before} s: {in_slow_start} sends, a warm peer has {warm}"
+            sends_in_slow_start as f64 >= 0.8 * expected_sends,
+            "{restarted} after {before} s: {sends_in_slow_start} sends, a warm peer has {sends_warm}"
         );
     }
 }
@@ -153,10 +155,10 @@
     // All servers exceed the limit of all routers together: the request is queued, and probes are repeated.
     let mut harness = harness_with_servers(probing_settings(), server_list(3, 3));
     let mut home = probed_servers(&harness.submit(query("q", 900)));
-    while let Some(at) = home.first().cloned() {
-        let then = end_probe(&mut harness, &at, Outcome::Served, 40.0);
-        assert!(sends(&then).is_empty());
-        home = probed_servers(&then);
+    while let Some(server) = home.first().cloned() {
+        let actions = end_probe(&mut harness, &server, Outcome::Served, 40.0);
+        assert!(sends(&actions).is_empty());
+        home = probed_servers(&actions);
     }
     let later = harness.advance(400 * MS);
     assert!(sends(&later).is_empty() && !probed_servers(&later).is_empty());
@@ -166,17 +168,17 @@
 fn an_unreachable_prefill_server_costs_a_probe_and_no_attempt() {
     let mut harness = harness_with_servers(probing_settings(), server_list(20, 20));
     let home = probed_servers(&harness.submit(query("q", 900)))[0].clone();
-    let then = end_probe(&mut harness, &home, Outcome::NoConnection, 0.0);
-    let next = probed_servers(&then);
+    let actions = end_probe(&mut harness, &home, Outcome::NoConnection, 0.0);
+    let next = probed_servers(&actions);
     assert_eq!(next.len(), 1, "the next server is probed once");
-    assert!(next[0] != home && sends(&then).is_empty());
+    assert!(next[0] != home && sends(&actions).is_empty());
     // Where most servers are unreachable, each is probed once for a while and not repeatedly.
     let mut harness = harness_with_servers(probing_settings(), server_list(3, 3));
     let (mut home, mut n) = (probed_servers(&harness.submit(query("q", 900))), 0);
-    while let Some(at) = home.first().cloned() {
+    while let Some(server) = home.first().cloned() {
         n += 1;
         assert!(n <= 3, "probes must not go on without end");
-        home = probed_servers(&end_probe(&mut harness, &at, Outcome::NoConnection, 0.0));
+        home = probed_servers(&end_probe(&mut harness, &server, Outcome::NoConnection, 0.0));
     }
 }
 
@@ -184,14 +186,14 @@
 /// home servers.
 #[test]
 fn probing_routers_spread_one_prefix_over_enough_prefill_servers() {
-    let max_sends = |settings: &Settings| {
+    let max_active = |settings: &Settings| {
         let mut group = RouterGroup::new(settings, &server_list(20, 20));
         group.prefix = Some("p".into());
         group.run_for(5 * SEC);
         group.max_active
     };
     let (without_probes, with_probes) =
-        (max_sends(&settings_of_100_routers()), max_sends(&probing_settings()));
+        (max_active(&settings_of_100_routers()), max_active(&probing_settings()));
     assert!(
         with_probes <= 6 && without_probes > with_probes,
         "active at one prefill server: {with_probes} with probes, {without_probes} without"
@@ -242,9 +244,13 @@
     }
     let mut group = RouterGroup::new(&settings_of_100_routers(), &entries);
     group.run_for(15 * SEC);
-    let count = |server: &str| group.send_log.iter().filter(|s| &*s.1 == server).count();
-    let all: usize = (0..6).map(|i| count(&format!("w{i}"))).sum();
-    assert!(count("w0") * 2 < all, "{} of {all} decodes in the rack of the prefill servers", count("w0"));
+    let sends_to = |server: &str| group.send_log.iter().filter(|s| &*s.1 == server).count();
+    let all: usize = (0..6).map(|i| sends_to(&format!("w{i}"))).sum();
+    assert!(
+        sends_to("w0") * 2 < all,
+        "{} of {all} decodes in the rack of the prefill servers",
+        sends_to("w0")
+    );
 }
 
 #[test]
@@ -315,8 +321,8 @@
         harness.submit(query(&format!("short-{i}"), 300));
     }
     let left = sends(&harness.update_servers(ListUpdateKind::Changes, server_list(30, 0)));
-    let kinds: Vec<_> = left.iter().map(|s| &s.0[..4]).collect();
-    assert_eq!(kinds, ["long", "shor", "shor"], "the shares of all prefill servers add up to three");
+    let order: Vec<_> = left.iter().map(|s| &s.0[..4]).collect();
+    assert_eq!(order, ["long", "shor", "shor"], "the shares of all prefill servers add up to three");
     harness.advance(100 * MS);
     let next = sends(&harness.end_attempt(&left[0].0, 0, &left[0].1, Outcome::PrefillDone));
     assert!(next[1].0.starts_with("short"), "{next:?}");
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -45,8 +45,8 @@
 fn observe_slow_start(routers: u32, scenario: Scenario, seed: u64, kind: usize) -> (f64, f64, f64) {
     let settings = Settings { conductors: routers, ..Settings::example() };
     let mut group = RouterGroup::new(&settings, &servers());
-    group.choose_router = Box::new(move |asked, routers| {
-        let drawn = hash_draw(seed, asked);
+    group.choose_router = Box::new(move |request, routers| {
+        let drawn = hash_draw(seed, request);
         let even = (drawn >> 8) as usize % routers;
         match scenario {
             Scenario::UnequalTraffic if drawn % 2 == 0 => even % (routers / 10).max(1),
@@ -81,12 +81,12 @@
         });
     }
     let times: Vec<Micros> = group.send_log.iter().filter(|s| &*s.1 == name).map(|s| s.0).collect();
-    let within =
+    let sends_in_window =
         |&t: &Micros| times.iter().filter(|&&u| u >= t && u < t + settings.overload_duration).count();
-    let max_in_window = times.iter().map(within).max().unwrap_or(0) as f64;
-    let per_s = WARM_REQUESTS_PER_S * settings.slow_start_initial_share * settings.overload_multiple;
-    let budget = per_s * settings.overload_duration as f64 / 1e6;
-    (max_in_window, budget, times.len() as f64 / (per_s * OBSERVED_DURATION as f64 / 1e6))
+    let max_in_window = times.iter().map(sends_in_window).max().unwrap_or(0) as f64;
+    let budget_per_s = WARM_REQUESTS_PER_S * settings.slow_start_initial_share * settings.overload_multiple;
+    let budget = budget_per_s * settings.overload_duration as f64 / 1e6;
+    (max_in_window, budget, times.len() as f64 / (budget_per_s * OBSERVED_DURATION as f64 / 1e6))
 }
 
 #[test]
@@ -105,10 +105,10 @@
                 for seed in 0..seeds {
                     let (max_in_window, budget, share) = observe_slow_start(routers, scenario, seed, kind);
                     let tolerance = 2.0 * budget.sqrt() + 2.0;
-                    let name = format!("{routers} routers, {scenario:?}, kind {kind}, seed {seed}");
+                    let case = format!("{routers} routers, {scenario:?}, kind {kind}, seed {seed}");
                     assert!(
                         max_in_window <= budget + tolerance,
-                        "{name}: {max_in_window} of {budget} + {tolerance:.1}"
+                        "{case}: {max_in_window} of {budget} + {tolerance:.1}"
                     );
                     shares.push(share);
                 }
--- a/tests/support/side.rs
+++ b/tests/support/side.rs
@@ -59,7 +59,7 @@
     /// Replaces a router with a new one that knows only the server list.
     pub fn restart_router(&mut self, router: usize, settings: &Settings, entries: &[ServerEntry]) {
         self.active.retain(|attempt| attempt.1 != router);
-        self.timers.retain(|(_, of), _| *of != router);
+        self.timers.retain(|(_, owner), _| *owner != router);
         self.routers[router] = Router::new(settings.clone(), 1_000_003 + router as u64);
         self.update_servers_at(router, entries);
     }
@@ -145,7 +145,7 @@
     pub fn max_sends_in_a_second(&self, server: &str, from: Micros) -> usize {
         let times: Vec<Micros> =
             self.send_log.iter().filter(|s| &*s.1 == server && s.0 >= from).map(|s| s.0).collect();
-        let within = |&t: &Micros| times.iter().filter(|&&u| u >= t && u < t + SEC).count();
-        times.iter().map(within).max().unwrap_or(0)
+        let sends_in_second = |&t: &Micros| times.iter().filter(|&&u| u >= t && u < t + SEC).count();
+        times.iter().map(sends_in_second).max().unwrap_or(0)
     }
 }
