--- a/tests/size.rs
+++ b/tests/size.rs
@@ -1,115 +1,120 @@
-//! Many routers beside one another: what a part of less than one request must still keep.
+//! Tests many routers that share one fleet, where a router's share of a server is less than one request.
 
 mod support;
 use frosttrail::*;
-use support::side::Side;
+use support::side::RouterGroup;
 use support::*;
 
-const ROUTERS: u32 = 100;
+const ROUTER_COUNT: u32 = 100;
 
-fn large() -> Settings {
-    Settings { conductors: ROUTERS, ..Settings::example() }
+fn settings_of_100_routers() -> Settings {
+    Settings { conductors: ROUTER_COUNT, ..Settings::example() }
 }
 
-fn named(kind: usize, letter: char, n: usize) -> Vec<(String, usize)> {
+fn numbered_names(kind: usize, letter: char, n: usize) -> Vec<(String, usize)> {
     (0..n).map(|i| (format!("{letter}{i}"), kind)).collect()
 }
 
-fn fleet(readers: usize, writers: usize) -> Vec<ServerEntry> {
-    let names = [named(0, 'r', readers), named(1, 'w', writers)].concat();
+fn server_list(prefill_count: usize, decode_count: usize) -> Vec<ServerEntry> {
+    let names = [numbered_names(0, 'r', prefill_count), numbered_names(1, 'w', decode_count)].concat();
     names.iter().map(|(name, kind)| entry(name, *kind)).collect()
 }
 
 #[test]
-fn all_routers_together_keep_a_cold_server_within_its_budget() {
-    for back in ["r0", "w0"] {
-        let settings = large();
-        let mut side = Side::new(&settings, &fleet(10, 10));
-        side.run(15 * SEC);
-        let from = side.now;
-        let kind = usize::from(back.starts_with('w'));
-        side.tell(&[ServerEntry { started: from, ..entry(back, kind) }]);
-        side.run(8 * SEC);
-        // A warm peer takes 20 a second here, and can do at least that.
+fn all_routers_together_keep_a_server_in_slow_start_within_its_budget() {
+    for restarted in ["r0", "w0"] {
+        let settings = settings_of_100_routers();
+        let mut group = RouterGroup::new(&settings, &server_list(10, 10));
+        group.run_for(15 * SEC);
+        let from = group.now;
+        let kind = usize::from(restarted.starts_with('w'));
+        group.update_servers(&[ServerEntry { started: from, ..entry(restarted, kind) }]);
+        group.run_for(8 * SEC);
+        // A warm peer takes 20 requests a second here, and its capacity is at least that.
         let budget = 20.0 * settings.slow_start_initial_share * settings.overload_multiple;
-        let most = side.busiest_second(back, from);
-        assert!(most > 0, "{back}: a cold server must be filled");
-        assert!(most as f64 <= budget, "{back}: {most} sends in a second, budget {budget}");
+        let max_sends = group.max_sends_in_a_second(restarted, from);
+        assert!(max_sends > 0, "{restarted}: a server in slow start must get requests");
+        assert!(max_sends as f64 <= budget, "{restarted}: {max_sends} sends in a second, budget {budget}");
     }
 }
 
-/// Each router sees two requests a second and most have never sent to this server: what one alone may send
-/// must add up to the share that all together may.
+/// Each router sees two requests a second, and most have never sent to this server. Their own budgets must
+/// add up to the budget of all routers together.
 #[test]
-fn routers_that_see_little_or_have_just_started_fill_a_cold_server_all_the_same() {
-    for (back, before) in [("r0", 15), ("w0", 15), ("r0", 0), ("w0", 0)] {
-        let settings = large();
-        let mut side = Side::new(&settings, &fleet(10, 10));
-        side.run(before * SEC);
-        let from = side.now;
-        let kind = usize::from(back.starts_with('w'));
-        side.tell(&[ServerEntry { started: from, ..entry(back, kind) }]);
-        side.run(8 * SEC);
-        let to = |server: &str| side.sent.iter().filter(|s| &*s.1 == server && s.0 >= from).count();
-        let peers: usize = (1..10).map(|i| to(&format!("{}{i}", &back[..1]))).sum();
-        let (cold, warm) = (to(back), peers / 9);
-        // Half of what it may be sent, were a warm one at its limit; most of that is to arrive.
-        let due = warm as f64 * settings.slow_start_initial_share * settings.overload_multiple / 2.0;
-        assert!(cold as f64 >= 0.8 * due, "{back} after {before} s: {cold} sends, a warm peer has {warm}");
+fn routers_with_little_traffic_or_no_history_still_fill_a_server_in_slow_start() {
+    for (restarted, before) in [("r0", 15), ("w0", 15), ("r0", 0), ("w0", 0)] {
+        let settings = settings_of_100_routers();
+        let mut group = RouterGroup::new(&settings, &server_list(10, 10));
+        group.run_for(before * SEC);
+        let from = group.now;
+        let kind = usize::from(restarted.starts_with('w'));
+        group.update_servers(&[ServerEntry { started: from, ..entry(restarted, kind) }]);
+        group.run_for(8 * SEC);
+        let sends_to =
+            |server: &str| group.send_log.iter().filter(|s| &*s.1 == server && s.0 >= from).count();
+        let peers: usize = (1..10).map(|i| sends_to(&format!("{}{i}", &restarted[..1]))).sum();
+        let (sends_in_slow_start, sends_warm) = (sends_to(restarted), peers / 9);
+        // Half of the budget, with the warm peers' rate as their capacity; most of that must arrive.
+        let expected_sends =
+            sends_warm as f64 * settings.slow_start_initial_share * settings.overload_multiple / 2.0;
+        assert!(
+            sends_in_slow_start as f64 >= 0.8 * expected_sends,
+            "{restarted} after {before} s: {sends_in_slow_start} sends, a warm peer has {sends_warm}"
+        );
     }
 }
 
 #[test]
-fn a_new_server_that_looks_empty_to_all_draws_no_herd() {
-    let mut side = Side::new(&large(), &fleet(10, 10));
-    side.run(15 * SEC);
-    let from = side.now;
-    side.tell(&[ServerEntry { started: from, ..entry("r99", 0) }]);
-    side.run(200 * MS);
-    assert!(side.busiest_second("r99", from) <= 3);
+fn a_new_server_that_looks_idle_to_all_routers_is_not_flooded() {
+    let mut group = RouterGroup::new(&settings_of_100_routers(), &server_list(10, 10));
+    group.run_for(15 * SEC);
+    let from = group.now;
+    group.update_servers(&[ServerEntry { started: from, ..entry("r99", 0) }]);
+    group.run_for(200 * MS);
+    assert!(group.max_sends_in_a_second("r99", from) <= 3);
 }
 
-fn router(settings: Settings, entries: Vec<ServerEntry>) -> Bench {
-    let mut b = Bench::new(settings, &[]);
-    b.list(ListUpdateKind::Changes, entries);
-    b
+fn harness_with_servers(settings: Settings, entries: Vec<ServerEntry>) -> RouterHarness {
+    let mut harness = RouterHarness::new(settings, &[]);
+    harness.update_servers(ListUpdateKind::Changes, entries);
+    harness
 }
 
 #[test]
-fn turns_of_one_session_meet_at_one_reader_though_their_routers_differ() {
-    let read_at = |seed: u64, session: &str| {
-        let mut b = Bench::seeded(large(), seed);
-        b.list(ListUpdateKind::StaleCopy, fleet(12, 4));
+fn all_routers_send_a_session_to_the_same_prefill_server() {
+    let prefill_server_for = |seed: u64, session: &str| {
+        let mut harness = RouterHarness::with_seed(settings_of_100_routers(), seed);
+        harness.update_servers(ListUpdateKind::StaleCopy, server_list(12, 4));
         let q = Query { prefix: Some("p".into()), session: session.into(), ..query("a", 900) };
-        sends(&b.ask(q))[0].1.clone()
+        sends(&harness.submit(q))[0].1.clone()
     };
     let mut homes = std::collections::BTreeSet::new();
     for i in 0..40 {
         let session = format!("s{i}");
-        let home = read_at(1, &session);
-        assert!((2..9).all(|seed| read_at(seed, &session) == home));
+        let home = prefill_server_for(1, &session);
+        assert!((2..9).all(|seed| prefill_server_for(seed, &session) == home));
         homes.insert(home);
     }
     assert!((2..=4).contains(&homes.len()), "one prefix has a few homes: {homes:?}");
 }
 
 #[test]
-fn the_parts_of_all_readers_bound_what_one_router_has_waiting_there() {
-    let mut b = router(large(), fleet(20, 20));
-    let mut reads = 0;
+fn the_shares_of_all_prefill_servers_bound_the_prefills_of_one_router() {
+    let mut harness = harness_with_servers(settings_of_100_routers(), server_list(20, 20));
+    let mut prefills = 0;
     for i in 0..20 {
-        reads += sends(&b.ask(query(&format!("q{i}"), 900))).len();
+        prefills += sends(&harness.submit(query(&format!("q{i}"), 900))).len();
     }
-    // A part is 0.12 reads; of twenty readers 2.4, not twenty.
-    assert_eq!(reads, 2);
+    // The share of one server is 0.12 prefills; of twenty servers it is 2.4, not twenty.
+    assert_eq!(prefills, 2);
 }
 
-/// Readers are asked before a read, as routers of a large fleet may.
-fn asking() -> Settings {
-    Settings { may_probe: true, ..large() }
+/// Settings that allow probes: prefill servers are probed before a prefill.
+fn probing_settings() -> Settings {
+    Settings { may_probe: true, ..settings_of_100_routers() }
 }
 
-fn asked(actions: &[Action]) -> Vec<String> {
+fn probed_servers(actions: &[Action]) -> Vec<String> {
     let server = |a: &Action| match a {
         Action::Probe { server } => Some(server.to_string()),
         _ => None,
@@ -117,85 +122,90 @@
     actions.iter().filter_map(server).collect()
 }
 
-fn says(b: &mut Bench, server: &str, outcome: Outcome, outstanding: f64) -> Vec<Action> {
+fn end_probe(harness: &mut RouterHarness, server: &str, outcome: Outcome, outstanding: f64) -> Vec<Action> {
     let load = Some(LoadReport { outstanding: Some(outstanding), ..LoadReport::default() });
-    b.step(Event::ProbeEnded { server: server.into(), outcome, load })
+    harness.handle(Event::ProbeEnded { server: server.into(), outcome, load })
 }
 
 #[test]
-fn a_reader_that_others_have_filled_is_passed_over_before_anything_goes_there() {
-    let mut b = router(asking(), fleet(20, 20));
-    let first = b.ask(query("q", 900));
-    let home = asked(&first)[0].clone();
-    assert!(sends(&first).is_empty(), "it is asked first");
-    let second = says(&mut b, &home, Outcome::Served, 9.0);
-    let next = asked(&second)[0].clone();
+fn a_prefill_server_that_others_have_filled_is_skipped_after_a_probe() {
+    let mut harness = harness_with_servers(probing_settings(), server_list(20, 20));
+    let first = harness.submit(query("q", 900));
+    let home = probed_servers(&first)[0].clone();
+    assert!(sends(&first).is_empty(), "the server is probed first");
+    let second = end_probe(&mut harness, &home, Outcome::Served, 9.0);
+    let next = probed_servers(&second)[0].clone();
     assert!(sends(&second).is_empty() && next != home);
-    let third = says(&mut b, &next, Outcome::Served, 1.0);
+    let third = end_probe(&mut harness, &next, Outcome::Served, 1.0);
     assert_eq!(sends(&third), [("q".to_string(), next)]);
 }
 
 #[test]
-fn the_least_full_of_those_asked_is_taken_and_none_that_is_past_its_bound() {
-    let mut b = router(asking(), fleet(20, 20));
-    let mut home = asked(&b.ask(query("q", 900)))[0].clone();
+fn the_least_loaded_probed_server_is_chosen_and_none_beyond_its_limit() {
+    let mut harness = harness_with_servers(probing_settings(), server_list(20, 20));
+    let mut home = probed_servers(&harness.submit(query("q", 900)))[0].clone();
     let mut last = Vec::new();
     let mut homes = Vec::new();
-    for holds in [9.0, 6.0, 8.0] {
+    for outstanding in [9.0, 6.0, 8.0] {
         homes.push(home.clone());
-        last = says(&mut b, &home, Outcome::Served, holds);
-        home = asked(&last).first().cloned().unwrap_or_default();
+        last = end_probe(&mut harness, &home, Outcome::Served, outstanding);
+        home = probed_servers(&last).first().cloned().unwrap_or_default();
     }
     assert_eq!(sends(&last), [("q".to_string(), homes[1].clone())]);
-    // All are past what all routers together want there: it is held, and asks again in time.
-    let mut b = router(asking(), fleet(3, 3));
-    let mut home = asked(&b.ask(query("q", 900)));
-    while let Some(at) = home.first().cloned() {
-        let then = says(&mut b, &at, Outcome::Served, 40.0);
-        assert!(sends(&then).is_empty());
-        home = asked(&then);
+    // All servers exceed the limit of all routers together: the request is queued, and probes are repeated.
+    let mut harness = harness_with_servers(probing_settings(), server_list(3, 3));
+    let mut home = probed_servers(&harness.submit(query("q", 900)));
+    while let Some(server) = home.first().cloned() {
+        let actions = end_probe(&mut harness, &server, Outcome::Served, 40.0);
+        assert!(sends(&actions).is_empty());
+        home = probed_servers(&actions);
     }
-    let later = b.wait(400 * MS);
-    assert!(sends(&later).is_empty() && !asked(&later).is_empty());
+    let later = harness.advance(400 * MS);
+    assert!(sends(&later).is_empty() && !probed_servers(&later).is_empty());
 }
 
 #[test]
-fn a_reader_that_does_not_answer_costs_a_probe_and_no_attempt() {
-    let mut b = router(asking(), fleet(20, 20));
-    let home = asked(&b.ask(query("q", 900)))[0].clone();
-    let then = says(&mut b, &home, Outcome::NoConnection, 0.0);
-    let next = asked(&then);
-    assert_eq!(next.len(), 1, "the next one, once");
-    assert!(next[0] != home && sends(&then).is_empty());
-    // Where most are gone, each is asked once for a while, not again and again.
-    let mut b = router(asking(), fleet(3, 3));
-    let (mut home, mut n) = (asked(&b.ask(query("q", 900))), 0);
-    while let Some(at) = home.first().cloned() {
+fn an_unreachable_prefill_server_costs_a_probe_and_no_attempt() {
+    let mut harness = harness_with_servers(probing_settings(), server_list(20, 20));
+    let home = probed_servers(&harness.submit(query("q", 900)))[0].clone();
+    let actions = end_probe(&mut harness, &home, Outcome::NoConnection, 0.0);
+    let next = probed_servers(&actions);
+    assert_eq!(next.len(), 1, "the next server is probed once");
+    assert!(next[0] != home && sends(&actions).is_empty());
+    // Where most servers are unreachable, each is probed once for a while and not repeatedly.
+    let mut harness = harness_with_servers(probing_settings(), server_list(3, 3));
+    let (mut home, mut n) = (probed_servers(&harness.submit(query("q", 900))), 0);
+    while let Some(server) = home.first().cloned() {
         n += 1;
-        assert!(n <= 3, "asked without an end");
-        home = asked(&says(&mut b, &at, Outcome::NoConnection, 0.0));
+        assert!(n <= 3, "probes must not go on without end");
+        home = probed_servers(&end_probe(&mut harness, &server, Outcome::NoConnection, 0.0));
     }
 }
 
-/// Unless they can ask, routers with a hundredth of the traffic each pile all of one prefix on its homes.
+/// Without probes, routers with a hundredth of the traffic each send all requests of one prefix to its few
+/// home servers.
 #[test]
-fn routers_that_ask_spread_one_prefix_over_as_many_readers_as_it_takes() {
-    let most = |settings: &Settings| {
-        let mut side = Side::new(settings, &fleet(20, 20));
-        side.prefix = Some("p".into());
-        side.run(5 * SEC);
-        side.most
+fn probing_routers_spread_one_prefix_over_enough_prefill_servers() {
+    let max_active = |settings: &Settings| {
+        let mut group = RouterGroup::new(settings, &server_list(20, 20));
+        group.prefix = Some("p".into());
+        group.run_for(5 * SEC);
+        group.max_active
     };
-    let (blind, open) = (most(&large()), most(&asking()));
-    assert!(open <= 6 && blind > open, "out at one reader: {open} when asked, else {blind}");
+    let (without_probes, with_probes) =
+        (max_active(&settings_of_100_routers()), max_active(&probing_settings()));
+    assert!(
+        with_probes <= 6 && without_probes > with_probes,
+        "active at one prefill server: {with_probes} with probes, {without_probes} without"
+    );
 }
 
 #[test]
-fn a_server_that_was_slow_for_this_router_rests_while_others_take_its_work() {
-    let mut b = router(large(), fleet(30, 30));
-    let of = |id: &str| Query { session: "s".into(), ..query(id, 900) };
-    let home = sends(&b.ask(of("a")))[0].1.clone();
-    b.now += 600 * MS;
+fn a_server_that_was_slow_is_avoided_while_others_take_its_requests() {
+    let mut harness = harness_with_servers(settings_of_100_routers(), server_list(30, 30));
+    let request = |id: &str| Query { session: "s".into(), ..query(id, 900) };
+    let home = sends(&harness.submit(request("a")))[0].1.clone();
+    harness.now += 600 * MS;
     let slow = Event::AttemptEnded {
         id: "a".into(),
         attempt: 0,
@@ -206,64 +216,69 @@
         finished: false,
         load: None,
     };
-    b.step(slow);
-    b.begin("a", 1);
-    b.now += 100 * MS;
-    assert_ne!(sends(&b.ask(of("b")))[0].1, home);
+    harness.handle(slow);
+    harness.start_answer("a", 1);
+    harness.now += 100 * MS;
+    assert_ne!(sends(&harness.submit(request("b")))[0].1, home);
 }
 
 #[test]
-fn a_server_that_turned_a_request_away_rests_and_comes_back() {
-    let mut b = Bench::new(Settings::example(), &[("m1", 2), ("m2", 2)]);
-    let first = sends(&b.ask(query("a", 900)))[0].1.clone();
-    b.end("a", 0, &first, Outcome::Rejected);
-    let taken = |b: &mut Bench, round: &str| {
+fn a_server_that_rejected_a_request_is_avoided_for_a_while() {
+    let mut harness = RouterHarness::new(Settings::example(), &[("m1", 2), ("m2", 2)]);
+    let first = sends(&harness.submit(query("a", 900)))[0].1.clone();
+    harness.end_attempt("a", 0, &first, Outcome::Rejected);
+    let accepted = |harness: &mut RouterHarness, round: &str| {
         let ids = (0..3).map(|i| format!("{round}{i}"));
-        ids.filter(|id| sends(&b.ask(query(id, 900))).iter().any(|s| s.1 == first)).count()
+        ids.filter(|id| sends(&harness.submit(query(id, 900))).iter().any(|s| s.1 == first)).count()
     };
-    assert_eq!(taken(&mut b, "at once "), 0, "it rests");
-    b.wait(500 * MS);
-    assert!(taken(&mut b, "later ") > 0, "and is asked again");
+    assert_eq!(accepted(&mut harness, "at once "), 0, "it is avoided");
+    harness.advance(500 * MS);
+    assert!(accepted(&mut harness, "later ") > 0, "it gets requests again");
 }
 
 #[test]
-fn a_reader_heavy_rack_does_not_pile_its_reads_on_its_one_writer() {
-    let mut entries = fleet(4, 6);
+fn a_rack_with_many_prefill_servers_does_not_overload_its_one_decode_server() {
+    let mut entries = server_list(4, 6);
     for e in &mut entries {
         e.rack = if e.kind == 0 || &*e.server == "w0" { 1 } else { 2 };
     }
-    let mut side = Side::new(&large(), &entries);
-    side.run(15 * SEC);
-    let count = |w: &str| side.sent.iter().filter(|s| &*s.1 == w).count();
-    let all: usize = (0..6).map(|i| count(&format!("w{i}"))).sum();
-    assert!(count("w0") * 2 < all, "{} of {all} writes in the readers' rack", count("w0"));
+    let mut group = RouterGroup::new(&settings_of_100_routers(), &entries);
+    group.run_for(15 * SEC);
+    let sends_to = |server: &str| group.send_log.iter().filter(|s| &*s.1 == server).count();
+    let all: usize = (0..6).map(|i| sends_to(&format!("w{i}"))).sum();
+    assert!(
+        sends_to("w0") * 2 < all,
+        "{} of {all} decodes in the rack of the prefill servers",
+        sends_to("w0")
+    );
 }
 
 #[test]
-fn a_large_list_that_shrinks_to_none_and_returns_is_no_trouble() {
+fn a_large_server_list_may_become_empty_and_return() {
     for conductors in [1, 1_000] {
-        let mut b = router(Settings { conductors, ..Settings::example() }, fleet(50, 50));
-        b.list(ListUpdateKind::Full, Vec::new());
-        assert!(sends(&b.ask(query("a", 900))).is_empty());
-        // A clock that jumps by far more than the client's patience: the answer is still the first thing.
-        let out = b.list(ListUpdateKind::Full, fleet(50, 50));
+        let mut harness =
+            harness_with_servers(Settings { conductors, ..Settings::example() }, server_list(50, 50));
+        harness.update_servers(ListUpdateKind::Full, Vec::new());
+        assert!(sends(&harness.submit(query("a", 900))).is_empty());
+        // The clock jumps by far more than the client's budget: the request is still answered first.
+        let out = harness.update_servers(ListUpdateKind::Full, server_list(50, 50));
         assert_eq!(sends(&out).len(), 1);
-        b.now += 60 * SEC;
-        let out = b.end("a", 0, &sends(&out)[0].1, Outcome::NoAnswer);
-        assert!(declined(&out, "a"));
+        harness.now += 60 * SEC;
+        let out = harness.end_attempt("a", 0, &sends(&out)[0].1, Outcome::NoAnswer);
+        assert!(is_refused(&out, "a"));
     }
 }
 
 #[test]
-fn ill_valued_reports_and_tiny_quotas_are_no_trouble() {
+fn invalid_load_reports_and_tiny_quotas_are_tolerated() {
     let settings = Settings {
         tenants: vec![Tenant { name: "t".into(), quota_per_s: 0.001 }],
         over_quota_worth: 0.1,
         conductors: 1_000,
         ..Settings::example()
     };
-    let mut b = router(settings, fleet(3, 3));
-    let first = sends(&b.ask(Query { tenant: Some(0), ..query("a", 900) }));
+    let mut harness = harness_with_servers(settings, server_list(3, 3));
+    let first = sends(&harness.submit(Query { tenant: Some(0), ..query("a", 900) }));
     let load = Some(LoadReport {
         memory: Some(f64::NAN),
         waiting_ktokens: Some(-1e300),
@@ -271,7 +286,7 @@
         queued: None,
         outstanding: Some(f64::NAN),
     });
-    let out = b.step(Event::AttemptEnded {
+    let out = harness.handle(Event::AttemptEnded {
         id: "a".into(),
         attempt: 0,
         server: first[0].1.as_str().into(),
@@ -281,66 +296,66 @@
         finished: false,
         load,
     });
-    assert_eq!(sends(&out).len(), 1, "it goes on to a writer");
+    assert_eq!(sends(&out).len(), 1, "it goes on to a decode server");
 }
 
 #[test]
-fn what_waits_at_the_writers_holds_the_next_read() {
-    let mut b = router(large(), fleet(40, 10));
-    let reader = sends(&b.ask(query("a", 900)))[0].1.clone();
-    b.end("a", 0, &reader, Outcome::PrefillDone);
-    assert!(sends(&b.ask(query("b", 900))).is_empty(), "a part of ten writers is 1.2");
-    assert_eq!(sends(&[b.begin("a", 1), b.wait(200 * MS)].concat()).len(), 1);
+fn requests_waiting_at_decode_servers_delay_the_next_prefill() {
+    let mut harness = harness_with_servers(settings_of_100_routers(), server_list(40, 10));
+    let prefill_server = sends(&harness.submit(query("a", 900)))[0].1.clone();
+    harness.end_attempt("a", 0, &prefill_server, Outcome::PrefillDone);
+    assert!(sends(&harness.submit(query("b", 900))).is_empty(), "the share of ten decode servers is 1.2");
+    assert_eq!(sends(&[harness.start_answer("a", 1), harness.advance(200 * MS)].concat()).len(), 1);
 }
 
 #[test]
-fn starved_requests_of_many_routers_do_not_all_leave_ahead() {
-    // At 120 routers a tenth of the rate of promotions is each router's part.
+fn routers_share_the_promotion_rate_of_starved_requests() {
+    // With 120 routers, each router's share is a tenth of the rate of promotions.
     let settings = Settings { conductors: 120, ..Settings::example() };
-    let mut b = router(settings, fleet(0, 30));
+    let mut harness = harness_with_servers(settings, server_list(0, 30));
     for i in 0..3 {
-        b.ask(query(&format!("long-{i}"), 2_000));
+        harness.submit(query(&format!("long-{i}"), 2_000));
     }
-    b.wait(770 * MS);
+    harness.advance(770 * MS);
     for i in 0..6 {
-        b.ask(query(&format!("short-{i}"), 300));
+        harness.submit(query(&format!("short-{i}"), 300));
     }
-    let left = sends(&b.list(ListUpdateKind::Changes, fleet(30, 0)));
-    let kinds: Vec<_> = left.iter().map(|s| &s.0[..4]).collect();
-    assert_eq!(kinds, ["long", "shor", "shor"], "the readers' parts together are three");
-    b.wait(100 * MS);
-    let next = sends(&b.end(&left[0].0, 0, &left[0].1, Outcome::PrefillDone));
+    let left = sends(&harness.update_servers(ListUpdateKind::Changes, server_list(30, 0)));
+    let order: Vec<_> = left.iter().map(|s| &s.0[..4]).collect();
+    assert_eq!(order, ["long", "shor", "shor"], "the shares of all prefill servers add up to three");
+    harness.advance(100 * MS);
+    let next = sends(&harness.end_attempt(&left[0].0, 0, &left[0].1, Outcome::PrefillDone));
     assert!(next[1].0.starts_with("short"), "{next:?}");
 }
 
 #[test]
-fn a_role_that_keeps_all_waiting_is_asked_less_often_though_that_has_become_usual() {
-    // Nine readers for a hundred routers: a part of 0.36 waiting requests, kept in time.
-    let mut b = router(large(), fleet(9, 9));
+fn a_role_that_is_always_slow_still_gets_no_more_than_the_routers_share() {
+    // Nine prefill servers for a hundred routers: the share is 0.36 waiting requests, on average over time.
+    let mut harness = harness_with_servers(settings_of_100_routers(), server_list(9, 9));
     let mut sent = 0;
-    let (end, mut i) = (b.now + 10 * SEC, 0);
+    let (end, mut i) = (harness.now + 10 * SEC, 0);
     let mut out = Vec::new();
     let mut due: Vec<(Micros, String, String)> = Vec::new();
-    while b.now < end {
+    while harness.now < end {
         i += 1;
-        out.extend(b.ask(query(&format!("q{i}"), 900)));
-        for (id, w) in sends(&std::mem::take(&mut out)) {
-            if w.starts_with('r') {
+        out.extend(harness.submit(query(&format!("q{i}"), 900)));
+        for (id, server) in sends(&std::mem::take(&mut out)) {
+            if server.starts_with('r') {
                 sent += 1;
-                due.push((b.now + 800 * MS, id, w));
+                due.push((harness.now + 800 * MS, id, server));
             } else {
-                b.begin(&id, 1);
-                b.end(&id, 1, &w, Outcome::Served);
+                harness.start_answer(&id, 1);
+                harness.end_attempt(&id, 1, &server, Outcome::Served);
             }
         }
-        out.extend(b.wait(50 * MS));
-        let over: Vec<_> = due.iter().filter(|d| d.0 <= b.now).cloned().collect();
-        due.retain(|d| d.0 > b.now);
-        for (_, id, server) in over {
+        out.extend(harness.advance(50 * MS));
+        let ended: Vec<_> = due.iter().filter(|d| d.0 <= harness.now).cloned().collect();
+        due.retain(|d| d.0 > harness.now);
+        for (_, id, server) in ended {
             let (id, server): (Id, Id) = (id.as_str().into(), server.as_str().into());
             let (outcome, elapsed, cached_tokens, load) = (Outcome::PrefillDone, 800 * MS, 0, None);
             let (attempt, finished) = (0, false);
-            out.extend(b.step(Event::AttemptEnded {
+            out.extend(harness.handle(Event::AttemptEnded {
                 id,
                 attempt,
                 server,
@@ -352,40 +367,44 @@
             }));
         }
     }
-    // 10 s x 0.36 / 0.8 s = 4.5; with one always out it would be 12.
-    assert!((3..=7).contains(&sent), "{sent} reads left");
+    // 10 s x 0.36 / 0.8 s = 4.5; with one request always active it would be 12.
+    assert!((3..=7).contains(&sent), "{sent} prefills sent");
 }
 
 #[test]
-fn a_rack_with_many_readers_sends_part_of_its_reads_to_other_racks_writers() {
-    // Rack 1 has three readers and one writer, rack 2 one reader and five writers.
-    let mut entries = fleet(4, 6);
+fn a_rack_with_few_decode_servers_sends_part_of_its_requests_to_other_racks() {
+    // Rack 1 has three prefill servers and one decode server, rack 2 one prefill and five decode servers.
+    let mut entries = server_list(4, 6);
     for e in &mut entries {
         e.rack = if matches!(&*e.server, "r0" | "r1" | "r2" | "w0") { 1 } else { 2 };
     }
     let mut shares = [0, 0];
     for i in 0..200u64 {
-        let mut b = Bench::seeded(large(), i);
-        b.list(ListUpdateKind::StaleCopy, entries.clone());
+        let mut harness = RouterHarness::with_seed(settings_of_100_routers(), i);
+        harness.update_servers(ListUpdateKind::StaleCopy, entries.clone());
         let id = format!("q{i}");
-        let reader = sends(&b.ask(query(&id, 900)))[0].1.clone();
-        let writer = sends(&b.end(&id, 0, &reader, Outcome::PrefillDone))[0].1.clone();
-        if reader != "r3" {
-            shares[usize::from(writer == "w0")] += 1;
+        let prefill_server = sends(&harness.submit(query(&id, 900)))[0].1.clone();
+        let decode_server =
+            sends(&harness.end_attempt(&id, 0, &prefill_server, Outcome::PrefillDone))[0].1.clone();
+        if prefill_server != "r3" {
+            shares[usize::from(decode_server == "w0")] += 1;
         } else {
-            assert_ne!(writer, "w0", "a rack with writers enough keeps what it reads");
+            assert_ne!(
+                decode_server, "w0",
+                "a rack with enough decode servers keeps the requests it prefills"
+            );
         }
     }
-    // Its share of the writers for its share of the reads is 0.22, half more is let.
+    // The rack's share of decode servers over its share of prefills is 0.22; half more than that may stay.
     assert!(shares[1] * 3 < shares[0] * 2 && shares[1] * 6 > shares[0], "{shares:?} leave and stay");
 }
 
 #[test]
-fn one_hung_server_does_not_rest_its_whole_role() {
-    let mut b = router(large(), fleet(9, 9));
-    let hung = sends(&b.ask(query("a", 900)))[0].1.clone();
-    b.now += 3 * SEC;
-    b.step(Event::AttemptEnded {
+fn one_hung_server_does_not_pause_its_whole_role() {
+    let mut harness = harness_with_servers(settings_of_100_routers(), server_list(9, 9));
+    let hung = sends(&harness.submit(query("a", 900)))[0].1.clone();
+    harness.now += 3 * SEC;
+    harness.handle(Event::AttemptEnded {
         id: "a".into(),
         attempt: 0,
         server: hung.as_str().into(),
@@ -395,7 +414,8 @@
         finished: false,
         load: None,
     });
-    // By its own 3 s the role would rest for 5.3 s; by twice the usual, 3 s counted in, for 2.7 s.
-    b.wait(2_700 * MS);
-    assert_eq!(sends(&[b.ask(query("b", 900)), b.wait(200 * MS)].concat()).len(), 1);
+    // Based on its own 3 s, the role would pause for 5.3 s. Based on twice the usual time, which includes
+    // these 3 s, it pauses for 2.7 s.
+    harness.advance(2_700 * MS);
+    assert_eq!(sends(&[harness.submit(query("b", 900)), harness.advance(200 * MS)].concat()).len(), 1);
 }
