--- a/daemon/src/command/operations.rs
+++ b/daemon/src/command/operations.rs
@@ -17,7 +17,7 @@
 use frosttrail_daemon::ops::{CallMarks, ConductorOperations, ExclusionStore, OpsServer};
 use frosttrail_daemon::snapshot_file::SnapshotFile;
 use frosttrail_daemon::state_dir;
-use frosttrail_daemon::transient::{is_shortage, retry_at_start};
+use frosttrail_daemon::transient::{is_resource_shortage, retry_at_start};
 use frosttrail_daemon::upstream::HttpUpstream;
 use slog::{warn, Logger};
 use tokio::time::sleep;
@@ -167,7 +167,7 @@
             Some(listener) => listener,
             None => self.doors.bind(address).map_err(|e| ServeError::Bind(address, e))?,
         };
-        self.listeners.push(retry_at_start(is_shortage, || listener.try_clone())?);
+        self.listeners.push(retry_at_start(is_resource_shortage, || listener.try_clone())?);
         Ok(listener)
     }
 }
--- a/daemon/src/command/serve.rs
+++ b/daemon/src/command/serve.rs
@@ -15,8 +15,8 @@
 use frosttrail_daemon::front::{ClientListeners, ClientTimeouts};
 use frosttrail_daemon::listener_handover::ListenerHandover;
 use frosttrail_daemon::reload::Reload;
-use frosttrail_daemon::transient::{await_socket_pairs, await_threads, is_shortage, retry_at_start};
-use frosttrail_daemon::upstream::{AddressTable, HttpUpstream, Limits};
+use frosttrail_daemon::transient::{await_socket_pairs, await_threads, is_resource_shortage, retry_at_start};
+use frosttrail_daemon::upstream::{AddressTable, ConnectionLimits, HttpUpstream};
 use frosttrail_membership::service::{self, Membership};
 use slog::{info, Logger};
 use tokio::signal::unix::{signal, Signal, SignalKind};
@@ -63,7 +63,7 @@
 /// Runs the conductor until SIGTERM.
 pub fn serve(options: Options) -> Result<(), ServeError> {
     await_socket_pairs()?;
-    let runtime = retry_at_start(is_shortage, runtime)?;
+    let runtime = retry_at_start(is_resource_shortage, runtime)?;
     // Before all else: a signal that comes early must find its handler.
     let signals = {
         let _entered = runtime.enter();
@@ -222,12 +222,12 @@
 ) -> (Conductor<HttpUpstream>, Arc<HttpUpstream>) {
     let clock = Clock::new();
     let book = Arc::new(AddressTable::default());
-    let limits = Limits {
-        connections,
+    let limits = ConnectionLimits {
+        max_connections: connections,
         connect_timeout: Duration::from_micros(config.settings.connect_timeout),
-        conn_idle: Duration::from_micros(config.settings.connection_idle_timeout),
-        settle: SETTLE,
-        stale_within: STALE_WITHIN,
+        server_idle_timeout: Duration::from_micros(config.settings.connection_idle_timeout),
+        settle_time: SETTLE,
+        stale_reset_window: STALE_WITHIN,
     };
     let upstream = Arc::new(HttpUpstream::new(book.clone(), limits, figures.sends.clone()));
     let Config { name, known, names, settings, seed, .. } = config;
--- a/daemon/src/config.rs
+++ b/daemon/src/config.rs
@@ -15,7 +15,7 @@
 use serde_json::Value;
 
 use crate::discovery::{DiscoveryConfig, Listing};
-use crate::transient::is_read_failure;
+use crate::transient::is_transient_read_error;
 
 /// Why the daemon can't start.
 #[derive(Debug, thiserror::Error)]
@@ -52,7 +52,7 @@
 impl ConfigError {
     /// Whether the file may be readable a moment later.
     pub fn is_transient(&self) -> bool {
-        matches!(self, ConfigError::Unreadable(_, e) if is_read_failure(e))
+        matches!(self, ConfigError::Unreadable(_, e) if is_transient_read_error(e))
     }
 }
 
--- a/daemon/src/discovery/platform.rs
+++ b/daemon/src/discovery/platform.rs
@@ -149,7 +149,7 @@
         if form != ListUpdateKind::StaleCopy {
             self.starts.heard(now);
         }
-        self.book.follow(&news);
+        self.book.apply_update(&news);
         news
     }
 }
--- a/daemon/src/discovery/xds.rs
+++ b/daemon/src/discovery/xds.rs
@@ -267,7 +267,7 @@
                 Ok(entries) => {
                     self.told = Some(entries.clone());
                     let news = MembershipUpdate { kind: ListUpdateKind::Full, entries };
-                    self.book.follow(&news);
+                    self.book.apply_update(&news);
                     return Some(news);
                 }
                 Err(e) => {
--- a/daemon/src/front/listener.rs
+++ b/daemon/src/front/listener.rs
@@ -27,7 +27,7 @@
 use super::framing::{Found, Framed, HEADERS_MOST};
 use super::input::{Admission, ArriveBy, InputError};
 use super::socket::Socket;
-use crate::transient::{is_shortage, retry_at_start};
+use crate::transient::{is_resource_shortage, retry_at_start};
 
 /// Connections that the kernel holds until they are accepted.
 const BACKLOG: u32 = 1_024;
@@ -139,7 +139,7 @@
 
     /// Listens at an address and accepts nothing yet.
     pub fn bind(&self, address: SocketAddr) -> std::io::Result<std::net::TcpListener> {
-        retry_at_start(is_shortage, || self.try_bind(address))
+        retry_at_start(is_resource_shortage, || self.try_bind(address))
     }
 
     fn try_bind(&self, address: SocketAddr) -> std::io::Result<std::net::TcpListener> {
--- a/daemon/src/ops/server.rs
+++ b/daemon/src/ops/server.rs
@@ -20,7 +20,7 @@
 use tokio_util::task::AbortOnDropHandle;
 
 use crate::tcp::TcpConnection;
-use crate::transient::{is_shortage, retry_at_start};
+use crate::transient::{is_resource_shortage, retry_at_start};
 
 use super::call::{answer, error_response, takes_body, CallError, Operations, ID_BYTES_MAX};
 
@@ -41,7 +41,7 @@
 impl OpsServer {
     /// Binds the address; nothing is answered before [`OpsServer::start`].
     pub fn bind(address: SocketAddr) -> std::io::Result<Self> {
-        let listener = retry_at_start(is_shortage, || TcpListener::bind(address))?;
+        let listener = retry_at_start(is_resource_shortage, || TcpListener::bind(address))?;
         listener.set_nonblocking(true)?;
         Ok(OpsServer { listener })
     }
@@ -49,7 +49,7 @@
     /// Answers calls until the process ends.
     pub fn start<O: Operations>(self, operations: Arc<O>, log: Logger) -> std::io::Result<()> {
         let mut builder = tokio::runtime::Builder::new_current_thread();
-        let runtime = retry_at_start(is_shortage, || builder.enable_all().build())?;
+        let runtime = retry_at_start(is_resource_shortage, || builder.enable_all().build())?;
         let address = self.listener.local_addr()?;
         let listener = {
             let _entered = runtime.enter();
@@ -58,7 +58,7 @@
         info!(log, "operators' address"; "at" => %address);
         // Taken by the thread that comes up: one that can't be made leaves it for the next try.
         let work = Arc::new(Mutex::new(Some((runtime, accept(listener, operations, log)))));
-        retry_at_start(is_shortage, || {
+        retry_at_start(is_resource_shortage, || {
             let (work, thread) = (work.clone(), std::thread::Builder::new().name("ops".into()));
             thread.spawn(move || {
                 let taken = work.lock().unwrap_or_else(PoisonError::into_inner).take();
--- a/daemon/src/reload.rs
+++ b/daemon/src/reload.rs
@@ -11,7 +11,7 @@
 
 use crate::config::{Config, ConfigError, SuccessionError};
 use crate::discovery::DiscoveryConfig;
-use crate::transient::RETRY_EVERY;
+use crate::transient::RETRY_INTERVAL;
 use crate::upstream::HttpUpstream;
 
 /// A file that can't be read is tried again for so long. What a new configuration names counts as told 4 s
@@ -74,7 +74,7 @@
         loop {
             match self.read().await {
                 Err(ReloadError::Config(e)) if e.is_transient() && Instant::now() < until => {
-                    sleep(RETRY_EVERY).await;
+                    sleep(RETRY_INTERVAL).await;
                 }
                 read => return read,
             }
--- a/daemon/src/tcp.rs
+++ b/daemon/src/tcp.rs
@@ -31,7 +31,7 @@
         loop {
             ready!(self.0.poll_write_ready(cx))?;
             match write(&self.0) {
-                Err(e) if is_to_be_repeated(&e) => {}
+                Err(e) if is_retryable(&e) => {}
                 written => return Poll::Ready(written),
             }
         }
@@ -39,7 +39,7 @@
 }
 
 /// Whether a call said only that it was to be made once more, when there is something to do or at once.
-fn is_to_be_repeated(e: &std::io::Error) -> bool {
+fn is_retryable(e: &std::io::Error) -> bool {
     matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted)
 }
 
@@ -52,7 +52,7 @@
                     buf.advance(read);
                     return Poll::Ready(Ok(()));
                 }
-                Err(e) if is_to_be_repeated(&e) => {}
+                Err(e) if is_retryable(&e) => {}
                 Err(e) => return Poll::Ready(Err(e)),
             }
         }
--- a/daemon/src/transient.rs
+++ b/daemon/src/transient.rs
@@ -7,9 +7,9 @@
 use std::time::{Duration, Instant};
 
 /// A start tries again for so long.
-pub const START_WITHIN: Duration = Duration::from_secs(5);
+pub const START_RETRY_TIMEOUT: Duration = Duration::from_secs(5);
 /// Between two tries.
-pub const RETRY_EVERY: Duration = Duration::from_millis(20);
+pub const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Errors of Linux for which Rust has no kinds of its own: a failed device, too many open files, of the
 /// system and of the process, and no room for buffers.
@@ -20,7 +20,7 @@
 
 /// Whether this machine lacks descriptors, memory, threads, ports or a network: nobody else is to blame,
 /// and the next try may succeed.
-pub fn is_shortage(e: &Error) -> bool {
+pub fn is_resource_shortage(e: &Error) -> bool {
     let kinds = [
         ErrorKind::AddrNotAvailable,
         ErrorKind::NetworkUnreachable,
@@ -32,11 +32,11 @@
 }
 
 /// Whether a file that could not be read may be read a moment later.
-pub fn is_read_failure(e: &Error) -> bool {
-    is_shortage(e) || e.raw_os_error() == Some(EIO)
+pub fn is_transient_read_error(e: &Error) -> bool {
+    is_resource_shortage(e) || e.raw_os_error() == Some(EIO)
 }
 
-/// Tries again for [`START_WITHIN`] while errors are transient. It holds up its thread, and is for the
+/// Tries again for [`START_RETRY_TIMEOUT`] while errors are transient. It holds up its thread, and is for the
 /// start of a process only, before anything is served.
 ///
 /// # Errors
@@ -46,11 +46,11 @@
     is_transient: impl Fn(&E) -> bool,
     mut attempt: impl FnMut() -> Result<T, E>,
 ) -> Result<T, E> {
-    let until = Instant::now() + START_WITHIN;
+    let deadline = Instant::now() + START_RETRY_TIMEOUT;
     loop {
         match attempt() {
-            Err(e) if is_transient(&e) && Instant::now() < until => thread::sleep(RETRY_EVERY),
-            ended => return ended,
+            Err(e) if is_transient(&e) && Instant::now() < deadline => thread::sleep(RETRY_INTERVAL),
+            result => return result,
         }
     }
 }
@@ -59,18 +59,18 @@
 ///
 /// # Errors
 ///
-/// The last error, after [`START_WITHIN`].
+/// The last error, after [`START_RETRY_TIMEOUT`].
 pub fn await_socket_pairs() -> std::io::Result<()> {
-    retry_at_start(is_shortage, UnixStream::pair).map(drop)
+    retry_at_start(is_resource_shortage, UnixStream::pair).map(drop)
 }
 
 /// Waits until threads can be made: the log's writer needs one and panics without.
 ///
 /// # Errors
 ///
-/// The last error, after [`START_WITHIN`].
+/// The last error, after [`START_RETRY_TIMEOUT`].
 pub fn await_threads() -> std::io::Result<()> {
-    let thread = retry_at_start(is_shortage, || thread::Builder::new().spawn(|| {}))?;
+    let thread = retry_at_start(is_resource_shortage, || thread::Builder::new().spawn(|| {}))?;
     // It does nothing that could fail.
     let _ = thread.join();
     Ok(())
--- a/daemon/src/upstream/calls.rs
+++ b/daemon/src/upstream/calls.rs
@@ -11,48 +11,60 @@
 use hyper::{Method, Request, Response, StatusCode};
 use tokio::time::timeout;
 
-use super::link::{Link, Written};
-use super::pool::{Pool, BODY_MOST};
+use super::link::{Connection, WriteProgress};
+use super::pool::{ConnectionPool, MAX_BODY_BYTES};
 
 /// A probe that has not come back by then tells that the server does not answer.
-const PROBE: Duration = Duration::from_millis(250);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
 
-fn request(method: Method, target: String) -> Option<Request<Bytes>> {
+fn build_request(method: Method, target: String) -> Option<Request<Bytes>> {
     Request::builder().method(method).uri(target).header(HOST, "box").body(Bytes::new()).ok()
 }
 
 /// Sends a call that may be repeated at will: on a kept connection, then on a new one.
-async fn call(pool: &Pool, server: &Id, method: &Method, target: &str) -> Option<(Link, Response<Incoming>)> {
-    if let Some(mut link) = pool.kept(server).await {
-        if let Ok(answer) = link.send(request(method.clone(), target.into())?, &Written::default()).await {
-            return Some((link, answer));
+async fn send_repeatable(
+    pool: &ConnectionPool,
+    server: &Id,
+    method: &Method,
+    target: &str,
+) -> Option<(Connection, Response<Incoming>)> {
+    if let Some(mut connection) = pool.take_idle(server).await {
+        if let Ok(response) =
+            connection.send(build_request(method.clone(), target.into())?, &WriteProgress::default()).await
+        {
+            return Some((connection, response));
         }
     }
-    let mut link = pool.fresh(server).await.ok()?;
-    let answer = link.send(request(method.clone(), target.into())?, &Written::default()).await.ok()?;
-    Some((link, answer))
+    let mut connection = pool.connect(server).await.ok()?;
+    let response = connection
+        .send(build_request(method.clone(), target.into())?, &WriteProgress::default())
+        .await
+        .ok()?;
+    Some((connection, response))
 }
 
 /// True once the server has taken the call.
-pub(super) async fn release(pool: &Arc<Pool>, server: &Id, id: &Id) -> bool {
-    let Some((link, answer)) = call(pool, server, &Method::DELETE, &format!("/state/{id}")).await else {
+pub(super) async fn release(pool: &Arc<ConnectionPool>, server: &Id, request: &Id) -> bool {
+    let Some((connection, response)) =
+        send_repeatable(pool, server, &Method::DELETE, &format!("/state/{request}")).await
+    else {
         return false;
     };
-    let taken = answer.status().is_success();
-    pool.keep_after(server, link, answer.into_body());
-    taken
+    let is_released = response.status().is_success();
+    pool.put_after_body(server, connection, response.into_body());
+    is_released
 }
 
 /// Asks for a server's load.
-pub(super) async fn probe(pool: &Arc<Pool>, server: &Id) -> (Outcome, Option<LoadReport>) {
-    let asked = async {
-        let (link, answer) = call(pool, server, &Method::GET, "/_load").await?;
-        let status = answer.status();
-        let body = Limited::new(answer.into_body(), BODY_MOST).collect().await.ok()?.to_bytes();
-        pool.keep_settled(server, link);
+pub(super) async fn probe(pool: &Arc<ConnectionPool>, server: &Id) -> (Outcome, Option<LoadReport>) {
+    let load_request = async {
+        let (connection, response) = send_repeatable(pool, server, &Method::GET, "/_load").await?;
+        let status = response.status();
+        let body = Limited::new(response.into_body(), MAX_BODY_BYTES).collect().await.ok()?.to_bytes();
+        pool.put_settled(server, connection);
         Some((status, body))
     };
-    match timeout(PROBE, asked).await {
+    match timeout(PROBE_TIMEOUT, load_request).await {
         Err(_) => (Outcome::NoAnswer, None),
         Ok(None) => (Outcome::NoConnection, None),
         Ok(Some((StatusCode::OK, body))) => {
--- a/daemon/src/upstream/link.rs
+++ b/daemon/src/upstream/link.rs
@@ -24,93 +24,95 @@
 
 use super::lock;
 use crate::tcp::TcpConnection;
-use crate::transient::is_shortage;
+use crate::transient::is_resource_shortage;
 
 /// A head comes in one piece or nearly so; one that has begun and has not ended by then never will.
-const HEAD_WAIT: Duration = Duration::from_millis(400);
+const RESPONSE_HEAD_TIMEOUT: Duration = Duration::from_millis(400);
 /// No head is larger, and no more is read ahead.
-const BUFFER: usize = 32 << 10;
+const MAX_BUFFER_BYTES: usize = 32 << 10;
 
 /// How far one request has got. A server starts on a request with its last byte, so this tells a request
 /// that never ran from one that may have.
 #[derive(Clone, Default)]
-pub(super) struct Written(Arc<Progress>);
+pub(super) struct WriteProgress(Arc<ProgressState>);
 
 #[derive(Default)]
-struct Progress {
+struct ProgressState {
     /// The library has taken all of the body.
-    taken: AtomicBool,
+    is_body_taken: AtomicBool,
     /// Bytes have gone to the socket since the request was handed over.
-    wrote: AtomicBool,
+    has_written: AtomicBool,
     /// Nothing was left to write after both.
-    whole: AtomicBool,
+    is_complete: AtomicBool,
     /// When the head of an answer began to come.
-    answering: watch::Sender<Option<Instant>>,
+    head_started_at: watch::Sender<Option<Instant>>,
     /// Counts the request once it is whole.
     counter: Option<IntCounter>,
 }
 
-impl Written {
+impl WriteProgress {
     /// A request that is counted once it is written whole.
-    pub(super) fn counted(counter: IntCounter) -> Self {
-        Written(Arc::new(Progress { counter: Some(counter), ..Progress::default() }))
+    pub(super) fn with_counter(counter: IntCounter) -> Self {
+        WriteProgress(Arc::new(ProgressState { counter: Some(counter), ..ProgressState::default() }))
     }
 
     /// Whether the last byte has been written.
-    pub(super) fn is_whole(&self) -> bool {
-        self.0.whole.load(Ordering::Relaxed)
+    pub(super) fn is_complete(&self) -> bool {
+        self.0.is_complete.load(Ordering::Relaxed)
     }
 
     /// The request goes out anew: what an earlier connection took of it does not count.
-    fn begin(&self) {
-        let Progress { taken, wrote, whole, answering, .. } = &*self.0;
-        [taken, wrote, whole].iter().for_each(|mark| mark.store(false, Ordering::Relaxed));
-        answering.send_replace(None);
+    fn reset(&self) {
+        let ProgressState { is_body_taken, has_written, is_complete, head_started_at, .. } = &*self.0;
+        [is_body_taken, has_written, is_complete]
+            .iter()
+            .for_each(|flag| flag.store(false, Ordering::Relaxed));
+        head_started_at.send_replace(None);
     }
 
     /// Bytes have come; those of an answer in front of the answer itself do not count.
-    fn read(&self) {
-        self.0.answering.send_if_modified(|at| {
-            let first = at.is_none();
+    fn record_read(&self) {
+        self.0.head_started_at.send_if_modified(|at| {
+            let is_first = at.is_none();
             at.get_or_insert_with(Instant::now);
-            first
+            is_first
         });
     }
 
     /// Resolves once a head has begun to come and has not ended for so long.
-    async fn head_overdue(&self) {
-        let mut answering = self.0.answering.subscribe();
+    async fn wait_for_head_timeout(&self) {
+        let mut head_started_at = self.0.head_started_at.subscribe();
         loop {
-            let began = *answering.borrow_and_update();
-            let overdue = async {
-                match began {
-                    Some(at) => sleep_until(at + HEAD_WAIT).await,
+            let started_at = *head_started_at.borrow_and_update();
+            let timed_out = async {
+                match started_at {
+                    Some(at) => sleep_until(at + RESPONSE_HEAD_TIMEOUT).await,
                     None => std::future::pending().await,
                 }
             };
             tokio::select! {
-                () = overdue => return,
+                () = timed_out => return,
                 // The sender is in here.
-                _ = answering.changed() => {}
+                _ = head_started_at.changed() => {}
             }
         }
     }
 
-    fn taken(&self) {
-        self.0.taken.store(true, Ordering::Relaxed);
+    fn record_body_taken(&self) {
+        self.0.is_body_taken.store(true, Ordering::Relaxed);
     }
 
-    fn wrote(&self, bytes: usize) {
+    fn record_write(&self, bytes: usize) {
         if bytes > 0 {
-            self.0.wrote.store(true, Ordering::Relaxed);
+            self.0.has_written.store(true, Ordering::Relaxed);
         }
     }
 
     /// The library flushes only what it has written whole.
-    fn flushed(&self) {
-        if self.0.taken.load(Ordering::Relaxed) && self.0.wrote.load(Ordering::Relaxed) {
-            let first = !self.0.whole.swap(true, Ordering::Relaxed);
-            if let Some(counter) = self.0.counter.as_ref().filter(|_| first) {
+    fn record_flush(&self) {
+        if self.0.is_body_taken.load(Ordering::Relaxed) && self.0.has_written.load(Ordering::Relaxed) {
+            let is_first = !self.0.is_complete.swap(true, Ordering::Relaxed);
+            if let Some(counter) = self.0.counter.as_ref().filter(|_| is_first) {
                 counter.inc();
             }
         }
@@ -118,15 +120,15 @@
 }
 
 /// The request that a connection carries at the moment.
-type Carried = Arc<Mutex<Written>>;
+type CurrentRequest = Arc<Mutex<WriteProgress>>;
 
 /// A request's body that notes when it has been taken.
-pub(super) struct Outgoing {
+pub(super) struct RequestBody {
     bytes: Option<Bytes>,
-    written: Written,
+    progress: WriteProgress,
 }
 
-impl Body for Outgoing {
+impl Body for RequestBody {
     type Data = Bytes;
     type Error = std::convert::Infallible;
 
@@ -137,7 +139,7 @@
         let this = self.get_mut();
         let bytes = this.bytes.take();
         if bytes.is_some() {
-            this.written.taken();
+            this.progress.record_body_taken();
         }
         Poll::Ready(bytes.map(|b| Ok(Frame::data(b))))
     }
@@ -152,17 +154,17 @@
 }
 
 /// A connection's socket, for as long as the connection is not dropped.
-type Socket = Arc<Mutex<Option<TokioIo<TcpConnection>>>>;
+type SharedSocket = Arc<Mutex<Option<TokioIo<TcpConnection>>>>;
 
 /// The socket as the library has it, which notes what is written. The library's task may outlive the
 /// connection by a moment; the socket does not.
-struct Wire {
-    socket: Socket,
-    carried: Carried,
+struct TrackedSocket {
+    socket: SharedSocket,
+    current_request: CurrentRequest,
 }
 
-impl Wire {
-    fn with<T>(
+impl TrackedSocket {
+    fn with_socket<T>(
         &self,
         io: impl FnOnce(Pin<&mut TokioIo<TcpConnection>>) -> Poll<std::io::Result<T>>,
     ) -> Poll<std::io::Result<T>> {
@@ -173,22 +175,22 @@
     }
 }
 
-impl Read for Wire {
+impl Read for TrackedSocket {
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: ReadBufCursor<'_>,
     ) -> Poll<std::io::Result<()>> {
-        ready!(self.with(|io| io.poll_read(cx, buf)))?;
-        lock(&self.carried).read();
+        ready!(self.with_socket(|io| io.poll_read(cx, buf)))?;
+        lock(&self.current_request).record_read();
         Poll::Ready(Ok(()))
     }
 }
 
-impl Write for Wire {
+impl Write for TrackedSocket {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<std::io::Result<usize>> {
-        let bytes = ready!(self.with(|io| io.poll_write(cx, buf)))?;
-        lock(&self.carried).wrote(bytes);
+        let bytes = ready!(self.with_socket(|io| io.poll_write(cx, buf)))?;
+        lock(&self.current_request).record_write(bytes);
         Poll::Ready(Ok(bytes))
     }
 
@@ -197,8 +199,8 @@
         cx: &mut Context<'_>,
         bufs: &[std::io::IoSlice<'_>],
     ) -> Poll<std::io::Result<usize>> {
-        let bytes = ready!(self.with(|io| io.poll_write_vectored(cx, bufs)))?;
-        lock(&self.carried).wrote(bytes);
+        let bytes = ready!(self.with_socket(|io| io.poll_write_vectored(cx, bufs)))?;
+        lock(&self.current_request).record_write(bytes);
         Poll::Ready(Ok(bytes))
     }
 
@@ -208,19 +210,19 @@
     }
 
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<std::io::Result<()>> {
-        ready!(self.with(|io| io.poll_flush(cx)))?;
-        lock(&self.carried).flushed();
+        ready!(self.with_socket(|io| io.poll_flush(cx)))?;
+        lock(&self.current_request).record_flush();
         Poll::Ready(Ok(()))
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<std::io::Result<()>> {
-        self.with(|io| io.poll_shutdown(cx))
+        self.with_socket(|io| io.poll_shutdown(cx))
     }
 }
 
 /// Why a connection did not come up.
 #[derive(Debug, thiserror::Error)]
-pub(super) enum LinkError {
+pub(super) enum ConnectError {
     #[error("socket: {0}")]
     Socket(#[from] std::io::Error),
     #[error("http: {0}")]
@@ -229,12 +231,12 @@
 
 /// A connection. Dropping it closes the socket there and then, which gives up whatever is out on it: the
 /// answer that a request gets next must not overtake the end of its attempt.
-pub(super) struct Link {
-    socket: Socket,
-    sender: SendRequest<Outgoing>,
-    carried: Carried,
+pub(super) struct Connection {
+    socket: SharedSocket,
+    sender: SendRequest<RequestBody>,
+    current_request: CurrentRequest,
     /// More has come on it than belonged to its answers.
-    tainted: Arc<AtomicBool>,
+    is_tainted: Arc<AtomicBool>,
     _driver: AbortOnDropHandle<()>,
     _permit: OwnedSemaphorePermit,
     /// Where it leads.
@@ -242,34 +244,38 @@
     pub(super) idle_since: Instant,
 }
 
-impl LinkError {
+impl ConnectError {
     /// This machine lacks what it takes, or can't reach any network: nothing was asked of the server.
     pub(super) fn is_local(&self) -> bool {
-        matches!(self, LinkError::Socket(e) if is_shortage(e))
+        matches!(self, ConnectError::Socket(e) if is_resource_shortage(e))
     }
 }
 
-impl Link {
+impl Connection {
     /// Opens a connection.
-    pub(super) async fn open(address: SocketAddr, permit: OwnedSemaphorePermit) -> Result<Self, LinkError> {
+    pub(super) async fn open(
+        address: SocketAddr,
+        permit: OwnedSemaphorePermit,
+    ) -> Result<Self, ConnectError> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
-        let carried = Carried::default();
-        let socket = Socket::new(Mutex::new(Some(TokioIo::new(TcpConnection::new(stream)))));
-        let wire = Wire { socket: socket.clone(), carried: carried.clone() };
+        let current_request = CurrentRequest::default();
+        let socket = SharedSocket::new(Mutex::new(Some(TokioIo::new(TcpConnection::new(stream)))));
+        let tracked_socket =
+            TrackedSocket { socket: socket.clone(), current_request: current_request.clone() };
         // A header that can't be read, as a load report may be, spoils nothing else.
         let mut builder = Builder::new();
-        builder.ignore_invalid_headers_in_responses(true).max_buf_size(BUFFER);
-        let (sender, connection) = builder.handshake(wire).await?;
+        builder.ignore_invalid_headers_in_responses(true).max_buf_size(MAX_BUFFER_BYTES);
+        let (sender, http_connection) = builder.handshake(tracked_socket).await?;
         let driver = tokio::spawn(async move {
             // How it ended shows in the answer that is out, or in the sender.
-            let _ = connection.await;
+            let _ = http_connection.await;
         });
-        Ok(Link {
+        Ok(Connection {
             socket,
             sender,
-            carried,
-            tainted: Arc::default(),
+            current_request,
+            is_tainted: Arc::default(),
             _driver: AbortOnDropHandle::new(driver),
             _permit: permit,
             address,
@@ -283,13 +289,13 @@
     }
 
     /// Whether it is of no further use: it has ended, or what comes on it can't be told apart.
-    pub(super) fn is_spent(&self) -> bool {
-        self.sender.is_closed() || self.tainted.load(Ordering::Relaxed)
+    pub(super) fn is_unusable(&self) -> bool {
+        self.sender.is_closed() || self.is_tainted.load(Ordering::Relaxed)
     }
 
     /// It brings what nobody asked for; no other request should go out on it.
-    pub(super) fn taint(&self) {
-        self.tainted.store(true, Ordering::Relaxed);
+    pub(super) fn mark_tainted(&self) {
+        self.is_tainted.store(true, Ordering::Relaxed);
     }
 
     /// Sends a request, once, and notes how far it gets. The head of its answer, once it has begun, has a
@@ -297,30 +303,30 @@
     pub(super) async fn send(
         &mut self,
         request: Request<Bytes>,
-        written: &Written,
+        progress: &WriteProgress,
     ) -> Result<Response<Incoming>, SendError> {
-        written.begin();
-        let (head, bytes) = request.into_parts();
-        let bytes = Some(bytes).filter(|b| !b.is_empty());
-        if bytes.is_none() {
-            written.taken();
+        progress.reset();
+        let (head, body) = request.into_parts();
+        let body = Some(body).filter(|b| !b.is_empty());
+        if body.is_none() {
+            progress.record_body_taken();
         }
-        *lock(&self.carried) = written.clone();
-        let mut request = Request::from_parts(head, Outgoing { bytes, written: written.clone() });
-        let (tainted, early) = (self.tainted.clone(), written.clone());
+        *lock(&self.current_request) = progress.clone();
+        let mut request = Request::from_parts(head, RequestBody { bytes: body, progress: progress.clone() });
+        let (is_tainted, interim_progress) = (self.is_tainted.clone(), progress.clone());
         on_informational(&mut request, move |_| {
-            tainted.store(true, Ordering::Relaxed);
-            early.0.answering.send_replace(None);
+            is_tainted.store(true, Ordering::Relaxed);
+            interim_progress.0.head_started_at.send_replace(None);
         });
         tokio::select! {
             biased;
-            answer = self.sender.send_request(request) => Ok(answer?),
-            () = written.head_overdue() => Err(SendError::Endless),
+            response = self.sender.send_request(request) => Ok(response?),
+            () = progress.wait_for_head_timeout() => Err(SendError::HeadTimeout),
         }
     }
 }
 
-impl Drop for Link {
+impl Drop for Connection {
     fn drop(&mut self) {
         lock(&self.socket).take();
     }
@@ -332,15 +338,15 @@
     #[error("http: {0}")]
     Http(#[from] hyper::Error),
     #[error("the head of its answer did not end")]
-    Endless,
+    HeadTimeout,
 }
 
 impl SendError {
     /// What came is no answer; the connection itself did not break.
-    pub(super) fn is_spoilt(&self) -> bool {
+    pub(super) fn is_invalid_response(&self) -> bool {
         match self {
             SendError::Http(e) => e.is_parse(),
-            SendError::Endless => true,
+            SendError::HeadTimeout => true,
         }
     }
 }
--- a/daemon/src/upstream/mod.rs
+++ b/daemon/src/upstream/mod.rs
@@ -20,19 +20,19 @@
 use tokio::time::Instant;
 
 pub use attempt::ServerEvents;
-pub use pool::{Limits, Pool};
+pub use pool::{ConnectionLimits, ConnectionPool};
 
 /// A server that has gone keeps its last address for this time, as calls that let go of state may still want
 /// it; they end some seconds after it.
-const GONE_KEPT: Duration = Duration::from_secs(30);
+const GONE_ADDRESS_TTL: Duration = Duration::from_secs(30);
 
 /// Where each server is. Filled by discovery.
 #[derive(Default)]
-pub struct AddressTable(Mutex<HashMap<Id, Entry>>);
+pub struct AddressTable(Mutex<HashMap<Id, AddressEntry>>);
 
-struct Entry {
+struct AddressEntry {
     address: SocketAddr,
-    gone: Option<Instant>,
+    gone_since: Option<Instant>,
     /// The shortest time in which a connection to it came up: a way there and back.
     round_trip: Option<Duration>,
 }
@@ -40,16 +40,16 @@
 impl AddressTable {
     /// Notes where a server is.
     pub fn set(&self, server: Id, address: SocketAddr) {
-        let mut book = lock(&self.0);
-        let same = book.get(&server).filter(|entry| entry.address == address);
-        let round_trip = same.and_then(|entry| entry.round_trip);
-        book.insert(server, Entry { address, gone: None, round_trip });
+        let mut addresses = lock(&self.0);
+        let same_address = addresses.get(&server).filter(|entry| entry.address == address);
+        let round_trip = same_address.and_then(|entry| entry.round_trip);
+        addresses.insert(server, AddressEntry { address, gone_since: None, round_trip });
     }
 
     /// Notes how long a connection to it took to come up.
-    fn came_up(&self, server: &Id, took: Duration) {
+    fn record_connect_time(&self, server: &Id, elapsed: Duration) {
         if let Some(entry) = lock(&self.0).get_mut(server) {
-            entry.round_trip = Some(entry.round_trip.map_or(took, |least| least.min(took)));
+            entry.round_trip = Some(entry.round_trip.map_or(elapsed, |shortest| shortest.min(elapsed)));
         }
     }
 
@@ -66,18 +66,18 @@
     }
 
     /// Follows the list of members: what has left it is forgotten after a while.
-    pub fn follow(&self, news: &MembershipUpdate) {
-        let (now, mut book) = (Instant::now(), lock(&self.0));
-        if matches!(news.kind, ListUpdateKind::Full | ListUpdateKind::StaleCopy) {
-            book.values_mut().for_each(|entry| entry.gone = entry.gone.or(Some(now)));
+    pub fn apply_update(&self, update: &MembershipUpdate) {
+        let (now, mut addresses) = (Instant::now(), lock(&self.0));
+        if matches!(update.kind, ListUpdateKind::Full | ListUpdateKind::StaleCopy) {
+            addresses.values_mut().for_each(|entry| entry.gone_since = entry.gone_since.or(Some(now)));
         }
-        for member in &news.entries {
-            if let Some(entry) = book.get_mut(&member.server) {
-                let gone = member.health == Health::Gone;
-                entry.gone = gone.then_some(entry.gone.unwrap_or(now));
+        for member in &update.entries {
+            if let Some(entry) = addresses.get_mut(&member.server) {
+                let is_gone = member.health == Health::Gone;
+                entry.gone_since = is_gone.then_some(entry.gone_since.unwrap_or(now));
             }
         }
-        book.retain(|_, entry| entry.gone.is_none_or(|at| now - at < GONE_KEPT));
+        addresses.retain(|_, entry| entry.gone_since.is_none_or(|at| now - at < GONE_ADDRESS_TTL));
     }
 }
 
@@ -101,19 +101,19 @@
 
 /// The servers, as the core sees them.
 pub struct HttpUpstream {
-    pool: Arc<Pool>,
+    pool: Arc<ConnectionPool>,
 }
 
 impl HttpUpstream {
     /// The servers that the book knows; `sends` counts attempts that are written whole.
-    pub fn new(book: Arc<AddressTable>, limits: Limits, sends: IntCounter) -> Self {
-        HttpUpstream { pool: Arc::new(Pool::new(book, limits, sends)) }
+    pub fn new(addresses: Arc<AddressTable>, limits: ConnectionLimits, sends: IntCounter) -> Self {
+        HttpUpstream { pool: Arc::new(ConnectionPool::new(addresses, limits, sends)) }
     }
 
     /// Takes the times of connections from new settings.
     pub fn reconfigure(&self, settings: &Settings) {
         let connect_timeout = Duration::from_micros(settings.connect_timeout);
-        self.pool.set_times(connect_timeout, Duration::from_micros(settings.connection_idle_timeout));
+        self.pool.set_timeouts(connect_timeout, Duration::from_micros(settings.connection_idle_timeout));
     }
 }
 
@@ -133,7 +133,7 @@
     }
 
     fn cancellation_delay(&self, server: &Id) -> Duration {
-        self.pool.end_takes(server)
+        self.pool.cancellation_delay(server)
     }
 
     async fn release(&self, server: &Id, request: &Id) -> bool {
--- a/daemon/src/upstream/pool.rs
+++ b/daemon/src/upstream/pool.rs
@@ -11,20 +11,20 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use tokio::time::{sleep, timeout, timeout_at, Instant};
 
-use super::idle_age::IdleAges;
-use super::link::Link;
+use super::idle_age::IdleAgeLimits;
+use super::link::Connection;
 use super::{lock, AddressTable};
 
 /// Answers' bodies that are read to their end only to keep the connection.
-const TAIL: Duration = Duration::from_millis(500);
+const BODY_READ_TIMEOUT: Duration = Duration::from_millis(500);
 /// After a connection that this machine could not even try, for want of descriptors, ports or memory.
-const LOCAL_PAUSE: Duration = Duration::from_millis(20);
+const LOCAL_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 /// No body on this wire is larger.
-pub(super) const BODY_MOST: usize = 256 << 10;
+pub(super) const MAX_BODY_BYTES: usize = 256 << 10;
 
 /// Why there is no new connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum NoLink {
+pub(super) enum ConnectFailure {
     /// The server refuses it, can't be reached or takes too long.
     Server,
     /// This machine lacks what it takes; the server is not to blame.
@@ -33,167 +33,179 @@
 
 /// Bounds on connections to servers.
 #[derive(Clone, Copy, Debug)]
-pub struct Limits {
+pub struct ConnectionLimits {
     /// Connections in all.
-    pub connections: usize,
+    pub max_connections: usize,
     /// One that has not come up within this time never will.
     pub connect_timeout: Duration,
     /// Servers close one that has been idle this long.
-    pub conn_idle: Duration,
+    pub server_idle_timeout: Duration,
     /// One that has brought an answer is left alone for this time: what comes right behind the answer
     /// must not be taken for the next one.
-    pub settle: Duration,
+    pub settle_time: Duration,
     /// A kept one that breaks within this time of a request was dead before it: the answer to the request's
     /// first bytes was a reset.
-    pub stale_within: Duration,
+    pub stale_reset_window: Duration,
 }
 
 /// Idle connections by server, and permits for all.
-pub struct Pool {
-    book: Arc<AddressTable>,
-    limits: Mutex<Limits>,
+pub struct ConnectionPool {
+    addresses: Arc<AddressTable>,
+    limits: Mutex<ConnectionLimits>,
     permits: Arc<Semaphore>,
-    idle: Mutex<HashMap<Id, Vec<Link>>>,
-    idle_ages: Mutex<IdleAges>,
+    idle: Mutex<HashMap<Id, Vec<Connection>>>,
+    idle_age_limits: Mutex<IdleAgeLimits>,
     /// Attempts that were written whole.
     pub(super) sends: IntCounter,
 }
 
-impl Pool {
-    pub(super) fn new(book: Arc<AddressTable>, limits: Limits, sends: IntCounter) -> Self {
-        let permits = Arc::new(Semaphore::new(limits.connections));
-        let (limits, idle, idle_ages) = (Mutex::new(limits), Mutex::default(), Mutex::default());
-        Pool { book, limits, permits, idle, idle_ages, sends }
+impl ConnectionPool {
+    pub(super) fn new(addresses: Arc<AddressTable>, limits: ConnectionLimits, sends: IntCounter) -> Self {
+        let permits = Arc::new(Semaphore::new(limits.max_connections));
+        let (limits, idle, idle_age_limits) = (Mutex::new(limits), Mutex::default(), Mutex::default());
+        ConnectionPool { addresses, limits, permits, idle, idle_age_limits, sends }
     }
 
-    fn limits(&self) -> Limits {
+    fn limits(&self) -> ConnectionLimits {
         *lock(&self.limits)
     }
 
     /// The settings' times, as new settings have them.
-    pub(super) fn set_times(&self, connect_timeout: Duration, conn_idle: Duration) {
+    pub(super) fn set_timeouts(&self, connect_timeout: Duration, server_idle_timeout: Duration) {
         let mut limits = lock(&self.limits);
-        (limits.connect_timeout, limits.conn_idle) = (connect_timeout, conn_idle);
+        (limits.connect_timeout, limits.server_idle_timeout) = (connect_timeout, server_idle_timeout);
     }
 
     /// A connection that was kept, if one is fit for use: open, and far from the age at which the server
     /// may close it, as a request that crosses the close may have run.
-    pub(super) async fn kept(&self, server: &Id) -> Option<Link> {
+    pub(super) async fn take_idle(&self, server: &Id) -> Option<Connection> {
         // Lets what lies in the sockets be heard first: a close of this connection, or the end of the client
         // for whom it is wanted.
         tokio::task::yield_now().await;
-        let address = self.book.get(server);
+        let address = self.addresses.get(server);
         let mut idle = lock(&self.idle);
-        let links = idle.get_mut(server)?;
+        let connections = idle.get_mut(server)?;
         // A server that is back elsewhere is not where the connection leads.
-        links.retain(|link| !link.is_spent() && self.is_young(server, link) && Some(link.address) == address);
-        let settle = self.limits().settle;
-        let settled = |link: &Link| link.is_ready() && link.idle_since.elapsed() >= settle;
-        let link = links.iter().rposition(settled).map(|at| links.remove(at));
-        if links.is_empty() {
+        connections.retain(|connection| {
+            !connection.is_unusable()
+                && self.is_within_idle_limit(server, connection)
+                && Some(connection.address) == address
+        });
+        let settle_time = self.limits().settle_time;
+        let is_settled =
+            |connection: &Connection| connection.is_ready() && connection.idle_since.elapsed() >= settle_time;
+        let connection = connections.iter().rposition(is_settled).map(|index| connections.remove(index));
+        if connections.is_empty() {
             idle.remove(server);
         }
-        link
+        connection
     }
 
     /// A new connection. What fails for want of something on this machine is tried again, for as long as a
     /// connection may take.
-    pub(super) async fn fresh(&self, server: &Id) -> Result<Link, NoLink> {
-        let address = self.book.get(server).ok_or(NoLink::Server)?;
-        let by = Instant::now() + self.limits().connect_timeout;
+    pub(super) async fn connect(&self, server: &Id) -> Result<Connection, ConnectFailure> {
+        let address = self.addresses.get(server).ok_or(ConnectFailure::Server)?;
+        let deadline = Instant::now() + self.limits().connect_timeout;
         loop {
-            let begin = Instant::now();
-            let opened = match self.permit() {
-                Some(permit) => {
-                    timeout_at(by, Link::open(address, permit)).await.map_err(|_| NoLink::Server)?
-                }
-                None => return Err(NoLink::Local),
+            let started_at = Instant::now();
+            let result = match self.acquire_permit() {
+                Some(permit) => timeout_at(deadline, Connection::open(address, permit))
+                    .await
+                    .map_err(|_| ConnectFailure::Server)?,
+                None => return Err(ConnectFailure::Local),
             };
-            match opened {
-                Ok(link) => {
-                    self.book.came_up(server, begin.elapsed());
-                    return Ok(link);
+            match result {
+                Ok(connection) => {
+                    self.addresses.record_connect_time(server, started_at.elapsed());
+                    return Ok(connection);
                 }
-                Err(e) if !e.is_local() => return Err(NoLink::Server),
-                Err(_) if begin + LOCAL_PAUSE >= by => return Err(NoLink::Local),
-                Err(_) => sleep(LOCAL_PAUSE).await,
+                Err(e) if !e.is_local() => return Err(ConnectFailure::Server),
+                Err(_) if started_at + LOCAL_RETRY_INTERVAL >= deadline => return Err(ConnectFailure::Local),
+                Err(_) => sleep(LOCAL_RETRY_INTERVAL).await,
             }
         }
     }
 
     /// How long a connection's end may be on its way.
-    pub(super) fn end_takes(&self, server: &Id) -> Duration {
-        self.book.cancellation_delay(server)
+    pub(super) fn cancellation_delay(&self, server: &Id) -> Duration {
+        self.addresses.cancellation_delay(server)
     }
 
     /// A permit for one more connection, if need be in place of the one that has been idle longest.
-    fn permit(&self) -> Option<OwnedSemaphorePermit> {
-        let permit = || self.permits.clone().try_acquire_owned().ok();
-        permit().or_else(|| {
-            self.drop_oldest();
-            permit()
+    fn acquire_permit(&self) -> Option<OwnedSemaphorePermit> {
+        let try_acquire = || self.permits.clone().try_acquire_owned().ok();
+        try_acquire().or_else(|| {
+            self.evict_oldest_idle();
+            try_acquire()
         })
     }
 
-    fn drop_oldest(&self) {
+    fn evict_oldest_idle(&self) {
         let mut idle = lock(&self.idle);
-        let oldest = |links: &Vec<Link>| links.first().map(|link| link.idle_since);
-        let server = idle.iter().filter_map(|(w, links)| Some((oldest(links)?, w.clone()))).min();
+        let oldest_idle_since =
+            |connections: &Vec<Connection>| connections.first().map(|connection| connection.idle_since);
+        let server = idle
+            .iter()
+            .filter_map(|(server, connections)| Some((oldest_idle_since(connections)?, server.clone())))
+            .min();
         if let Some((_, server)) = server {
-            idle.entry(server).and_modify(|links| drop(links.remove(0)));
+            idle.entry(server).and_modify(|connections| drop(connections.remove(0)));
         }
     }
 
     /// Keeps a connection whose answer has come whole, and lets go of those that are past use, also of
     /// servers to which nothing goes any more.
-    pub(super) fn keep(&self, server: &Id, link: Link) {
-        self.keep_from(server, link, Instant::now());
+    pub(super) fn put(&self, server: &Id, connection: Connection) {
+        self.put_idle_since(server, connection, Instant::now());
     }
 
     /// Keeps a connection on which a small call has been answered: no stream's rest can follow on it, and the
     /// request that the call was for goes out next.
-    pub(super) fn keep_settled(&self, server: &Id, link: Link) {
+    pub(super) fn put_settled(&self, server: &Id, connection: Connection) {
         let now = Instant::now();
-        self.keep_from(server, link, now.checked_sub(self.limits().settle).unwrap_or(now));
+        self.put_idle_since(server, connection, now.checked_sub(self.limits().settle_time).unwrap_or(now));
     }
 
-    fn keep_from(&self, server: &Id, mut link: Link, idle_since: Instant) {
-        if link.is_spent() {
+    fn put_idle_since(&self, server: &Id, mut connection: Connection, idle_since: Instant) {
+        if connection.is_unusable() {
             return;
         }
-        link.idle_since = idle_since;
+        connection.idle_since = idle_since;
         let mut idle = lock(&self.idle);
-        idle.retain(|server, links| {
-            links.retain(|link| !link.is_spent() && self.is_young(server, link));
-            !links.is_empty()
+        idle.retain(|server, connections| {
+            connections.retain(|connection| {
+                !connection.is_unusable() && self.is_within_idle_limit(server, connection)
+            });
+            !connections.is_empty()
         });
-        idle.entry(server.clone()).or_default().push(link);
+        idle.entry(server.clone()).or_default().push(connection);
     }
 
     /// Whether a kept connection that broke so long after a request went out had been dead before.
-    pub(super) fn was_stale(&self, after: Duration) -> bool {
-        after < self.limits().stale_within
+    pub(super) fn is_stale_reset(&self, elapsed: Duration) -> bool {
+        elapsed < self.limits().stale_reset_window
     }
 
     /// Far from the age at which the server may close it, and younger than those that were found dead.
-    fn is_young(&self, server: &Id, link: &Link) -> bool {
-        let limit = lock(&self.idle_ages).limit(server, self.limits().conn_idle / 2, Instant::now());
-        link.idle_since.elapsed() < limit
+    fn is_within_idle_limit(&self, server: &Id, connection: &Connection) -> bool {
+        let limit =
+            lock(&self.idle_age_limits).limit(server, self.limits().server_idle_timeout / 2, Instant::now());
+        connection.idle_since.elapsed() < limit
     }
 
     /// A connection that had been idle for so long broke at its next request: others may be as dead.
-    pub(super) fn was_dead(&self, server: &Id, idle: Duration) {
-        let most = self.limits().conn_idle / 2;
-        lock(&self.idle_ages).was_dead(server, idle, most, Instant::now());
+    pub(super) fn record_stale(&self, server: &Id, idle: Duration) {
+        let max_age = self.limits().server_idle_timeout / 2;
+        lock(&self.idle_age_limits).record_stale(server, idle, max_age, Instant::now());
     }
 
     /// Reads an answer that nobody waits for to its end, to keep the connection.
-    pub(super) fn keep_after(self: &Arc<Self>, server: &Id, link: Link, body: Incoming) {
+    pub(super) fn put_after_body(self: &Arc<Self>, server: &Id, connection: Connection, body: Incoming) {
         let (pool, server) = (self.clone(), server.clone());
         tokio::spawn(async move {
-            let tail = Limited::new(body, BODY_MOST).collect();
-            if matches!(timeout(TAIL, tail).await, Ok(Ok(_))) {
-                pool.keep(&server, link);
+            let body = Limited::new(body, MAX_BODY_BYTES).collect();
+            if matches!(timeout(BODY_READ_TIMEOUT, body).await, Ok(Ok(_))) {
+                pool.put(&server, connection);
             }
         });
     }
--- a/daemon/tests/discovery.rs
+++ b/daemon/tests/discovery.rs
@@ -262,12 +262,12 @@
     for name in ["a", "b", "c"] {
         book.set(Id::from(name), ([127, 0, 0, 1], 1).into());
     }
-    book.follow(&news(ListUpdateKind::Changes, &[("a", Health::Gone), ("c", Health::Draining)]));
-    book.follow(&news(ListUpdateKind::Full, &[("c", Health::Up)]));
+    book.apply_update(&news(ListUpdateKind::Changes, &[("a", Health::Gone), ("c", Health::Draining)]));
+    book.apply_update(&news(ListUpdateKind::Full, &[("c", Health::Up)]));
     let held = || ["a", "b", "c"].map(|name| book.get(&Id::from(name)).is_some());
     assert_eq!(held(), [true; 3], "calls that let go of state may still want it");
     tokio::time::advance(Duration::from_secs(31)).await;
-    book.follow(&news(ListUpdateKind::Changes, &[]));
+    book.apply_update(&news(ListUpdateKind::Changes, &[]));
     assert_eq!(held(), [false, false, true]);
 }
 
--- a/daemon/tests/support/mod.rs
+++ b/daemon/tests/support/mod.rs
@@ -18,7 +18,7 @@
 use frosttrail_daemon::front::chat::Chat;
 use frosttrail_daemon::front::platform::Platform;
 use frosttrail_daemon::front::{ClientListeners, ClientTimeouts};
-use frosttrail_daemon::upstream::{AddressTable, HttpUpstream, Limits};
+use frosttrail_daemon::upstream::{AddressTable, ConnectionLimits, HttpUpstream};
 use serde_json::{json, Value};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -468,8 +468,8 @@
 }
 
 /// One that leaves connections alone for so long after an answer.
-pub fn upstream_that_settles(servers: &[(&str, usize, SocketAddr)], settle: Duration) -> HttpUpstream {
-    HttpUpstream::new(book(servers), limits(settle), sends())
+pub fn upstream_that_settles(servers: &[(&str, usize, SocketAddr)], settle_time: Duration) -> HttpUpstream {
+    HttpUpstream::new(book(servers), limits(settle_time), sends())
 }
 
 /// One, and where its servers are.
@@ -480,7 +480,11 @@
 
 /// One that waits so long for a connection to come up.
 pub fn upstream_that_connects_within(servers: &[(&str, usize, SocketAddr)], time: Duration) -> HttpUpstream {
-    HttpUpstream::new(book(servers), Limits { connect_timeout: time, ..limits(Duration::ZERO) }, sends())
+    HttpUpstream::new(
+        book(servers),
+        ConnectionLimits { connect_timeout: time, ..limits(Duration::ZERO) },
+        sends(),
+    )
 }
 
 fn book(servers: &[(&str, usize, SocketAddr)]) -> Arc<AddressTable> {
@@ -491,13 +495,13 @@
     book
 }
 
-fn limits(settle: Duration) -> Limits {
-    Limits {
-        connections: 16,
+fn limits(settle_time: Duration) -> ConnectionLimits {
+    ConnectionLimits {
+        max_connections: 16,
         connect_timeout: Duration::from_millis(250),
-        conn_idle: Duration::from_secs(30),
-        settle,
-        stale_within: Duration::from_secs(5),
+        server_idle_timeout: Duration::from_secs(30),
+        settle_time,
+        stale_reset_window: Duration::from_secs(5),
     }
 }
 
--- a/daemon/tests/unit/idle_age.rs
+++ b/daemon/tests/unit/idle_age.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-const MOST: Duration = Duration::from_secs(15);
+const MAX_AGE: Duration = Duration::from_secs(15);
 
 fn server(name: &str) -> Id {
     name.into()
@@ -8,35 +8,39 @@
 
 #[test]
 fn what_was_idle_for_long_tells_of_all_servers_until_the_age_has_grown_again() {
-    let (mut ages, now) = (IdleAges::default(), Instant::now());
-    assert_eq!(ages.limit(&server("a"), MOST, now), MOST);
-    ages.was_dead(&server("a"), Duration::from_secs(8), MOST, now);
+    let (mut limits, now) = (IdleAgeLimits::default(), Instant::now());
+    assert_eq!(limits.limit(&server("a"), MAX_AGE, now), MAX_AGE);
+    limits.record_stale(&server("a"), Duration::from_secs(8), MAX_AGE, now);
     for name in ["a", "b"] {
-        assert_eq!(ages.limit(&server(name), MOST, now), Duration::from_secs(4));
-        assert_eq!(ages.limit(&server(name), MOST, now + DOUBLES), Duration::from_secs(8));
-        assert_eq!(ages.limit(&server(name), MOST, now + 2 * DOUBLES), MOST);
+        assert_eq!(limits.limit(&server(name), MAX_AGE, now), Duration::from_secs(4));
+        assert_eq!(limits.limit(&server(name), MAX_AGE, now + AGE_DOUBLING_INTERVAL), Duration::from_secs(8));
+        assert_eq!(limits.limit(&server(name), MAX_AGE, now + 2 * AGE_DOUBLING_INTERVAL), MAX_AGE);
     }
 }
 
 #[test]
 fn what_breaks_soon_after_an_answer_tells_of_its_server_and_never_for_good() {
     for idle in [Duration::ZERO, Duration::from_micros(3), Duration::from_millis(900)] {
-        let (mut ages, now) = (IdleAges::default(), Instant::now());
-        ages.was_dead(&server("a"), idle, MOST, now);
-        assert_eq!(ages.limit(&server("a"), MOST, now), (idle / 2).max(LEAST));
-        assert_eq!(ages.limit(&server("b"), MOST, now), MOST);
-        assert_eq!(ages.limit(&server("a"), MOST, now + 12 * DOUBLES), MOST, "after {idle:?}");
-        assert_eq!(ages.limit(&server("a"), MOST, now + Duration::from_secs(86_400)), MOST);
+        let (mut limits, now) = (IdleAgeLimits::default(), Instant::now());
+        limits.record_stale(&server("a"), idle, MAX_AGE, now);
+        assert_eq!(limits.limit(&server("a"), MAX_AGE, now), (idle / 2).max(MIN_IDLE_AGE));
+        assert_eq!(limits.limit(&server("b"), MAX_AGE, now), MAX_AGE);
+        assert_eq!(
+            limits.limit(&server("a"), MAX_AGE, now + 12 * AGE_DOUBLING_INTERVAL),
+            MAX_AGE,
+            "after {idle:?}"
+        );
+        assert_eq!(limits.limit(&server("a"), MAX_AGE, now + Duration::from_secs(86_400)), MAX_AGE);
     }
 }
 
 #[test]
 fn what_has_grown_again_is_forgotten() {
-    let (mut ages, now) = (IdleAges::default(), Instant::now());
+    let (mut limits, now) = (IdleAgeLimits::default(), Instant::now());
     for n in 0..100 {
-        ages.was_dead(&server(&n.to_string()), Duration::ZERO, MOST, now);
+        limits.record_stale(&server(&n.to_string()), Duration::ZERO, MAX_AGE, now);
     }
-    assert_eq!(ages.servers.len(), 100);
-    ages.was_dead(&server("late"), Duration::ZERO, MOST, now + 12 * DOUBLES);
-    assert_eq!(ages.servers.len(), 1);
+    assert_eq!(limits.servers.len(), 100);
+    limits.record_stale(&server("late"), Duration::ZERO, MAX_AGE, now + 12 * AGE_DOUBLING_INTERVAL);
+    assert_eq!(limits.servers.len(), 1);
 }
--- a/daemon/tests/unit/link.rs
+++ b/daemon/tests/unit/link.rs
@@ -12,9 +12,9 @@
 async fn a_dropped_connection_is_closed_before_anything_else_happens() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let permit = Arc::new(Semaphore::new(1)).try_acquire_owned().unwrap();
-    let link = Link::open(listener.local_addr().unwrap(), permit).await.unwrap();
-    let (mut box_side, _) = listener.accept().unwrap();
-    box_side.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
-    drop(link);
-    assert_eq!(box_side.read(&mut [0; 1]).map_err(|e| e.kind()), Ok(0), "the connection has ended");
+    let connection = Connection::open(listener.local_addr().unwrap(), permit).await.unwrap();
+    let (mut server_side, _) = listener.accept().unwrap();
+    server_side.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
+    drop(connection);
+    assert_eq!(server_side.read(&mut [0; 1]).map_err(|e| e.kind()), Ok(0), "the connection has ended");
 }
--- a/daemon/tests/unit/sse.rs
+++ b/daemon/tests/unit/sse.rs
@@ -6,48 +6,50 @@
 const EVENTS: [&str; 4] = ["data: {}\n\n", ": X-Pressure: {}\n\n", "event: a\r\ndata\r\n\r\n", "id:1\n\n"];
 
 /// Events in pieces that end anywhere, then noise: all events come whole and unchanged, then none.
-fn any_pieces(which: Vec<u8>, cuts: Vec<u8>, noise: bool) -> bool {
-    let events: Vec<&str> = which.iter().map(|w| EVENTS[usize::from(*w) % EVENTS.len()]).collect();
+fn splits_any_pieces(event_indices: Vec<u8>, cuts: Vec<u8>, noise: bool) -> bool {
+    let events: Vec<&str> =
+        event_indices.iter().map(|index| EVENTS[usize::from(*index) % EVENTS.len()]).collect();
     let mut text = events.concat().into_bytes();
     text.extend_from_slice(if noise { b"\x8f datum" } else { b"data: last" });
-    let (mut splitter, mut got, mut broke, mut cuts) = (Splitter::default(), Vec::new(), false, cuts.iter());
-    while !text.is_empty() && !broke {
+    let (mut splitter, mut received, mut failed, mut cuts) =
+        (EventSplitter::default(), Vec::new(), false, cuts.iter());
+    while !text.is_empty() && !failed {
         let size = cuts.next().map_or(text.len(), |c| usize::from(*c).clamp(1, text.len()));
-        let rest = text.split_off(size);
+        let unsent = text.split_off(size);
         splitter.push(&text).unwrap();
-        text = rest;
+        text = unsent;
         loop {
-            match splitter.next() {
-                Ok(Some(event)) => got.push(event),
+            match splitter.next_event() {
+                Ok(Some(event)) => received.push(event),
                 Ok(None) => break,
-                Err(Unreadable) => {
-                    broke = true;
+                Err(InvalidEvent) => {
+                    failed = true;
                     break;
                 }
             }
         }
     }
-    let rest = splitter.rest();
-    got == events && broke == noise && (noise || rest.as_deref() == Some(b"data: last"))
+    let remainder = splitter.remainder();
+    received == events && failed == noise && (noise || remainder.as_deref() == Some(b"data: last"))
 }
 
 #[test]
 fn events_come_whole_and_noise_never() {
     let gen = Gen::from_size_and_seed(24, 0xe7e7);
-    QuickCheck::new().rng(gen).tests(400).quickcheck(any_pieces as fn(Vec<u8>, Vec<u8>, bool) -> bool);
+    QuickCheck::new().rng(gen).tests(400).quickcheck(splits_any_pieces as fn(Vec<u8>, Vec<u8>, bool) -> bool);
 }
 
 #[test]
 fn an_event_and_an_answer_have_bounds() {
-    let mut splitter = Splitter::default();
-    let endless = |_| splitter.push(&[b':'; 4096]).and_then(|()| splitter.next()).is_err();
-    assert!((0..18).any(endless), "one event");
-    let mut splitter = Splitter::default();
-    let mut events = |_| {
+    let mut splitter = EventSplitter::default();
+    let exceeds_event_limit = |_| splitter.push(&[b':'; 4096]).and_then(|()| splitter.next_event()).is_err();
+    assert!((0..18).any(exceeds_event_limit), "one event");
+    let mut splitter = EventSplitter::default();
+    let mut exceeds_response_limit = |_| {
         splitter.push(&b":\n\n".repeat(400)).is_err() || {
-            while let Ok(Some(_)) = splitter.next() {}
+            while let Ok(Some(_)) = splitter.next_event() {}
             false
         }
     };
-    assert!((0..3_600).any(&mut events), "one answer");
+    assert!((0..3_600).any(&mut exceeds_response_limit), "one answer");
 }
