--- a/daemon/src/command/serve.rs
+++ b/daemon/src/command/serve.rs
@@ -8,7 +8,7 @@
 
 use frosttrail_core::{start, Clock, Conductor, ConductorParts, Metrics};
 use frosttrail_daemon::config::{self, ChatConfig, Config, ConfigError, XdsConfig};
-use frosttrail_daemon::discovery::{Backoff, Discovery, DiscoveryConfig, Xds};
+use frosttrail_daemon::discovery::{Backoff, DiscoveryConfig, PlatformDiscovery, XdsDiscovery};
 use frosttrail_daemon::ending::Ending;
 use frosttrail_daemon::front::chat::Chat;
 use frosttrail_daemon::front::platform::Platform;
@@ -236,7 +236,7 @@
     let excluded = Vec::new();
     let conductor = match xds {
         Some(xds) => {
-            let members = Xds::new(xds, name, names, clock, book, log.clone());
+            let members = XdsDiscovery::new(xds, name, names, clock, book, log.clone());
             start(ConductorParts {
                 settings,
                 seed,
@@ -251,7 +251,7 @@
         }
         None => {
             let backoff = Backoff::new(settings.conductors, seed);
-            let members = Discovery::new(discovery, known, backoff, names, clock, book, log.clone());
+            let members = PlatformDiscovery::new(discovery, known, backoff, names, clock, book, log.clone());
             start(ConductorParts {
                 settings,
                 seed,
--- a/daemon/src/config.rs
+++ b/daemon/src/config.rs
@@ -209,7 +209,7 @@
         let seed = u64::from_str_radix(&file.seed, 16).map_err(|_| ConfigError::Seed(at()))?;
         let settings = |e| ConfigError::Settings(at(), e);
         let names = ConfiguredNames::new(&file.settings).map_err(settings)?;
-        if let Some(fault) = file.known.fault() {
+        if let Some(fault) = file.known.first_error() {
             return Err(ConfigError::Known(at(), fault));
         }
         if file.limits.sockets < MIN_SOCKETS {
--- a/daemon/src/discovery/http.rs
+++ b/daemon/src/discovery/http.rs
@@ -17,44 +17,45 @@
 use crate::tcp::TcpConnection;
 
 /// The server is near: a connection comes up at once or not at all.
-const CONNECT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Why a list could not be had.
 #[derive(Debug, thiserror::Error)]
-pub(super) enum ListError {
+pub(super) enum DiscoveryError {
     #[error("no connection: {0}")]
     Connect(std::io::Error),
     #[error("http: {0}")]
     Http(#[from] hyper::Error),
     #[error("no answer in time")]
-    Silent,
+    Timeout,
     #[error("status {0}")]
     Status(StatusCode),
     #[error("too long")]
-    TooLong,
+    TooLarge,
     #[error("can't be read: {0}")]
     Malformed(#[from] serde_json::Error),
     #[error("it ended")]
-    Ended,
+    Closed,
 }
 
 /// An answer whose body is still to come. Dropping the handle closes the connection.
-pub(super) struct Called {
+pub(super) struct OpenResponse {
     pub(super) response: Response<Incoming>,
     pub(super) driver: AbortOnDropHandle<()>,
 }
 
 /// Makes a call and waits for the head of its answer, all of it within its time.
-pub(super) async fn call(
+pub(super) async fn send_request(
     server: SocketAddr,
     method: Method,
     target: Uri,
     body: Bytes,
-    within: Duration,
-) -> Result<Called, ListError> {
-    let by = Instant::now() + within;
-    let connect = timeout(CONNECT, TcpStream::connect(server)).await.map_err(|_| ListError::Silent)?;
-    let io = TokioIo::new(TcpConnection::new(connect.map_err(ListError::Connect)?));
+    time_limit: Duration,
+) -> Result<OpenResponse, DiscoveryError> {
+    let deadline = Instant::now() + time_limit;
+    let stream =
+        timeout(CONNECT_TIMEOUT, TcpStream::connect(server)).await.map_err(|_| DiscoveryError::Timeout)?;
+    let io = TokioIo::new(TcpConnection::new(stream.map_err(DiscoveryError::Connect)?));
     let (mut sender, connection) = http1::handshake(io).await?;
     let driver = AbortOnDropHandle::new(tokio::spawn(async move {
         // How it ended shows in the body.
@@ -64,12 +65,19 @@
     (*request.method_mut(), *request.uri_mut()) = (method, target);
     request.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     request.headers_mut().insert(HOST, HeaderValue::from_static("discovery"));
-    let response = timeout_at(by, sender.send_request(request)).await.map_err(|_| ListError::Silent)??;
-    Ok(Called { response, driver })
+    let response =
+        timeout_at(deadline, sender.send_request(request)).await.map_err(|_| DiscoveryError::Timeout)??;
+    Ok(OpenResponse { response, driver })
 }
 
 /// Reads an answer's body to its end.
-pub(super) async fn whole(body: Incoming, most: usize, within: Duration) -> Result<Bytes, ListError> {
-    let whole = timeout(within, Limited::new(body, most).collect()).await.map_err(|_| ListError::Silent)?;
-    Ok(whole.map_err(|_| ListError::TooLong)?.to_bytes())
+pub(super) async fn read_body(
+    body: Incoming,
+    max_bytes: usize,
+    time_limit: Duration,
+) -> Result<Bytes, DiscoveryError> {
+    let body = timeout(time_limit, Limited::new(body, max_bytes).collect())
+        .await
+        .map_err(|_| DiscoveryError::Timeout)?;
+    Ok(body.map_err(|_| DiscoveryError::TooLarge)?.to_bytes())
 }
--- a/daemon/src/discovery/mod.rs
+++ b/daemon/src/discovery/mod.rs
@@ -8,5 +8,5 @@
 mod xds;
 
 pub use backoff::Backoff;
-pub use platform::{Discovery, DiscoveryConfig, Listing};
-pub use xds::Xds;
+pub use platform::{DiscoveryConfig, Listing, PlatformDiscovery};
+pub use xds::XdsDiscovery;
--- a/daemon/src/discovery/platform.rs
+++ b/daemon/src/discovery/platform.rs
@@ -18,10 +18,10 @@
 use tokio::time::{sleep, timeout, timeout_at, Instant};
 use tokio_util::task::AbortOnDropHandle;
 
-use super::backoff::{Backoff, CALL, SILENCE};
-use super::http::{call, whole, Called, ListError};
-use super::objects::{Objects, LIST_MOST};
-use super::starts::Starts;
+use super::backoff::{Backoff, CALL_TIMEOUT, WATCH_SILENCE_TIMEOUT};
+use super::http::{read_body, send_request, DiscoveryError, OpenResponse};
+use super::objects::{ListingDecoder, MAX_LIST_BYTES};
+use super::starts::StartTimes;
 use crate::upstream::AddressTable;
 
 /// A list of members or a change to one, as discovery words it.
@@ -29,32 +29,32 @@
 pub struct Listing {
     rev: u64,
     all: bool,
-    targets: Vec<Line>,
+    targets: Vec<ListEntry>,
 }
 
 /// A line of a list. One that can't be read must not keep the others from being heard.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(untagged)]
-enum Line {
-    Read(Target),
-    Unreadable(serde_json::Value),
+enum ListEntry {
+    Valid(Target),
+    Invalid(serde_json::Value),
 }
 
 impl Listing {
     /// What is wrong with the first line that can't be read, if there is one.
-    pub fn fault(&self) -> Option<String> {
-        self.targets.iter().find_map(|line| match line {
-            Line::Read(_) => None,
-            Line::Unreadable(line) => Some(fault(line)),
+    pub fn first_error(&self) -> Option<String> {
+        self.targets.iter().find_map(|entry| match entry {
+            ListEntry::Valid(_) => None,
+            ListEntry::Invalid(entry) => Some(entry_error(entry)),
         })
     }
 }
 
 /// Why a line can't be read, and which.
-fn fault(line: &serde_json::Value) -> String {
-    let why = Target::deserialize(line).err().map(|e| e.to_string()).unwrap_or_default();
-    let uid = line.get("uid").and_then(serde_json::Value::as_str).unwrap_or("a line without a uid");
-    format!("{uid}: {why}")
+fn entry_error(entry: &serde_json::Value) -> String {
+    let error = Target::deserialize(entry).err().map(|e| e.to_string()).unwrap_or_default();
+    let uid = entry.get("uid").and_then(serde_json::Value::as_str).unwrap_or("a line without a uid");
+    format!("{uid}: {error}")
 }
 
 #[derive(Clone, Debug, Deserialize)]
@@ -64,14 +64,14 @@
     az: String,
     model: String,
     pod_group: u64,
-    state: State,
+    state: MemberState,
     #[serde(default)]
     boot_ms: u64,
 }
 
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(rename_all = "lowercase")]
-enum State {
+enum MemberState {
     Active,
     Leaving,
     Left,
@@ -87,102 +87,116 @@
 }
 
 /// The platform's list of members.
-pub struct Discovery {
+pub struct PlatformDiscovery {
     /// Changes with a new configuration.
     config: watch::Receiver<DiscoveryConfig>,
     agent: Agent,
     backoff: Backoff,
     names: ConfiguredNames,
     clock: Clock,
-    starts: Starts,
-    book: Arc<AddressTable>,
+    start_times: StartTimes,
+    addresses: Arc<AddressTable>,
     log: Logger,
-    known: Option<Listing>,
+    last_known: Option<Listing>,
 }
 
-impl Discovery {
+impl PlatformDiscovery {
     /// Starts from the list as last known.
     pub fn new(
         mut config: watch::Receiver<DiscoveryConfig>,
-        known: Listing,
+        last_known: Listing,
         backoff: Backoff,
         names: ConfiguredNames,
         clock: Clock,
-        book: Arc<AddressTable>,
+        addresses: Arc<AddressTable>,
         log: Logger,
     ) -> Self {
-        let agent = Agent::new(config.borrow_and_update().agent, Some(known.rev));
-        let starts = Starts::default();
-        Discovery { config, agent, backoff, names, clock, starts, book, log, known: Some(known) }
+        let agent = Agent::new(config.borrow_and_update().agent, Some(last_known.rev));
+        let start_times = StartTimes::default();
+        PlatformDiscovery {
+            config,
+            agent,
+            backoff,
+            names,
+            clock,
+            start_times,
+            addresses,
+            log,
+            last_known: Some(last_known),
+        }
     }
 
-    fn news(&mut self, listing: Listing, form: ListUpdateKind) -> MembershipUpdate {
+    fn apply_listing(&mut self, listing: Listing, kind: ListUpdateKind) -> MembershipUpdate {
         let now = self.clock.now();
-        if let Some(ago) = self.agent.heard_before() {
-            self.starts.heard(now.saturating_sub(ago.as_micros() as u64));
+        if let Some(ago) = self.agent.time_since_previous_activity() {
+            self.start_times.record_contact(now.saturating_sub(ago.as_micros() as u64));
         }
         let mut entries = Vec::with_capacity(listing.targets.len());
-        for line in listing.targets {
-            let target = match line {
-                Line::Read(target) => target,
-                Line::Unreadable(line) => {
+        for list_entry in listing.targets {
+            let target = match list_entry {
+                ListEntry::Valid(target) => target,
+                ListEntry::Invalid(invalid) => {
                     // Nothing is sent to a server that a whole list does not name in readable words.
-                    warn!(self.log, "a line of the list is passed over"; "why" => fault(&line));
+                    warn!(self.log, "a line of the list is passed over"; "why" => entry_error(&invalid));
                     continue;
                 }
             };
-            match entry(&target, &self.names) {
+            match server_entry(&target, &self.names) {
                 Ok(mut entry) => {
                     let converted = self.clock.from_unix_ms(target.boot_ms);
-                    entry.started = self.starts.started(&entry.server, target.boot_ms, converted, now);
-                    self.book.set(entry.server.clone(), target.endpoint);
+                    entry.started =
+                        self.start_times.start_time(&entry.server, target.boot_ms, converted, now);
+                    self.addresses.set(entry.server.clone(), target.endpoint);
                     entries.push(entry);
                 }
                 Err(e) => warn!(self.log, "a member is passed over"; "uid" => target.uid, "why" => %e),
             }
         }
-        let news = MembershipUpdate { kind: form, entries };
-        if form == ListUpdateKind::Full {
-            self.starts.forget_but(&news.entries);
+        let update = MembershipUpdate { kind, entries };
+        if kind == ListUpdateKind::Full {
+            self.start_times.retain_listed(&update.entries);
         }
         // The list that is known from before may be old: it says nothing of when others were listed.
-        if form != ListUpdateKind::StaleCopy {
-            self.starts.heard(now);
+        if kind != ListUpdateKind::StaleCopy {
+            self.start_times.record_contact(now);
         }
-        self.book.apply_update(&news);
-        news
+        self.addresses.apply_update(&update);
+        update
     }
 }
 
-impl MembershipSource for Discovery {
+impl MembershipSource for PlatformDiscovery {
     async fn next(&mut self) -> Option<MembershipUpdate> {
-        if let Some(known) = self.known.take() {
-            return Some(self.news(known, ListUpdateKind::StaleCopy));
+        if let Some(last_known) = self.last_known.take() {
+            return Some(self.apply_listing(last_known, ListUpdateKind::StaleCopy));
         }
-        let sizes = self.config.clone();
+        let config = self.config.clone();
         loop {
             let listing = tokio::select! {
                 biased;
-                to = moved(&mut self.config, self.agent.address) => {
-                    info!(self.log, "discovery has moved"; "to" => %to);
-                    self.agent = Agent::new(to, None);
-                    self.starts.moved();
+                address = wait_for_agent_change(&mut self.config, self.agent.address) => {
+                    info!(self.log, "discovery has moved"; "to" => %address);
+                    self.agent = Agent::new(address, None);
+                    self.start_times.reset_contact();
                     // What went wrong at the old one says nothing of the new one.
-                    self.backoff.succeeded();
+                    self.backoff.reset();
                     continue;
                 }
-                listing = self.agent.next(&mut self.backoff, &sizes, &self.log) => listing,
+                listing = self.agent.next(&mut self.backoff, &config, &self.log) => listing,
             };
-            let form = if listing.all { ListUpdateKind::Full } else { ListUpdateKind::Changes };
-            return Some(self.news(listing, form));
+            let kind = if listing.all { ListUpdateKind::Full } else { ListUpdateKind::Changes };
+            return Some(self.apply_listing(listing, kind));
         }
     }
 }
 
 /// Resolves once the configuration names another agent. One that names the same does not disturb the call
 /// that is under way, nor the wait before the next.
-async fn moved(config: &mut watch::Receiver<DiscoveryConfig>, from: SocketAddr) -> SocketAddr {
-    let agent = config.wait_for(|config| config.agent != from).await.map(|config| config.agent);
+async fn wait_for_agent_change(
+    config: &mut watch::Receiver<DiscoveryConfig>,
+    current: SocketAddr,
+) -> SocketAddr {
+    let agent = config.wait_for(|config| config.agent != current).await.map(|config| config.agent);
     match agent {
         Ok(agent) => agent,
         // Whoever could say so has gone.
@@ -204,8 +218,8 @@
     }
 
     /// How long ago the watch was heard before what it has told last.
-    fn heard_before(&self) -> Option<Duration> {
-        self.watch.as_ref()?.heard_before.map(|at| at.elapsed())
+    fn time_since_previous_activity(&self) -> Option<Duration> {
+        self.watch.as_ref()?.previous_activity.map(|at| at.elapsed())
     }
 
     /// The next list or change. Asks on for as long as there is none.
@@ -216,23 +230,23 @@
         log: &Logger,
     ) -> Listing {
         loop {
-            backoff.resize(config.borrow().conductors);
-            match self.listing().await {
+            backoff.set_instances(config.borrow().conductors);
+            match self.next_listing().await {
                 Ok(listing) => {
-                    backoff.succeeded();
+                    backoff.reset();
                     self.rev = Some(listing.rev);
                     return listing;
                 }
                 Err(e) => {
-                    let watched = self.watch.take().is_some();
+                    let was_watching = self.watch.take().is_some();
                     // One line for each outage.
-                    if backoff.is_fresh() {
+                    if backoff.is_reset() {
                         info!(log, "watch again"; "why" => %e, "rev" => self.rev);
                     }
                     let wait = match e {
-                        ListError::Silent if watched => backoff.silent(),
-                        ListError::Silent => backoff.hung(),
-                        _ => backoff.failed(),
+                        DiscoveryError::Timeout if was_watching => backoff.wait_after_silence(),
+                        DiscoveryError::Timeout => backoff.wait_after_timeout(),
+                        _ => backoff.wait_after_failure(),
                     };
                     debug!(log, "watch failed"; "why" => %e, "again_in" => ?wait);
                     sleep(wait).await;
@@ -243,36 +257,36 @@
 
     /// The whole list where none is held, else the next line of the watch, which is opened where there is
     /// none.
-    async fn listing(&mut self) -> Result<Listing, ListError> {
-        let Some(rev) = self.rev else { return whole_list(self.address).await };
+    async fn next_listing(&mut self) -> Result<Listing, DiscoveryError> {
+        let Some(rev) = self.rev else { return fetch_full_list(self.address).await };
         if self.watch.is_none() {
             self.watch = Some(Watch::open(self.address, rev).await?);
         }
         match &mut self.watch {
             Some(watch) => watch.next().await,
-            None => Err(ListError::Ended),
+            None => Err(DiscoveryError::Closed),
         }
     }
 }
 
-async fn whole_list(agent: SocketAddr) -> Result<Listing, ListError> {
+async fn fetch_full_list(agent: SocketAddr) -> Result<Listing, DiscoveryError> {
     let target = Uri::from_static("/catalog/members");
-    let list = async {
-        let Called { response, driver: _driver } =
-            call(agent, Method::GET, target, Bytes::new(), CALL).await?;
+    let fetch = async {
+        let OpenResponse { response, driver: _driver } =
+            send_request(agent, Method::GET, target, Bytes::new(), CALL_TIMEOUT).await?;
         match response.status() {
-            StatusCode::OK => {
-                Ok(serde_json::from_slice(&whole(response.into_body(), LIST_MOST, CALL).await?)?)
-            }
-            status => Err(ListError::Status(status)),
+            StatusCode::OK => Ok(serde_json::from_slice(
+                &read_body(response.into_body(), MAX_LIST_BYTES, CALL_TIMEOUT).await?,
+            )?),
+            status => Err(DiscoveryError::Status(status)),
         }
     };
     // Its steps have one time together.
-    timeout(CALL, list).await.unwrap_or(Err(ListError::Silent))
+    timeout(CALL_TIMEOUT, fetch).await.unwrap_or(Err(DiscoveryError::Timeout))
 }
 
 /// A line of the list as the decisions have it, but for its start.
-fn entry(target: &Target, names: &ConfiguredNames) -> Result<ServerEntry, SetupError> {
+fn server_entry(target: &Target, names: &ConfiguredNames) -> Result<ServerEntry, SetupError> {
     Ok(ServerEntry {
         server: Id::from(target.uid.as_str()),
         rack: target.pod_group,
@@ -280,9 +294,9 @@
         zone: index_of(names.zones(), &target.az, "az")?,
         started: 0,
         health: match target.state {
-            State::Active => Health::Up,
-            State::Leaving => Health::Draining,
-            State::Left => Health::Gone,
+            MemberState::Active => Health::Up,
+            MemberState::Leaving => Health::Draining,
+            MemberState::Left => Health::Gone,
         },
     })
 }
@@ -290,45 +304,47 @@
 /// An open watch.
 struct Watch {
     body: Incoming,
-    objects: Objects,
+    decoder: ListingDecoder,
     /// When the object began that has not ended yet.
-    began: Option<Instant>,
+    partial_since: Option<Instant>,
     /// When something came on it last, an empty line included, and when before that.
-    heard: Option<Instant>,
-    heard_before: Option<Instant>,
+    last_activity: Option<Instant>,
+    previous_activity: Option<Instant>,
     _driver: AbortOnDropHandle<()>,
 }
 
 impl Watch {
-    async fn open(agent: SocketAddr, rev: u64) -> Result<Self, ListError> {
+    async fn open(agent: SocketAddr, rev: u64) -> Result<Self, DiscoveryError> {
         let target = format!("/catalog/members?stream=1&index={rev}");
-        let target = Uri::try_from(target).map_err(|_| ListError::Ended)?;
-        let Called { response, driver } = call(agent, Method::GET, target, Bytes::new(), CALL).await?;
+        let target = Uri::try_from(target).map_err(|_| DiscoveryError::Closed)?;
+        let OpenResponse { response, driver } =
+            send_request(agent, Method::GET, target, Bytes::new(), CALL_TIMEOUT).await?;
         match response.status() {
             StatusCode::OK => {
-                let (body, objects) = (response.into_body(), Objects::default());
-                let (began, heard, heard_before) = (None, None, None);
-                Ok(Watch { body, objects, began, heard, heard_before, _driver: driver })
+                let (body, decoder) = (response.into_body(), ListingDecoder::default());
+                let (partial_since, last_activity, previous_activity) = (None, None, None);
+                Ok(Watch { body, decoder, partial_since, last_activity, previous_activity, _driver: driver })
             }
-            status => Err(ListError::Status(status)),
+            status => Err(DiscoveryError::Status(status)),
         }
     }
 
-    async fn next(&mut self) -> Result<Listing, ListError> {
+    async fn next(&mut self) -> Result<Listing, DiscoveryError> {
         loop {
-            if let Some(listing) = self.objects.pop()? {
-                self.began = None;
+            if let Some(listing) = self.decoder.next_listing()? {
+                self.partial_since = None;
                 return Ok(listing);
             }
             // Empty lines behind half an object say nothing: what does not end is as good as silent.
             let now = Instant::now();
-            self.began = self.objects.is_part().then_some(self.began.unwrap_or(now));
-            let by = self.began.unwrap_or(now) + SILENCE;
-            let frame = timeout_at(by, self.body.frame()).await.map_err(|_| ListError::Silent)?;
-            let Some(frame) = frame else { return Err(ListError::Ended) };
-            self.heard_before = self.heard.replace(Instant::now());
+            self.partial_since =
+                self.decoder.has_partial_object().then_some(self.partial_since.unwrap_or(now));
+            let deadline = self.partial_since.unwrap_or(now) + WATCH_SILENCE_TIMEOUT;
+            let frame = timeout_at(deadline, self.body.frame()).await.map_err(|_| DiscoveryError::Timeout)?;
+            let Some(frame) = frame else { return Err(DiscoveryError::Closed) };
+            self.previous_activity = self.last_activity.replace(Instant::now());
             if let Ok(data) = frame?.into_data() {
-                self.objects.push(&data)?;
+                self.decoder.push(&data)?;
             }
         }
     }
--- a/daemon/src/discovery/xds.rs
+++ b/daemon/src/discovery/xds.rs
@@ -18,19 +18,19 @@
 use slog::{info, warn, Logger};
 use tokio::time::sleep;
 
-use super::http::{call, whole, Called, ListError};
+use super::http::{read_body, send_request, DiscoveryError, OpenResponse};
 use crate::config::XdsConfig;
 use crate::upstream::AddressTable;
 
 /// An answer must be whole within this time.
-const ANSWER: Duration = Duration::from_secs(2);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 /// No list is longer.
-const BODY_MOST: usize = 8 << 20;
-const CLUSTERS: &str = "envoy.config.cluster.v3.Cluster";
-const ENDPOINTS: &str = "envoy.config.endpoint.v3.ClusterLoadAssignment";
+const MAX_BODY_BYTES: usize = 8 << 20;
+const CLUSTER_TYPE: &str = "envoy.config.cluster.v3.Cluster";
+const ENDPOINT_TYPE: &str = "envoy.config.endpoint.v3.ClusterLoadAssignment";
 
 #[derive(Deserialize)]
-struct Answer<T> {
+struct DiscoveryResponse<T> {
     #[serde(default, alias = "versionInfo")]
     version_info: String,
     #[serde(default)]
@@ -61,19 +61,19 @@
     #[serde(alias = "clusterName")]
     cluster_name: String,
     #[serde(default)]
-    endpoints: Vec<Locality>,
+    endpoints: Vec<LocalityEndpoints>,
 }
 
 #[derive(Clone, Deserialize)]
-struct Locality {
+struct LocalityEndpoints {
     #[serde(default)]
-    locality: Place,
+    locality: Locality,
     #[serde(default, alias = "lbEndpoints")]
     lb_endpoints: Vec<LbEndpoint>,
 }
 
 #[derive(Clone, Default, Deserialize)]
-struct Place {
+struct Locality {
     #[serde(default)]
     zone: String,
     #[serde(default, alias = "subZone")]
@@ -84,7 +84,7 @@
 struct LbEndpoint {
     endpoint: Endpoint,
     #[serde(default, alias = "healthStatus")]
-    health_status: Status,
+    health_status: HealthStatus,
     #[serde(default)]
     metadata: Metadata,
 }
@@ -112,24 +112,24 @@
 /// In JSON an enum may stand by its name or its number.
 #[derive(Clone, Deserialize)]
 #[serde(untagged)]
-enum Status {
+enum HealthStatus {
     Name(String),
     Number(u8),
 }
 
-impl Default for Status {
+impl Default for HealthStatus {
     fn default() -> Self {
-        Status::Number(0)
+        HealthStatus::Number(0)
     }
 }
 
-impl Status {
+impl HealthStatus {
     fn health(&self) -> Health {
         match self {
-            Status::Name(name) if name == "DRAINING" => Health::Draining,
-            Status::Name(name) if name == "UNHEALTHY" || name == "TIMEOUT" => Health::Gone,
-            Status::Number(3) => Health::Draining,
-            Status::Number(2 | 4) => Health::Gone,
+            HealthStatus::Name(name) if name == "DRAINING" => Health::Draining,
+            HealthStatus::Name(name) if name == "UNHEALTHY" || name == "TIMEOUT" => Health::Gone,
+            HealthStatus::Number(3) => Health::Draining,
+            HealthStatus::Number(2 | 4) => Health::Gone,
             // Unknown, healthy, degraded: it takes requests.
             _ => Health::Up,
         }
@@ -139,18 +139,18 @@
 #[derive(Clone, Default, Deserialize)]
 struct Metadata {
     #[serde(default, alias = "filterMetadata")]
-    filter_metadata: Filters,
+    filter_metadata: FilterMetadata,
 }
 
 #[derive(Clone, Default, Deserialize)]
-struct Filters {
+struct FilterMetadata {
     #[serde(default)]
-    frosttrail: Own,
+    frosttrail: FrosttrailMetadata,
 }
 
 /// What clusters and endpoints may say under the name `frosttrail`.
 #[derive(Clone, Default, Deserialize)]
-struct Own {
+struct FrosttrailMetadata {
     kind: Option<String>,
     uid: Option<String>,
     cell: Option<u64>,
@@ -158,61 +158,74 @@
 }
 
 /// The state of one type of resource: what was accepted last.
-struct Held<T> {
+struct ResourceState<T> {
     version: String,
     nonce: String,
     names: Vec<String>,
     resources: Vec<T>,
 }
 
-impl<T> Default for Held<T> {
+impl<T> Default for ResourceState<T> {
     fn default() -> Self {
-        Held { version: String::new(), nonce: String::new(), names: Vec::new(), resources: Vec::new() }
+        ResourceState {
+            version: String::new(),
+            nonce: String::new(),
+            names: Vec::new(),
+            resources: Vec::new(),
+        }
     }
 }
 
 /// Members from an xDS server, asked again and again.
-pub struct Xds {
+pub struct XdsDiscovery {
     config: XdsConfig,
     node: String,
     names: ConfiguredNames,
     clock: Clock,
-    book: Arc<AddressTable>,
+    addresses: Arc<AddressTable>,
     log: Logger,
-    clusters: Held<Cluster>,
-    assignments: Held<Assignment>,
-    told: Option<Vec<ServerEntry>>,
+    clusters: ResourceState<Cluster>,
+    assignments: ResourceState<Assignment>,
+    last_entries: Option<Vec<ServerEntry>>,
 }
 
-impl Xds {
+impl XdsDiscovery {
     /// Nothing is known before the first answer.
     pub fn new(
         config: XdsConfig,
         node: String,
         names: ConfiguredNames,
         clock: Clock,
-        book: Arc<AddressTable>,
+        addresses: Arc<AddressTable>,
         log: Logger,
     ) -> Self {
-        let (clusters, assignments) = (Held::default(), Held::default());
-        Xds { config, node, names, clock, book, log, clusters, assignments, told: None }
+        let (clusters, assignments) = (ResourceState::default(), ResourceState::default());
+        XdsDiscovery { config, node, names, clock, addresses, log, clusters, assignments, last_entries: None }
     }
 
     /// Asks for clusters and endpoints; the list as it now is.
-    async fn poll(&mut self) -> Result<Vec<ServerEntry>, ListError> {
+    async fn poll(&mut self) -> Result<Vec<ServerEntry>, DiscoveryError> {
         let server = self.config.server;
-        refresh(server, &self.node, "clusters", CLUSTERS, Vec::new(), &mut self.clusters).await?;
-        let by_eds = self.clusters.resources.iter().filter(|c| c.load_assignment.is_none());
-        let services: Vec<String> = by_eds.map(|c| service(c).to_string()).collect();
-        if services.is_empty() {
-            self.assignments = Held::default();
+        fetch_resources(server, &self.node, "clusters", CLUSTER_TYPE, Vec::new(), &mut self.clusters).await?;
+        let eds_clusters = self.clusters.resources.iter().filter(|c| c.load_assignment.is_none());
+        let service_names: Vec<String> = eds_clusters.map(|c| eds_service_name(c).to_string()).collect();
+        if service_names.is_empty() {
+            self.assignments = ResourceState::default();
         } else {
-            refresh(server, &self.node, "endpoints", ENDPOINTS, services, &mut self.assignments).await?;
+            fetch_resources(
+                server,
+                &self.node,
+                "endpoints",
+                ENDPOINT_TYPE,
+                service_names,
+                &mut self.assignments,
+            )
+            .await?;
         }
-        Ok(self.entries())
+        Ok(self.server_entries())
     }
 
-    fn entries(&self) -> Vec<ServerEntry> {
+    fn server_entries(&self) -> Vec<ServerEntry> {
         let mut entries = Vec::new();
         for cluster in &self.clusters.resources {
             let kind = cluster.metadata.filter_metadata.frosttrail.kind.as_deref().unwrap_or(&cluster.name);
@@ -220,55 +233,62 @@
                 warn!(self.log, "a cluster is of no known kind"; "name" => &cluster.name);
                 continue;
             };
-            let own = cluster.load_assignment.iter();
-            let named = |a: &&Assignment| a.cluster_name == service(cluster);
-            let eds = self.assignments.resources.iter().filter(named);
+            let inline = cluster.load_assignment.iter();
+            let is_named = |a: &&Assignment| a.cluster_name == eds_service_name(cluster);
+            let eds = self.assignments.resources.iter().filter(is_named);
             // What stands in the cluster itself comes in place of what would have to be asked for.
-            let assignments = own.chain(eds.filter(|_| cluster.load_assignment.is_none()));
-            for locality in assignments.flat_map(|a| &a.endpoints) {
-                entries.extend(locality.lb_endpoints.iter().filter_map(|e| self.entry(kind, locality, e)));
+            let assignments = inline.chain(eds.filter(|_| cluster.load_assignment.is_none()));
+            for endpoints in assignments.flat_map(|a| &a.endpoints) {
+                entries.extend(
+                    endpoints.lb_endpoints.iter().filter_map(|e| self.server_entry(kind, endpoints, e)),
+                );
             }
         }
         entries
     }
 
-    fn entry(&self, kind: usize, locality: &Locality, member: &LbEndpoint) -> Option<ServerEntry> {
-        let place = &locality.locality;
-        let Ok(zone) = index_of(self.names.zones(), &place.zone, "zone") else {
-            warn!(self.log, "an endpoint is in no known zone"; "zone" => &place.zone);
+    fn server_entry(
+        &self,
+        kind: usize,
+        endpoints: &LocalityEndpoints,
+        endpoint: &LbEndpoint,
+    ) -> Option<ServerEntry> {
+        let locality = &endpoints.locality;
+        let Ok(zone) = index_of(self.names.zones(), &locality.zone, "zone") else {
+            warn!(self.log, "an endpoint is in no known zone"; "zone" => &locality.zone);
             return None;
         };
-        let SocketAddress { address, port_value } = member.endpoint.address.socket_address;
+        let SocketAddress { address, port_value } = endpoint.endpoint.address.socket_address;
         let address = SocketAddr::new(address, port_value);
-        let own = &member.metadata.filter_metadata.frosttrail;
-        let hostname = Some(&member.endpoint.hostname).filter(|name| !name.is_empty());
-        let server = own.uid.as_ref().or(hostname).cloned().unwrap_or_else(|| address.to_string());
+        let metadata = &endpoint.metadata.filter_metadata.frosttrail;
+        let hostname = Some(&endpoint.endpoint.hostname).filter(|name| !name.is_empty());
+        let server = metadata.uid.as_ref().or(hostname).cloned().unwrap_or_else(|| address.to_string());
         let server = Id::from(server.as_str());
-        self.book.set(server.clone(), address);
+        self.addresses.set(server.clone(), address);
         Some(ServerEntry {
             server,
-            rack: own.cell.unwrap_or_else(|| cell(place)),
+            rack: metadata.cell.unwrap_or_else(|| rack_number(locality)),
             kind,
             zone,
-            started: own.boot_ms.filter(|ms| *ms > 0).map_or(0, |ms| self.clock.from_unix_ms(ms)),
-            health: member.health_status.health(),
+            started: metadata.boot_ms.filter(|ms| *ms > 0).map_or(0, |ms| self.clock.from_unix_ms(ms)),
+            health: endpoint.health_status.health(),
         })
     }
 }
 
-impl MembershipSource for Xds {
+impl MembershipSource for XdsDiscovery {
     async fn next(&mut self) -> Option<MembershipUpdate> {
         loop {
-            if self.told.is_some() {
+            if self.last_entries.is_some() {
                 sleep(self.config.refresh).await;
             }
             match self.poll().await {
-                Ok(entries) if self.told.as_ref() == Some(&entries) => {}
+                Ok(entries) if self.last_entries.as_ref() == Some(&entries) => {}
                 Ok(entries) => {
-                    self.told = Some(entries.clone());
-                    let news = MembershipUpdate { kind: ListUpdateKind::Full, entries };
-                    self.book.apply_update(&news);
-                    return Some(news);
+                    self.last_entries = Some(entries.clone());
+                    let update = MembershipUpdate { kind: ListUpdateKind::Full, entries };
+                    self.addresses.apply_update(&update);
+                    return Some(update);
                 }
                 Err(e) => {
                     info!(self.log, "xds: asked in vain"; "why" => %e);
@@ -280,48 +300,50 @@
 }
 
 /// The name under which a cluster's endpoints are asked for.
-fn service(cluster: &Cluster) -> &str {
-    let named = cluster.eds_cluster_config.as_ref().map(|eds| eds.service_name.as_str());
-    named.filter(|name| !name.is_empty()).unwrap_or(&cluster.name)
+fn eds_service_name(cluster: &Cluster) -> &str {
+    let service_name = cluster.eds_cluster_config.as_ref().map(|eds| eds.service_name.as_str());
+    service_name.filter(|name| !name.is_empty()).unwrap_or(&cluster.name)
 }
 
 /// A rack's number: the same at every conductor, as this hash has no seed.
-fn cell(place: &Place) -> u64 {
+fn rack_number(locality: &Locality) -> u64 {
     let mut hash = FnvHasher::default();
-    (&place.zone, &place.sub_zone).hash(&mut hash);
+    (&locality.zone, &locality.sub_zone).hash(&mut hash);
     hash.finish()
 }
 
 /// Asks for one type of resource. The request names the version that was accepted last, so that a server
 /// may answer that nothing has changed; an answer that can't be read leaves that version in force.
-async fn refresh<T: DeserializeOwned>(
+async fn fetch_resources<T: DeserializeOwned>(
     server: SocketAddr,
     node: &str,
     path: &'static str,
     type_name: &'static str,
     names: Vec<String>,
-    held: &mut Held<T>,
-) -> Result<(), ListError> {
+    state: &mut ResourceState<T>,
+) -> Result<(), DiscoveryError> {
     // Another set of names is another question, to which no version has been given yet.
-    if held.names != names {
-        (held.version, held.names) = (String::new(), names);
+    if state.names != names {
+        (state.version, state.names) = (String::new(), names);
     }
     let body = json!({
-        "version_info": held.version,
-        "response_nonce": held.nonce,
+        "version_info": state.version,
+        "response_nonce": state.nonce,
         "node": {"id": node, "cluster": "frosttrail"},
-        "resource_names": held.names,
+        "resource_names": state.names,
         "type_url": format!("type.googleapis.com/{type_name}"),
     });
-    let target = Uri::try_from(format!("/v3/discovery:{path}")).map_err(|_| ListError::Ended)?;
-    let Called { response, driver: _driver } =
-        call(server, Method::POST, target, Bytes::from(body.to_string()), ANSWER).await?;
+    let target = Uri::try_from(format!("/v3/discovery:{path}")).map_err(|_| DiscoveryError::Closed)?;
+    let OpenResponse { response, driver: _driver } =
+        send_request(server, Method::POST, target, Bytes::from(body.to_string()), RESPONSE_TIMEOUT).await?;
     match response.status() {
         StatusCode::OK => {}
         StatusCode::NOT_MODIFIED => return Ok(()),
-        status => return Err(ListError::Status(status)),
+        status => return Err(DiscoveryError::Status(status)),
     }
-    let answer: Answer<T> = serde_json::from_slice(&whole(response.into_body(), BODY_MOST, ANSWER).await?)?;
-    (held.version, held.nonce, held.resources) = (answer.version_info, answer.nonce, answer.resources);
+    let resource_response: DiscoveryResponse<T> =
+        serde_json::from_slice(&read_body(response.into_body(), MAX_BODY_BYTES, RESPONSE_TIMEOUT).await?)?;
+    (state.version, state.nonce, state.resources) =
+        (resource_response.version_info, resource_response.nonce, resource_response.resources);
     Ok(())
 }
--- a/daemon/tests/connection.rs
+++ b/daemon/tests/connection.rs
@@ -17,122 +17,125 @@
 
 /// What happens to the connections next.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Happens {
-    Read,
+enum Scenario {
+    Prefill,
     Served,
-    TurnedAway,
-    StateGone,
-    GoneUnmarked,
-    Unmarked,
-    Error,
-    Resets,
-    NoEvents,
-    BreaksOff,
-    Noise,
+    Rejected,
+    CacheMissing,
+    UnmarkedGone,
+    UnmarkedTimeout,
+    ServerError,
+    Reset,
+    EmptyStream,
+    BrokenStream,
+    InvalidHead,
     EndlessHead,
     StalledHead,
-    UnreadableSize,
-    WrongSize,
+    InvalidChunkSize,
+    WrongChunkSize,
     HugeChunk,
-    NoEvent,
-    Early,
-    BadReport,
-    BadReportAtEnd,
-    SecondAnswer,
-    GivenUp,
-    BoxClosesIdle,
+    InvalidEvent,
+    EarlyHints,
+    InvalidLoadReport,
+    InvalidFinalLoadReport,
+    SecondResponse,
+    Cancelled,
+    ServerClosesIdle,
 }
 
-use Happens::*;
+use Scenario::*;
 
 /// The head of a stream.
-macro_rules! stream {
+macro_rules! stream_head {
     () => {
         "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n"
     };
 }
 
 /// A reader's answer, with further headers.
-macro_rules! answer {
+macro_rules! prefill_response {
     ($headers:literal) => {
         concat!("HTTP/1.1 202 -\r\n", $headers, "content-length: 2\r\n\r\n{}")
     };
 }
 
-impl Arbitrary for Happens {
+impl Arbitrary for Scenario {
     fn arbitrary(g: &mut Gen) -> Self {
         *g.choose(&[
-            Read,
+            Prefill,
             Served,
-            TurnedAway,
-            StateGone,
-            GoneUnmarked,
-            Unmarked,
-            Error,
-            Resets,
-            NoEvents,
-            BreaksOff,
-            Noise,
+            Rejected,
+            CacheMissing,
+            UnmarkedGone,
+            UnmarkedTimeout,
+            ServerError,
+            Reset,
+            EmptyStream,
+            BrokenStream,
+            InvalidHead,
             EndlessHead,
             StalledHead,
-            UnreadableSize,
-            WrongSize,
+            InvalidChunkSize,
+            WrongChunkSize,
             HugeChunk,
-            NoEvent,
-            Early,
-            BadReport,
-            BadReportAtEnd,
-            SecondAnswer,
-            GivenUp,
-            BoxClosesIdle,
+            InvalidEvent,
+            EarlyHints,
+            InvalidLoadReport,
+            InvalidFinalLoadReport,
+            SecondResponse,
+            Cancelled,
+            ServerClosesIdle,
         ])
         .unwrap()
     }
 }
 
-impl Happens {
-    fn does(self) -> Does {
+impl Scenario {
+    fn behavior(self) -> Does {
         match self {
-            Read => READ,
+            Prefill => READ,
             Served => WHOLE,
-            TurnedAway => Does::Says(503, true, ""),
-            StateGone => Does::Says(410, true, "gone"),
-            GoneUnmarked => Does::Says(410, false, ""),
-            Unmarked => Does::Says(504, false, ""),
-            Error => Does::Says(500, false, "{}"),
-            Resets => Does::Resets,
-            NoEvents => Does::Streams(&[]),
-            BreaksOff => Does::BreaksAfter(&[EVENT]),
-            Noise => Does::Raw("\u{1}\u{2} of the sea\r\n\r\n"),
+            Rejected => Does::Says(503, true, ""),
+            CacheMissing => Does::Says(410, true, "gone"),
+            UnmarkedGone => Does::Says(410, false, ""),
+            UnmarkedTimeout => Does::Says(504, false, ""),
+            ServerError => Does::Says(500, false, "{}"),
+            Reset => Does::Resets,
+            EmptyStream => Does::Streams(&[]),
+            BrokenStream => Does::BreaksAfter(&[EVENT]),
+            InvalidHead => Does::Raw("\u{1}\u{2} of the sea\r\n\r\n"),
             EndlessHead => Does::RawOn("HTTP/1.1 200 OK\r\nx-more: and more"),
             StalledHead => Does::Raw("HTTP/1.1 200 OK\r\ntransfer-enc"),
-            UnreadableSize => Does::Raw(concat!(stream!(), "10\r\ndata: Table {}\n\n\r\nzz\r\n")),
-            WrongSize => Does::Raw(concat!(stream!(), "12\r\ndata: Table {}\n\n\r\n10\r\ndata: booked\n\n")),
-            HugeChunk => Does::RawOn(concat!(stream!(), "c0000000\r\ndata: Table {}\n\ndata: x")),
-            NoEvent => Does::Raw(concat!(stream!(), "10\r\nTable for two!\n\n\r\n")),
-            Early => Does::RawWhole(concat!("HTTP/1.1 103 Early Hints\r\n\r\n", answer!(""))),
-            BadReport => Does::RawWhole(answer!("x-pressure: {\"inflight\":\r\n")),
-            BadReportAtEnd => Does::RawWhole(concat!(stream!(), "11\r\n: X-Pressure: {\n\n\r\n0\r\n\r\n")),
-            SecondAnswer => Does::RawWhole(concat!(answer!(""), answer!(""))),
-            GivenUp | BoxClosesIdle => Does::Silent,
+            InvalidChunkSize => Does::Raw(concat!(stream_head!(), "10\r\ndata: Table {}\n\n\r\nzz\r\n")),
+            WrongChunkSize => {
+                Does::Raw(concat!(stream_head!(), "12\r\ndata: Table {}\n\n\r\n10\r\ndata: booked\n\n"))
+            }
+            HugeChunk => Does::RawOn(concat!(stream_head!(), "c0000000\r\ndata: Table {}\n\ndata: x")),
+            InvalidEvent => Does::Raw(concat!(stream_head!(), "10\r\nTable for two!\n\n\r\n")),
+            EarlyHints => Does::RawWhole(concat!("HTTP/1.1 103 Early Hints\r\n\r\n", prefill_response!(""))),
+            InvalidLoadReport => Does::RawWhole(prefill_response!("x-pressure: {\"inflight\":\r\n")),
+            InvalidFinalLoadReport => {
+                Does::RawWhole(concat!(stream_head!(), "11\r\n: X-Pressure: {\n\n\r\n0\r\n\r\n"))
+            }
+            SecondResponse => Does::RawWhole(concat!(prefill_response!(""), prefill_response!(""))),
+            Cancelled | ServerClosesIdle => Does::Silent,
         }
     }
 
     /// The table's word for it.
-    fn outcome(self) -> Option<Outcome> {
+    fn expected_outcome(self) -> Option<Outcome> {
         Some(match self {
-            Read => Outcome::PrefillDone,
+            Prefill => Outcome::PrefillDone,
             Served => Outcome::Served,
-            TurnedAway => Outcome::Rejected,
-            StateGone => Outcome::CacheMissing,
-            GoneUnmarked | Unmarked | Error => Outcome::Failed,
-            Resets | NoEvents | BreaksOff => Outcome::ConnectionLost,
-            Noise | EndlessHead | StalledHead | UnreadableSize | WrongSize | HugeChunk | NoEvent => {
-                Outcome::Failed
-            }
-            Early | BadReport | SecondAnswer => Outcome::PrefillDone,
-            BadReportAtEnd => Outcome::Served,
-            GivenUp | BoxClosesIdle => return None,
+            Rejected => Outcome::Rejected,
+            CacheMissing => Outcome::CacheMissing,
+            UnmarkedGone | UnmarkedTimeout | ServerError => Outcome::Failed,
+            Reset | EmptyStream | BrokenStream => Outcome::ConnectionLost,
+            InvalidHead | EndlessHead | StalledHead | InvalidChunkSize | WrongChunkSize | HugeChunk
+            | InvalidEvent => Outcome::Failed,
+            EarlyHints | InvalidLoadReport | SecondResponse => Outcome::PrefillDone,
+            InvalidFinalLoadReport => Outcome::Served,
+            Cancelled | ServerClosesIdle => return None,
         })
     }
 }
@@ -140,23 +143,23 @@
 /// How many connections wait for the next request, at least and at most: an answer's tail may still be
 /// read beside the walk.
 #[derive(Clone, Copy, Debug, Default)]
-struct Kept {
-    least: u32,
-    most: u32,
+struct IdleConnections {
+    min: u32,
+    max: u32,
 }
 
-impl Kept {
+impl IdleConnections {
     /// An attempt that opened so many new connections, and what it leaves.
-    fn after(self, opened: u32, what: Happens) -> Self {
+    fn after(self, opened: u32, scenario: Scenario) -> Self {
         let used = 1 - opened;
-        let (least, most) = match what {
+        let (min, max) = match scenario {
             // A stream without an event is no answer, but its connection has ended well.
-            Read | Served | NoEvents => (1, 1),
-            TurnedAway | StateGone | GoneUnmarked | Unmarked | Error => (0, 1),
+            Prefill | Served | EmptyStream => (1, 1),
+            Rejected | CacheMissing | UnmarkedGone | UnmarkedTimeout | ServerError => (0, 1),
             // Spoilt, or with more on it than its answer.
             _ => (0, 0),
         };
-        Kept { least: self.least.saturating_sub(used) + least, most: self.most.saturating_sub(used) + most }
+        IdleConnections { min: self.min.saturating_sub(used) + min, max: self.max.saturating_sub(used) + max }
     }
 }
 
@@ -167,7 +170,7 @@
 
 /// The attempt's whole way: up to the end of its stream, if it became one.
 async fn attempt(upstream: &HttpUpstream) -> Outcome {
-    attempt_at(upstream, "box").await
+    attempt_at(upstream, "server").await
 }
 
 /// The same at a server of another name.
@@ -187,89 +190,89 @@
     }
 }
 
-async fn walk(steps: Vec<Happens>) {
+async fn run_steps(steps: Vec<Scenario>) {
     let mut stand_in = StandIn::start(READ).await;
-    let upstream = upstream(&[("box", 0, stand_in.address)]);
-    let (mut kept, mut attempts, mut distrusted) = (Kept::default(), 0, false);
-    for what in steps {
-        if let BoxClosesIdle = what {
+    let upstream = upstream(&[("server", 0, stand_in.address)]);
+    let (mut idle, mut attempts, mut has_stale_reset) = (IdleConnections::default(), 0, false);
+    for scenario in steps {
+        if let ServerClosesIdle = scenario {
             stand_in.close_all().await;
-            kept = Kept::default();
+            idle = IdleConnections::default();
             continue;
         }
         let accepted = *stand_in.accepted.lock().unwrap();
-        stand_in.next(what.does());
+        stand_in.next(scenario.behavior());
         attempts += 1;
-        match what.outcome() {
+        match scenario.expected_outcome() {
             Some(outcome) => {
-                let came = attempt(&upstream).await;
+                let actual = attempt(&upstream).await;
                 // A kept connection that is reset was dead; from then on few are trusted.
-                let stale = what == Resets && *stand_in.accepted.lock().unwrap() == accepted;
-                assert_eq!(came, if stale { Outcome::StaleConnection } else { outcome }, "{what:?}");
-                distrusted |= stale;
+                let is_stale = scenario == Reset && *stand_in.accepted.lock().unwrap() == accepted;
+                assert_eq!(actual, if is_stale { Outcome::StaleConnection } else { outcome }, "{scenario:?}");
+                has_stale_reset |= is_stale;
             }
             None => {
-                let waited = tokio::time::timeout(Duration::from_millis(20), attempt(&upstream)).await;
-                assert!(waited.is_err(), "{what:?}");
+                let result = tokio::time::timeout(Duration::from_millis(20), attempt(&upstream)).await;
+                assert!(result.is_err(), "{scenario:?}");
                 stand_in.given_up.recv().await.unwrap();
             }
         }
-        assert_eq!(stand_in.posts().len(), attempts, "every attempt reaches the box once: {what:?}");
+        assert_eq!(stand_in.posts().len(), attempts, "every attempt reaches the server once: {scenario:?}");
         let opened = *stand_in.accepted.lock().unwrap() - accepted;
-        assert!(opened <= 1, "{what:?}");
-        assert!(opened == 0 || kept.least == 0, "{what:?}: a kept connection was not used: {kept:?}");
-        assert!(opened == 1 || kept.most > 0, "{what:?}: no connection was opened: {kept:?}");
-        kept = kept.after(opened, what);
-        if distrusted {
-            kept.least = 0;
+        assert!(opened <= 1, "{scenario:?}");
+        assert!(opened == 0 || idle.min == 0, "{scenario:?}: a kept connection was not used: {idle:?}");
+        assert!(opened == 1 || idle.max > 0, "{scenario:?}: no connection was opened: {idle:?}");
+        idle = idle.after(opened, scenario);
+        if has_stale_reset {
+            idle.min = 0;
         }
     }
 }
 
 #[test]
-fn random_steps_follow_the_protocols_table() {
-    fn follows(steps: Vec<Happens>) -> bool {
+fn random_steps_have_the_outcomes_of_the_protocol() {
+    fn holds(steps: Vec<Scenario>) -> bool {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-        runtime.block_on(walk(steps));
+        runtime.block_on(run_steps(steps));
         true
     }
     let gen = Gen::from_size_and_seed(16, 0xb0c5);
-    QuickCheck::new().rng(gen).tests(60).quickcheck(follows as fn(Vec<Happens>) -> bool);
+    QuickCheck::new().rng(gen).tests(60).quickcheck(holds as fn(Vec<Scenario>) -> bool);
 }
 
 #[tokio::test]
-async fn after_one_that_was_dead_connections_as_old_are_not_used() {
+async fn connections_as_old_as_a_stale_one_are_not_reused() {
     let stand_in = StandIn::start(READ).await;
-    let upstream = upstream(&[("box", 0, stand_in.address)]);
-    let idle = || tokio::time::sleep(Duration::from_millis(40));
-    let mut came = Vec::new();
-    for what in [READ, Does::Resets, READ, READ] {
-        stand_in.next(what);
-        came.push(attempt(&upstream).await);
-        idle().await;
+    let upstream = upstream(&[("server", 0, stand_in.address)]);
+    let stay_idle = || tokio::time::sleep(Duration::from_millis(40));
+    let mut outcomes = Vec::new();
+    for behavior in [READ, Does::Resets, READ, READ] {
+        stand_in.next(behavior);
+        outcomes.push(attempt(&upstream).await);
+        stay_idle().await;
     }
     use Outcome::{PrefillDone, StaleConnection};
-    assert_eq!(came, [PrefillDone, StaleConnection, PrefillDone, PrefillDone]);
+    assert_eq!(outcomes, [PrefillDone, StaleConnection, PrefillDone, PrefillDone]);
     assert_eq!(*stand_in.accepted.lock().unwrap(), 3, "each has been idle for twice what is trusted");
 }
 
 #[tokio::test]
-async fn a_connection_that_never_comes_up_is_no_attempt() {
+async fn a_refused_connection_is_reported_as_no_connection() {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     drop(listener);
-    assert_eq!(attempt(&upstream(&[("box", 0, address)])).await, Outcome::NoConnection);
+    assert_eq!(attempt(&upstream(&[("server", 0, address)])).await, Outcome::NoConnection);
     assert_eq!(attempt(&upstream(&[])).await, Outcome::NoConnection, "an address that was never told");
 }
 
 /// A probe tells what the server holds, and its connection serves the request that it was for at once: a
 /// second one would cost the server a handshake for each read, and servers take few.
 #[tokio::test]
-async fn the_request_behind_a_probe_goes_out_on_the_probes_connection() {
+async fn a_request_after_a_probe_reuses_the_connection_of_the_probe() {
     let stand_in = StandIn::start(READ).await;
-    let upstream = upstream_that_settles(&[("box", 0, stand_in.address)], Duration::from_secs(5));
+    let upstream = upstream_that_settles(&[("server", 0, stand_in.address)], Duration::from_secs(5));
     stand_in.next(Does::Says(200, false, "{\"inflight\":3,\"x0\":0.5}"));
-    let (outcome, load) = upstream.probe(&Id::from("box")).await;
+    let (outcome, load) = upstream.probe(&Id::from("server")).await;
     assert_eq!((outcome, load.and_then(|l| l.outstanding)), (Outcome::Served, Some(3.0)));
     assert_eq!(attempt(&upstream).await, Outcome::PrefillDone);
     assert_eq!(*stand_in.accepted.lock().unwrap(), 1);
@@ -279,63 +282,66 @@
 
 /// A connection that comes up late takes its time from what the server is told.
 #[tokio::test]
-async fn the_time_told_is_what_is_left_as_the_head_is_written() {
+async fn the_remaining_time_is_taken_when_the_head_is_written() {
     let wait = Duration::from_secs(8);
     let shut = Shut::start().await;
     let upstream = upstream_that_connects_within(&[("decode", 1, shut.address)], Duration::from_secs(7));
-    let begin = Instant::now();
+    let started_at = Instant::now();
     let attempt = tokio::spawn(async move {
         let permit = SendPermit::unconditional();
         upstream.attempt(&"decode".into(), &"late".into(), &call(), wait, &permit).await
     });
     // The kernel tries again after a second.
     sleep(Duration::from_millis(300)).await;
-    let (head, came) = shut.first_request().await;
-    let came = came - begin;
-    assert!(came > Duration::from_millis(500), "it came up at once: {came:?}");
-    let told = head.lines().find_map(|line| line.strip_prefix("x-remaining: ")?.strip_suffix('u'));
-    let told = Duration::from_micros(told.unwrap().parse().unwrap());
-    assert!(told + came < wait + Duration::from_millis(200), "told {told:?}, {came:?} after it began");
+    let (head, arrived_at) = shut.first_request().await;
+    let arrived_after = arrived_at - started_at;
+    assert!(arrived_after > Duration::from_millis(500), "it came up at once: {arrived_after:?}");
+    let remaining = head.lines().find_map(|line| line.strip_prefix("x-remaining: ")?.strip_suffix('u'));
+    let remaining = Duration::from_micros(remaining.unwrap().parse().unwrap());
+    assert!(
+        remaining + arrived_after < wait + Duration::from_millis(200),
+        "remaining {remaining:?}, {arrived_after:?} after it began"
+    );
     attempt.abort();
 }
 
 /// What is known of the way to a server goes with its address.
 #[tokio::test]
-async fn the_way_to_a_server_is_measured_by_the_connections_that_come_up() {
+async fn the_round_trip_to_a_server_is_measured_when_connecting() {
     let (first, second) = (StandIn::start(READ).await, StandIn::start(READ).await);
-    let (upstream, book) = upstream_and_book(&[("box", 0, first.address)]);
-    let id = Id::from("box");
+    let (upstream, addresses) = upstream_and_book(&[("server", 0, first.address)]);
+    let id = Id::from("server");
     assert_eq!(upstream.cancellation_delay(&id), Duration::ZERO, "nothing has been heard of it");
     assert_eq!(attempt(&upstream).await, Outcome::PrefillDone);
-    let takes = upstream.cancellation_delay(&id);
-    assert!(takes > Duration::ZERO && takes < Duration::from_secs(1), "{takes:?}");
-    book.set(id.clone(), first.address);
-    assert_eq!(upstream.cancellation_delay(&id), takes, "a list that names it again changes nothing");
-    book.set(id.clone(), second.address);
+    let delay = upstream.cancellation_delay(&id);
+    assert!(delay > Duration::ZERO && delay < Duration::from_secs(1), "{delay:?}");
+    addresses.set(id.clone(), first.address);
+    assert_eq!(upstream.cancellation_delay(&id), delay, "a list that names it again changes nothing");
+    addresses.set(id.clone(), second.address);
     assert_eq!(upstream.cancellation_delay(&id), Duration::ZERO, "the way to another address is another");
     assert_eq!(upstream.cancellation_delay(&Id::from("unknown")), Duration::ZERO);
 }
 
 /// A server that is back under another address is reached there, though a connection to the old one was kept.
 #[tokio::test]
-async fn a_kept_connection_is_left_when_its_server_has_moved() {
+async fn an_idle_connection_is_not_reused_after_its_server_has_moved() {
     let (first, second) = (StandIn::start(READ).await, StandIn::start(READ).await);
-    let (upstream, book) = upstream_and_book(&[("box", 0, first.address)]);
+    let (upstream, addresses) = upstream_and_book(&[("server", 0, first.address)]);
     for _ in 0..2 {
         assert_eq!(attempt(&upstream).await, Outcome::PrefillDone);
     }
     assert_eq!((first.posts().len(), *first.accepted.lock().unwrap()), (2, 1), "it is kept");
-    book.set("box".into(), second.address);
+    addresses.set("server".into(), second.address);
     assert_eq!(attempt(&upstream).await, Outcome::PrefillDone);
     assert_eq!((first.posts().len(), second.posts().len()), (2, 1));
-    book.set("box".into(), first.address);
+    addresses.set("server".into(), first.address);
     assert_eq!(attempt(&upstream).await, Outcome::PrefillDone);
     assert_eq!((first.posts().len(), second.posts().len()), (3, 1));
 }
 
 /// A connection that breaks right after its last answer tells of its server, not of the age of all others.
 #[tokio::test]
-async fn a_reset_soon_after_an_answer_costs_no_other_server_its_connections() {
+async fn a_reset_soon_after_a_response_keeps_the_connections_of_other_servers() {
     let (hasty, steady) = (StandIn::start(READ).await, StandIn::start(READ).await);
     let upstream = upstream(&[("hasty", 0, hasty.address), ("steady", 0, steady.address)]);
     assert_eq!(attempt_at(&upstream, "steady").await, Outcome::PrefillDone);
--- a/daemon/tests/servers.rs
+++ b/daemon/tests/servers.rs
@@ -10,8 +10,8 @@
 
 const LATEST: Duration = Duration::from_secs(20);
 /// Half an event.
-const HALF: &str = "data: {\"choices\":[{\"index\":0,";
-const TWO_ANSWERS: &str = "HTTP/1.1 202 Accepted\r\ncontent-length: 19\r\n\r\n{\"cached_tokens\":0}\
+const PARTIAL_EVENT: &str = "data: {\"choices\":[{\"index\":0,";
+const TWO_RESPONSES: &str = "HTTP/1.1 202 Accepted\r\ncontent-length: 19\r\n\r\n{\"cached_tokens\":0}\
     HTTP/1.1 202 Accepted\r\ncontent-length: 19\r\n\r\n{\"cached_tokens\":9}";
 
 fn request(id: &str, class: &str) -> String {
@@ -20,23 +20,27 @@
 
 /// Before the first event another attempt is possible, where the class may run twice or nothing has run.
 #[tokio::test]
-async fn what_ends_before_the_first_event_is_tried_again_or_failed_by_the_effect_of_its_class() {
+async fn a_failure_before_the_first_event_is_retried_only_if_the_class_allows_it() {
     let may_have_run = [
         Does::Resets,
         Does::Streams(&[]),
-        Does::BreaksAfter(&[HALF]),
-        Does::StallsAfter(&[HALF]),
+        Does::BreaksAfter(&[PARTIAL_EVENT]),
+        Does::StallsAfter(&[PARTIAL_EVENT]),
         Does::Raw("HTTP/1.1 200 OK\r\ncontent-"),
         Does::RawOn("\u{7}"),
         Does::Says(500, false, ""),
     ];
-    for does in may_have_run {
+    for behavior in may_have_run {
         for (class, status, attempts) in [("ask", 200, 2), ("book", 502, 1)] {
             let site = Site::start().await;
-            site.writer.next(does.clone());
+            site.writer.next(behavior.clone());
             let answer = exchange(site.platform, &request("t", class)).await;
-            assert_eq!((answer.status, site.writer.posts().len()), (status, attempts), "{class}, {does:?}");
-            assert!(answer.whole && answer.answers == 1, "{class}, {does:?}: {answer:?}");
+            assert_eq!(
+                (answer.status, site.writer.posts().len()),
+                (status, attempts),
+                "{class}, {behavior:?}"
+            );
+            assert!(answer.whole && answer.answers == 1, "{class}, {behavior:?}: {answer:?}");
         }
     }
     for class in ["ask", "book"] {
@@ -49,39 +53,43 @@
 
 /// From the first event on the answer is the client's: it ends without its end, and nothing is sent again.
 #[tokio::test]
-async fn what_breaks_after_the_first_event_is_cut_and_never_sent_again() {
-    for (does, most) in [
+async fn a_stream_that_breaks_after_the_first_event_is_cut_and_not_retried() {
+    for (behavior, max_duration) in [
         (Does::BreaksAfter(&[EVENT]), Duration::from_secs(2)),
-        (Does::BreaksAfter(&[EVENT, HALF]), Duration::from_secs(2)),
-        (Does::StallsAfter(&[EVENT, HALF]), Duration::from_secs(5)),
+        (Does::BreaksAfter(&[EVENT, PARTIAL_EVENT]), Duration::from_secs(2)),
+        (Does::StallsAfter(&[EVENT, PARTIAL_EVENT]), Duration::from_secs(5)),
     ] {
         for class in ["ask", "book"] {
             let site = Site::start().await;
-            site.writer.next(does.clone());
-            let begin = Instant::now();
+            site.writer.next(behavior.clone());
+            let started_at = Instant::now();
             let answer =
                 timeout(LATEST, exchange(site.platform, &request("t", class))).await.expect("an end");
             assert_eq!(
                 (answer.status, answer.whole, &*answer.body),
                 (200, false, EVENT),
-                "{class}, {does:?}"
+                "{class}, {behavior:?}"
             );
             assert!(
-                begin.elapsed() < most + Duration::from_secs(2),
-                "{class}, {does:?}: {:?}",
-                begin.elapsed()
+                started_at.elapsed() < max_duration + Duration::from_secs(2),
+                "{class}, {behavior:?}: {:?}",
+                started_at.elapsed()
+            );
+            assert_eq!(
+                (site.reader.posts().len(), site.writer.posts().len()),
+                (1, 1),
+                "{class}, {behavior:?}"
             );
-            assert_eq!((site.reader.posts().len(), site.writer.posts().len()), (1, 1), "{class}, {does:?}");
         }
     }
 }
 
 /// An answer that runs on after its last event, and a second answer behind the first.
 #[tokio::test]
-async fn what_comes_behind_an_answer_spoils_no_other() {
+async fn bytes_after_a_response_do_not_reach_the_next_request() {
     let site = Site::start().await;
     for n in 0..4 {
-        site.reader.next(Does::RawWhole(TWO_ANSWERS));
+        site.reader.next(Does::RawWhole(TWO_RESPONSES));
         for m in 0..2 {
             let answer = exchange(site.platform, &request(&format!("{n}-{m}"), "book")).await;
             assert_eq!((answer.status, answer.whole), (200, true), "{n}-{m}: {answer:?}");
@@ -93,7 +101,7 @@
 /// One server takes no connection: the request goes by the other, one attempt at a time, and nothing is sent
 /// on what comes up when nobody waits for it any more.
 #[tokio::test]
-async fn a_connection_that_comes_up_late_or_never_carries_nothing() {
+async fn a_connection_that_opens_late_or_never_carries_no_request() {
     for class in ["ask", "book"] {
         let (prefill, decode) = (StandIn::start(READ).await, StandIn::start(WHOLE).await);
         let (no_prefill, no_decode) = (Shut::start().await, Shut::start().await);
@@ -120,14 +128,18 @@
 
 /// No server is known at all: each class is refused in time, with an answer, and told when to come back.
 #[tokio::test]
-async fn what_was_never_sent_is_refused_with_an_answer() {
+async fn a_request_without_any_server_is_rejected_in_time() {
     let site = Open::before(&[], CLIENT_TIMEOUTS);
     for class in ["ask", "book"] {
-        let text = chat(&format!("never-{class}"), class, 900);
-        let begin = Instant::now();
-        let answer = exchange(site.platform, &text).await;
+        let request_text = chat(&format!("never-{class}"), class, 900);
+        let started_at = Instant::now();
+        let answer = exchange(site.platform, &request_text).await;
         assert_eq!((answer.status, answer.answers), (503, 1), "{class}");
         assert!(answer.header("retry-after").is_some(), "{class}: {answer:?}");
-        assert!(begin.elapsed() < Duration::from_millis(900 + 500), "{class}: {:?}", begin.elapsed());
+        assert!(
+            started_at.elapsed() < Duration::from_millis(900 + 500),
+            "{class}: {:?}",
+            started_at.elapsed()
+        );
     }
 }
--- a/daemon/tests/slow_start.rs
+++ b/daemon/tests/slow_start.rs
@@ -11,54 +11,55 @@
 use tokio::time::{sleep, timeout};
 
 const PROCESSES: usize = 3;
-const WARM: usize = 3;
+const WARM_SERVERS: usize = 3;
 /// Requests a second in all, which the warm servers share.
-const PER_S: f64 = 120.0;
+const REQUESTS_PER_S: f64 = 120.0;
 /// Of the settings: what a cold server takes at once, and the window in which it falls.
-const FROM: f64 = 0.25 * 3.0;
-const FALL: Duration = Duration::from_secs(2);
+const SLOW_START_SHARE: f64 = 0.25 * 3.0;
+const WINDOW: Duration = Duration::from_secs(2);
 const LATEST: Duration = Duration::from_secs(20);
 
-async fn client(to: std::net::SocketAddr, name: usize, every: Duration, end: Instant) -> usize {
-    let (mut asked, mut served) = (0, 0);
+async fn client(address: std::net::SocketAddr, client: usize, interval: Duration, end: Instant) -> usize {
+    let (mut sent, mut served) = (0, 0);
     while Instant::now() < end {
-        let begin = Instant::now();
-        let id = format!("c{name}-{asked}");
-        let text = chat(&id, "ask", 7_000);
-        let answer = timeout(LATEST, exchange(to, &text)).await.expect("an answer in time");
+        let started_at = Instant::now();
+        let id = format!("c{client}-{sent}");
+        let request = chat(&id, "ask", 7_000);
+        let answer = timeout(LATEST, exchange(address, &request)).await.expect("an answer in time");
         served += usize::from(answer.status == 200);
-        asked += 1;
-        sleep(every.saturating_sub(begin.elapsed())).await;
+        sent += 1;
+        sleep(interval.saturating_sub(started_at.elapsed())).await;
     }
     served
 }
 
 #[tokio::test]
-async fn processes_that_learn_of_a_start_together_do_not_make_the_server_fall() {
+async fn processes_that_list_a_new_server_together_stay_within_its_slow_start_limit() {
     let (mut prefill, mut decode) = (Vec::new(), Vec::new());
-    for _ in 0..WARM {
+    for _ in 0..WARM_SERVERS {
         prefill.push(StandIn::start(READ).await);
         decode.push(StandIn::start(WHOLE).await);
     }
-    let fresh = StandIn::start(WHOLE).await;
-    let target = |uid: String, model: &str, at: &StandIn, boot_ms: u64| {
-        json!({"uid": uid, "endpoint": at.address, "az": "z", "model": model, "pod_group": 0,
+    let new_server = StandIn::start(WHOLE).await;
+    let target = |uid: String, model: &str, stand_in: &StandIn, boot_ms: u64| {
+        json!({"uid": uid, "endpoint": stand_in.address, "az": "z", "model": model, "pod_group": 0,
             "state": "active", "capacity_hint": 1.0, "boot_ms": boot_ms})
     };
     let mut targets = Vec::new();
-    for n in 0..WARM {
+    for n in 0..WARM_SERVERS {
         targets.push(target(format!("p{n}"), "prefill", &prefill[n], 0));
         targets.push(target(format!("d{n}"), "decode", &decode[n], 0));
     }
     // Watches that bring nothing fall silent after 3 s; those that follow tell of the start.
-    let begin = Instant::now();
+    let started_at = Instant::now();
     let boot_ms = micros() / 1_000 + 3_000;
-    let news = json!({"rev": 2, "all": false, "targets": [target("new".into(), "decode", &fresh, boot_ms)]});
-    let news: &'static [&'static str] =
-        Box::leak(Box::new([&*Box::leak(format!("{news}\n").into_boxed_str())]));
+    let update =
+        json!({"rev": 2, "all": false, "targets": [target("new".into(), "decode", &new_server, boot_ms)]});
+    let update: &'static [&'static str] =
+        Box::leak(Box::new([&*Box::leak(format!("{update}\n").into_boxed_str())]));
     let (mut agents, mut running) = (Vec::new(), Vec::new());
     for n in 0..PROCESSES {
-        let agent = StandIn::start(Does::StallsAfter(news)).await;
+        let agent = StandIn::start(Does::StallsAfter(update)).await;
         agent.next(Does::StallsAfter(&["\n"]));
         let mut settings = setup();
         settings["balancers"] = json!(PROCESSES);
@@ -69,29 +70,32 @@
         agents.push(agent);
     }
     // The first has as much traffic as the others together.
-    let end = begin + Duration::from_secs(9);
-    let each = 6;
+    let end = started_at + Duration::from_secs(9);
+    let clients_per_process = 6;
     let mut clients = JoinSet::new();
-    for n in 0..2 * each * PROCESSES {
-        let to = running[if n % 2 == 0 { 0 } else { 1 + n / 2 % (PROCESSES - 1) }].listen;
-        let every = Duration::from_secs_f64((2 * each * PROCESSES) as f64 / PER_S);
-        clients.spawn(client(to, n, every, end));
+    for n in 0..2 * clients_per_process * PROCESSES {
+        let address = running[if n % 2 == 0 { 0 } else { 1 + n / 2 % (PROCESSES - 1) }].listen;
+        let interval = Duration::from_secs_f64((2 * clients_per_process * PROCESSES) as f64 / REQUESTS_PER_S);
+        clients.spawn(client(address, n, interval, end));
     }
-    let mut curve = Vec::new();
+    let mut samples = Vec::new();
     while Instant::now() < end {
-        curve.push((Instant::now(), fresh.posts().len()));
+        samples.push((Instant::now(), new_server.posts().len()));
         sleep(Duration::from_millis(20)).await;
     }
     let served: usize = clients.join_all().await.into_iter().sum();
-    let at = |when: Instant| curve.iter().take_while(|c| c.0 <= when).last().map_or(0, |c| c.1);
-    let most = curve.iter().map(|c| at(c.0 + FALL) - c.1).max().unwrap_or(0) as f64;
+    let count_at = |when: Instant| samples.iter().take_while(|c| c.0 <= when).last().map_or(0, |c| c.1);
+    let max_in_window = samples.iter().map(|c| count_at(c.0 + WINDOW) - c.1).max().unwrap_or(0) as f64;
     // What the warm ones really got, as a busy machine may ask less.
-    let warm: usize = decode.iter().map(|d| d.posts().len()).sum();
-    let per_s = warm as f64 / WARM as f64 / 9.0;
-    let budget = per_s * FROM * FALL.as_secs_f64();
+    let warm_requests: usize = decode.iter().map(|d| d.posts().len()).sum();
+    let requests_per_s = warm_requests as f64 / WARM_SERVERS as f64 / 9.0;
+    let budget = requests_per_s * SLOW_START_SHARE * WINDOW.as_secs_f64();
     assert!(served > 300, "{served} served");
-    assert!(most <= budget + 2.0 * budget.sqrt() + 2.0, "{most} in {FALL:?}, budget {budget:.1}");
-    assert!(most >= budget * 0.1, "{most} in {FALL:?}, budget {budget:.1}: it starves");
+    assert!(
+        max_in_window <= budget + 2.0 * budget.sqrt() + 2.0,
+        "{max_in_window} in {WINDOW:?}, budget {budget:.1}"
+    );
+    assert!(max_in_window >= budget * 0.1, "{max_in_window} in {WINDOW:?}, budget {budget:.1}: it starves");
     for process in running {
         process.signal("-TERM");
         process.ends_well().await;
--- a/daemon/tests/unit/idle_age.rs
+++ b/daemon/tests/unit/idle_age.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn what_was_idle_for_long_tells_of_all_servers_until_the_age_has_grown_again() {
+fn a_stale_connection_idle_for_long_lowers_the_limit_of_all_servers_for_a_while() {
     let (mut limits, now) = (IdleAgeLimits::default(), Instant::now());
     assert_eq!(limits.limit(&server("a"), MAX_AGE, now), MAX_AGE);
     limits.record_stale(&server("a"), Duration::from_secs(8), MAX_AGE, now);
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn what_breaks_soon_after_an_answer_tells_of_its_server_and_never_for_good() {
+fn a_reset_soon_after_a_response_lowers_the_limit_of_its_server_for_a_while() {
     for idle in [Duration::ZERO, Duration::from_micros(3), Duration::from_millis(900)] {
         let (mut limits, now) = (IdleAgeLimits::default(), Instant::now());
         limits.record_stale(&server("a"), idle, MAX_AGE, now);
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn what_has_grown_again_is_forgotten() {
+fn learned_limits_that_have_expired_are_removed() {
     let (mut limits, now) = (IdleAgeLimits::default(), Instant::now());
     for n in 0..100 {
         limits.record_stale(&server(&n.to_string()), Duration::ZERO, MAX_AGE, now);
--- a/daemon/tests/unit/link.rs
+++ b/daemon/tests/unit/link.rs
@@ -9,7 +9,7 @@
 /// No task runs between the drop and the look at the server's side: whatever the conductor writes next,
 /// as a refusal, comes after the end of the attempt.
 #[tokio::test]
-async fn a_dropped_connection_is_closed_before_anything_else_happens() {
+async fn a_dropped_connection_closes_its_socket_at_once() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let permit = Arc::new(Semaphore::new(1)).try_acquire_owned().unwrap();
     let connection = Connection::open(listener.local_addr().unwrap(), permit).await.unwrap();
--- a/daemon/tests/unit/sse.rs
+++ b/daemon/tests/unit/sse.rs
@@ -34,13 +34,13 @@
 }
 
 #[test]
-fn events_come_whole_and_noise_never() {
+fn events_are_split_whole_and_invalid_input_is_rejected() {
     let gen = Gen::from_size_and_seed(24, 0xe7e7);
     QuickCheck::new().rng(gen).tests(400).quickcheck(splits_any_pieces as fn(Vec<u8>, Vec<u8>, bool) -> bool);
 }
 
 #[test]
-fn an_event_and_an_answer_have_bounds() {
+fn event_and_response_sizes_are_limited() {
     let mut splitter = EventSplitter::default();
     let exceeds_event_limit = |_| splitter.push(&[b':'; 4096]).and_then(|()| splitter.next_event()).is_err();
     assert!((0..18).any(exceeds_event_limit), "one event");
--- a/daemon/tests/unit/transient.rs
+++ b/daemon/tests/unit/transient.rs
@@ -1,22 +1,22 @@
 use super::*;
 
 #[test]
-fn a_start_tries_again_while_this_machine_lacks_something() {
-    let mut left = [EMFILE, ENOBUFS, EIO].into_iter();
-    let tried = retry_at_start(is_transient_read_error, || match left.next() {
+fn transient_errors_are_retried_at_start() {
+    let mut errors = [EMFILE, ENOBUFS, EIO].into_iter();
+    let result = retry_at_start(is_transient_read_error, || match errors.next() {
         Some(errno) => Err(Error::from_raw_os_error(errno)),
         None => Ok(7),
     });
-    assert_eq!(tried.unwrap(), 7);
+    assert_eq!(result.unwrap(), 7);
 }
 
 #[test]
-fn what_is_wrong_for_good_ends_a_start_at_once() {
-    let mut tries = 0;
-    let tried: Result<(), Error> = retry_at_start(is_resource_shortage, || {
-        tries += 1;
+fn permanent_errors_are_returned_at_once() {
+    let mut attempts = 0;
+    let result: Result<(), Error> = retry_at_start(is_resource_shortage, || {
+        attempts += 1;
         Err(ErrorKind::AddrInUse.into())
     });
-    assert_eq!((tried.unwrap_err().kind(), tries), (ErrorKind::AddrInUse, 1));
+    assert_eq!((result.unwrap_err().kind(), attempts), (ErrorKind::AddrInUse, 1));
     assert!(!is_transient_read_error(&ErrorKind::NotFound.into()));
 }
