--- a/daemon/src/discovery/backoff.rs
+++ b/daemon/src/discovery/backoff.rs
@@ -1,5 +1,4 @@
-//! Computes how long to wait before discovery is called again and how long a call may take, without a clock of
-//! its own.
+//! Computes how long to wait before discovery is called again and how long a call may take. It has no clock.
 //!
 //! Two requirements set the waits. Many instances that lost discovery together must not retry in step, so the
 //! waits are random and grow with the number of instances. And a change must arrive within
@@ -8,50 +7,51 @@
 //!
 //! | what happened before | time until the next call has delivered the change |
 //! | --- | --- |
-//! | a call hung while discovery recovered | 2 × [`CALL_TIMEOUT`] + [`MAX_WAIT_AFTER_TIMEOUT`] = 4.8 s |
+//! | a call hung while discovery recovered | 2 * [`CALL_TIMEOUT`] + [`MAX_WAIT_AFTER_TIMEOUT`] = 4.8 s |
 //! | a call was refused just before | [`MAX_WAIT`] + [`CALL_TIMEOUT`] = 5.2 s |
 //! | a watch fell silent | [`WATCH_SILENCE_TIMEOUT`] + [`MAX_WATCH_REOPEN_WAIT`] + [`CALL_TIMEOUT`] = 5.5 s |
 //!
-//! An agent that was unresponsive answers the pending calls when it recovers, and what it knows then may count
-//! as delivered at once. A call that hangs is therefore the best place to wait, and the next one follows soon.
+//! An agent that was unresponsive answers the pending calls when it recovers, and what it knows then may
+//! count as delivered at once. So a pending call is the best place to wait, and the next one follows soon.
 
 use std::time::Duration;
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// What discovery has to tell counts as told this long after it had it and could be reached.
+/// A change counts as delivered to every conductor this long after discovery had it and was reachable.
 pub const MAX_UPDATE_DELAY: Duration = Duration::from_secs(6);
-/// A whole call, from its connection to the end of its list or the head of a watch, is given up after this.
+/// Limits a whole call, from connecting to the end of its list or to the head of a watch.
 pub const CALL_TIMEOUT: Duration = Duration::from_millis(2_200);
-/// No wait is longer, however many instances there are.
+/// The upper bound on every wait, for any number of instances.
 pub const MAX_WAIT: Duration = Duration::from_secs(3);
-/// The longest wait after a call that hung: it has waited already.
+/// The longest wait after a call that timed out, short because the call itself was already a wait.
 pub const MAX_WAIT_AFTER_TIMEOUT: Duration = Duration::from_millis(400);
-/// The agent sends an empty line every 2 s: one has stayed out for half of the time to the next.
+/// The agent sends an empty line every 2 s. After 3 s one is overdue by half of that interval.
 pub const WATCH_SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
-/// The longest wait before a watch that has fallen silent is opened anew.
+/// The longest wait before a watch that has fallen silent is reopened.
 pub const MAX_WATCH_REOPEN_WAIT: Duration = Duration::from_millis(300);
 
-/// One instance's first wait is drawn up to this, doubling up to the most.
+/// Bound on the first random wait of a small fleet. It doubles up to [`SMALL_FLEET_MAX_WAIT`].
 const SMALL_FLEET_INITIAL_WAIT: Duration = Duration::from_millis(50);
 const SMALL_FLEET_MAX_WAIT: Duration = Duration::from_millis(800);
-/// Discovery may be one for all: where many instances lose it together, each of them adds so much to the
-/// first wait, up to a bound, so that they come back one after another, also if it refuses some of them.
+/// All instances may share one discovery server. Each instance adds this much to the bound on the first wait,
+/// up to [`MAX_INITIAL_WAIT`], so that instances that lost discovery together return one after another, even
+/// if it refuses some of their calls.
 const INITIAL_WAIT_PER_INSTANCE: Duration = Duration::from_millis(20);
 const MAX_INITIAL_WAIT: Duration = Duration::from_secs(2);
-/// The longest wait, in first ones.
+/// Ratio of the longest wait to the first.
 const MAX_WAIT_FACTOR: u32 = 4;
 
-/// The first wait and the longest, for so many instances.
+/// Returns the bounds on the first and on the longest wait for this number of instances.
 fn wait_bounds(instances: u32) -> (Duration, Duration) {
     let initial_wait = SMALL_FLEET_INITIAL_WAIT
         .max(INITIAL_WAIT_PER_INSTANCE.saturating_mul(instances).min(MAX_INITIAL_WAIT));
     (initial_wait, SMALL_FLEET_MAX_WAIT.max(initial_wait * MAX_WAIT_FACTOR).min(MAX_WAIT))
 }
 
-/// Waits between one instance's tries, drawn anew each time, so that instances that failed together do not
-/// come again together.
+/// Random exponential waits between the calls of one instance, so that instances that failed together do not
+/// retry together.
 pub struct Backoff {
     initial_wait: Duration,
     max_wait: Duration,
@@ -60,13 +60,13 @@
 }
 
 impl Backoff {
-    /// For one of so many instances.
+    /// Creates the backoff of one instance in a fleet of `instances`.
     pub fn new(instances: u32, seed: u64) -> Self {
         let (initial_wait, max_wait) = wait_bounds(instances);
         Backoff { initial_wait, max_wait, next_wait: initial_wait, rng: SmallRng::seed_from_u64(seed) }
     }
 
-    /// For one of so many instances from now on.
+    /// Adapts the bounds to a new fleet size and keeps the current wait within them.
     pub fn set_instances(&mut self, instances: u32) {
         let is_reset = self.is_reset();
         (self.initial_wait, self.max_wait) = wait_bounds(instances);
@@ -74,13 +74,13 @@
             if is_reset { self.initial_wait } else { self.next_wait.clamp(self.initial_wait, self.max_wait) };
     }
 
-    /// A try has brought something, or the next goes elsewhere.
+    /// Starts again from the first wait, after a success or when the next call goes to another address.
     pub fn reset(&mut self) {
         self.next_wait = self.initial_wait;
     }
 
-    /// A try has failed: the wait before the next one. Where the bound holds a wait back, it is drawn from
-    /// the bound's upper half: a fleet that can't wait longer must not ask more often.
+    /// Returns the wait after a failed call. At [`MAX_WAIT`] it is drawn from the upper half of the range, so
+    /// that a fleet that may not wait longer does not call more often instead.
     pub fn wait_after_failure(&mut self) -> Duration {
         let wait = self.next_wait;
         self.next_wait = (wait * 2).min(self.max_wait);
@@ -88,24 +88,24 @@
         wait.mul_f64(if wait == MAX_WAIT { (1.0 + fraction) / 2.0 } else { fraction })
     }
 
-    /// A call has hung until it was given up: the wait before the next one.
+    /// Returns the wait after a call that timed out.
     pub fn wait_after_timeout(&mut self) -> Duration {
         self.short_wait(MAX_WAIT_AFTER_TIMEOUT)
     }
 
-    /// A watch has fallen silent: the wait before it is opened anew.
+    /// Returns the wait before a silent watch is reopened.
     pub fn wait_after_silence(&mut self) -> Duration {
         self.short_wait(MAX_WATCH_REOPEN_WAIT)
     }
 
-    /// Drawn up to this, where the wait is due to be as long.
+    /// Returns a random wait below the smaller of the current bound and `limit`.
     fn short_wait(&mut self, limit: Duration) -> Duration {
         let wait = self.next_wait.min(limit);
         self.next_wait = (self.next_wait * 2).min(self.max_wait);
         wait.mul_f64(self.rng.random())
     }
 
-    /// Whether no try has failed since the last success.
+    /// Whether no call has failed since the last reset.
     pub fn is_reset(&self) -> bool {
         self.next_wait == self.initial_wait
     }
--- a/daemon/src/discovery/http.rs
+++ b/daemon/src/discovery/http.rs
@@ -1,4 +1,4 @@
-//! Calls to a discovery server: one request on a connection of its own, each step within its time.
+//! HTTP calls to a discovery server: one request on its own connection, with a time limit on each step.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,35 +16,35 @@
 
 use crate::tcp::TcpConnection;
 
-/// The server is near: a connection comes up at once or not at all.
+/// Short, as the server is nearby: it accepts a connection at once or not at all.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Why a list could not be had.
+/// Why a list could not be fetched.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum DiscoveryError {
-    #[error("no connection: {0}")]
+    #[error("connection failed: {0}")]
     Connect(std::io::Error),
-    #[error("http: {0}")]
+    #[error("HTTP exchange failed: {0}")]
     Http(#[from] hyper::Error),
-    #[error("no answer in time")]
+    #[error("no response before the timeout")]
     Timeout,
-    #[error("status {0}")]
+    #[error("response status is {0}, not 200")]
     Status(StatusCode),
-    #[error("too long")]
+    #[error("response is too large")]
     TooLarge,
-    #[error("can't be read: {0}")]
+    #[error("response is not a valid list: {0}")]
     Malformed(#[from] serde_json::Error),
-    #[error("it ended")]
+    #[error("response ended")]
     Closed,
 }
 
-/// An answer whose body is still to come. Dropping the handle closes the connection.
+/// A response whose body has not been read. Dropping `driver` closes the connection.
 pub(super) struct OpenResponse {
     pub(super) response: Response<Incoming>,
     pub(super) driver: AbortOnDropHandle<()>,
 }
 
-/// Makes a call and waits for the head of its answer, all of it within its time.
+/// Connects, sends a request and waits for the head of its response, all within `time_limit`.
 pub(super) async fn send_request(
     server: SocketAddr,
     method: Method,
@@ -58,7 +58,7 @@
     let io = TokioIo::new(TcpConnection::new(stream.map_err(DiscoveryError::Connect)?));
     let (mut sender, connection) = http1::handshake(io).await?;
     let driver = AbortOnDropHandle::new(tokio::spawn(async move {
-        // How it ended shows in the body.
+        // An error also shows when the body is read.
         let _ = connection.await;
     }));
     let mut request = Request::new(Full::new(body));
@@ -70,7 +70,7 @@
     Ok(OpenResponse { response, driver })
 }
 
-/// Reads an answer's body to its end.
+/// Reads a response body to its end.
 pub(super) async fn read_body(
     body: Incoming,
     max_bytes: usize,
--- a/daemon/src/discovery/mod.rs
+++ b/daemon/src/discovery/mod.rs
@@ -1,4 +1,4 @@
-//! Where the list of members comes from: the platform's discovery, or a server that speaks Envoy's xDS.
+//! Sources of the list of members: the platform's discovery, or a server that speaks Envoy's xDS.
 
 pub mod backoff;
 mod http;
--- a/daemon/src/discovery/objects.rs
+++ b/daemon/src/discovery/objects.rs
@@ -1,41 +1,42 @@
-//! Bytes of a watch into lists and changes. These may come indented over several lines, with empty lines
-//! between them, and in pieces of any size: each byte is looked at once to find where an object ends.
+//! Decodes the bytes of a watch into lists and changes. These are JSON objects, which may be indented over
+//! several lines, separated by empty lines, and split into pieces of any size. The scan for the end of an
+//! object looks at each byte once.
 
 use bytes::{Buf, BytesMut};
 
 use super::http::DiscoveryError;
 use super::platform::Listing;
 
-/// No list is longer: 11,000 servers, indented, take less than half of it.
+/// The largest list accepted. An indented list of 11,000 servers takes less than half of it.
 pub(super) const MAX_LIST_BYTES: usize = 8 << 20;
 
-/// Where in an object the scan is.
+/// Where in the JSON text the scan is.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum ScanState {
-    /// Between objects, or in one but in no text.
+    /// Between objects, or in one but outside a string.
     #[default]
     Structure,
     String,
-    /// Behind a backslash.
+    /// In a string, after a backslash.
     Escape,
 }
 
-/// What has come of the next object.
+/// Splits a byte stream into JSON objects and decodes each as a [`Listing`].
 #[derive(Debug, Default)]
 pub(super) struct ListingDecoder {
     buffer: BytesMut,
-    /// So many bytes have been looked at.
+    /// How many bytes of `buffer` have been scanned.
     scanned_bytes: usize,
     depth: u32,
     scan_state: ScanState,
-    /// A line has ended since an object that has not was last read for errors,
+    /// Whether a line has ended since the incomplete object was last checked for errors.
     has_new_line_end: bool,
-    /// which is done once it has this length.
+    /// The length from which the incomplete object is checked again.
     check_at_bytes: usize,
 }
 
 impl ListingDecoder {
-    /// More bytes have come.
+    /// Appends received bytes.
     pub(super) fn push(&mut self, data: &[u8]) -> Result<(), DiscoveryError> {
         self.buffer.extend_from_slice(data);
         self.has_new_line_end |= data.contains(&b'\n');
@@ -45,12 +46,12 @@
         }
     }
 
-    /// Whether an object has begun and not ended.
+    /// Whether an object has started and not ended.
     pub(super) fn has_partial_object(&self) -> bool {
         !self.buffer.iter().all(u8::is_ascii_whitespace)
     }
 
-    /// The next object, if it has come whole.
+    /// Returns the next object, or `None` while it is incomplete.
     pub(super) fn next_listing(&mut self) -> Result<Option<Listing>, DiscoveryError> {
         let Some(end) = self.find_object_end() else {
             self.check_partial_object()?;
@@ -62,7 +63,7 @@
         Ok(Some(listing))
     }
 
-    /// Where the first object ends.
+    /// Returns the end of the first object in `buffer`, if it is complete.
     fn find_object_end(&mut self) -> Option<usize> {
         while let Some(&byte) = self.buffer.get(self.scanned_bytes) {
             self.scanned_bytes += 1;
@@ -89,8 +90,8 @@
         None
     }
 
-    /// Fails for what can't become an object, whatever follows. It is read from its beginning, and so only
-    /// each time that it has doubled.
+    /// Fails if the bytes can't become an object, whatever follows. The check parses from the start of the
+    /// object, so it runs only each time that the length has doubled.
     fn check_partial_object(&mut self) -> Result<(), DiscoveryError> {
         if !self.has_new_line_end || self.buffer.len() < self.check_at_bytes {
             return Ok(());
@@ -100,7 +101,7 @@
             Some(Err(e)) if !e.is_eof() => Err(e.into()),
             Some(_) => Ok(()),
             None => {
-                // Empty lines.
+                // Only empty lines.
                 self.buffer.clear();
                 (self.scanned_bytes, self.check_at_bytes) = (0, 0);
                 Ok(())
--- a/daemon/src/discovery/platform.rs
+++ b/daemon/src/discovery/platform.rs
@@ -1,5 +1,5 @@
-//! The platform's discovery: the list as last known, then a watch that is asked for again whenever it
-//! ends or falls silent, and that moves when the configuration names another address.
+//! Reads members from the platform's discovery agent: first the last known list, then a watch. The watch is
+//! reopened when it ends or falls silent, and moves when the configuration names another agent.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,7 +24,7 @@
 use super::starts::StartTimes;
 use crate::upstream::AddressTable;
 
-/// A list of members or a change to one, as discovery words it.
+/// A list of members, or a change to it, as discovery sends it.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Listing {
     rev: u64,
@@ -32,7 +32,7 @@
     targets: Vec<ListEntry>,
 }
 
-/// A line of a list. One that can't be read must not keep the others from being heard.
+/// An entry of a list. An invalid one does not keep the valid ones from being applied.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(untagged)]
 enum ListEntry {
@@ -41,7 +41,7 @@
 }
 
 impl Listing {
-    /// What is wrong with the first line that can't be read, if there is one.
+    /// Describes the first invalid entry, if there is one.
     pub fn first_error(&self) -> Option<String> {
         self.targets.iter().find_map(|entry| match entry {
             ListEntry::Valid(_) => None,
@@ -50,10 +50,10 @@
     }
 }
 
-/// Why a line can't be read, and which.
+/// Names an invalid entry and says why it is invalid.
 fn entry_error(entry: &serde_json::Value) -> String {
     let error = Target::deserialize(entry).err().map(|e| e.to_string()).unwrap_or_default();
-    let uid = entry.get("uid").and_then(serde_json::Value::as_str).unwrap_or("a line without a uid");
+    let uid = entry.get("uid").and_then(serde_json::Value::as_str).unwrap_or("an entry without a uid");
     format!("{uid}: {error}")
 }
 
@@ -77,18 +77,18 @@
     Left,
 }
 
-/// What a configuration says of discovery.
+/// The configuration of discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DiscoveryConfig {
-    /// The agent's address.
+    /// The address of the agent.
     pub agent: SocketAddr,
-    /// How many conductors may ask together.
+    /// How many conductors may call the agent at the same time.
     pub conductors: u32,
 }
 
-/// The platform's list of members.
+/// Reads the list of members from the platform's discovery agent.
 pub struct PlatformDiscovery {
-    /// Changes with a new configuration.
+    /// Holds the current configuration, which a reload replaces.
     config: watch::Receiver<DiscoveryConfig>,
     agent: Agent,
     backoff: Backoff,
@@ -101,7 +101,7 @@
 }
 
 impl PlatformDiscovery {
-    /// Starts from the list as last known.
+    /// Starts from the last known list.
     pub fn new(
         mut config: watch::Receiver<DiscoveryConfig>,
         last_known: Listing,
@@ -136,8 +136,8 @@
             let target = match list_entry {
                 ListEntry::Valid(target) => target,
                 ListEntry::Invalid(invalid) => {
-                    // Nothing is sent to a server that a whole list does not name in readable words.
-                    warn!(self.log, "a line of the list is passed over"; "why" => entry_error(&invalid));
+                    // A full list then does not name the server, so no requests are sent to it.
+                    warn!(self.log, "skipping an invalid list entry"; "why" => entry_error(&invalid));
                     continue;
                 }
             };
@@ -149,14 +149,14 @@
                     self.addresses.set(entry.server.clone(), target.endpoint);
                     entries.push(entry);
                 }
-                Err(e) => warn!(self.log, "a member is passed over"; "uid" => target.uid, "why" => %e),
+                Err(e) => warn!(self.log, "skipping an unknown member"; "uid" => target.uid, "why" => %e),
             }
         }
         let update = MembershipUpdate { kind, entries };
         if kind == ListUpdateKind::Full {
             self.start_times.retain_listed(&update.entries);
         }
-        // The list that is known from before may be old: it says nothing of when others were listed.
+        // The last known list may be old and does not tell when other starts were listed.
         if kind != ListUpdateKind::StaleCopy {
             self.start_times.record_contact(now);
         }
@@ -175,10 +175,10 @@
             let listing = tokio::select! {
                 biased;
                 address = wait_for_agent_change(&mut self.config, self.agent.address) => {
-                    info!(self.log, "discovery has moved"; "to" => %address);
+                    info!(self.log, "the configuration names another discovery agent"; "to" => %address);
                     self.agent = Agent::new(address, None);
                     self.start_times.reset_contact();
-                    // What went wrong at the old one says nothing of the new one.
+                    // Failures of the old agent do not delay calls to the new one.
                     self.backoff.reset();
                     continue;
                 }
@@ -190,8 +190,8 @@
     }
 }
 
-/// Resolves once the configuration names another agent. One that names the same does not disturb the call
-/// that is under way, nor the wait before the next.
+/// Resolves once the configuration names another agent. A configuration that names the same one neither
+/// cancels the current call nor shortens the wait before the next.
 async fn wait_for_agent_change(
     config: &mut watch::Receiver<DiscoveryConfig>,
     current: SocketAddr,
@@ -199,15 +199,15 @@
     let agent = config.wait_for(|config| config.agent != current).await.map(|config| config.agent);
     match agent {
         Ok(agent) => agent,
-        // Whoever could say so has gone.
+        // The sender is gone, so no configuration follows.
         Err(_) => std::future::pending().await,
     }
 }
 
-/// One discovery agent. Versions are its own: those of another say nothing here.
+/// The client's state towards one discovery agent. Versions are only comparable within one agent.
 struct Agent {
     address: SocketAddr,
-    /// The version held; without one the whole list is asked for.
+    /// The last version received. Without one the full list is fetched.
     rev: Option<u64>,
     watch: Option<Watch>,
 }
@@ -217,12 +217,12 @@
         Agent { address, rev, watch: None }
     }
 
-    /// How long ago the watch was heard before what it has told last.
+    /// The time since the activity on the watch before the latest one.
     fn time_since_previous_activity(&self) -> Option<Duration> {
         self.watch.as_ref()?.previous_activity.map(|at| at.elapsed())
     }
 
-    /// The next list or change. Asks on for as long as there is none.
+    /// Waits for the next list or change and retries until there is one.
     async fn next(
         &mut self,
         backoff: &mut Backoff,
@@ -239,24 +239,24 @@
                 }
                 Err(e) => {
                     let was_watching = self.watch.take().is_some();
-                    // One line for each outage.
+                    // Logs one line for each outage.
                     if backoff.is_reset() {
-                        info!(log, "watch again"; "why" => %e, "rev" => self.rev);
+                        info!(log, "discovery failed; retrying"; "why" => %e, "rev" => self.rev);
                     }
                     let wait = match e {
                         DiscoveryError::Timeout if was_watching => backoff.wait_after_silence(),
                         DiscoveryError::Timeout => backoff.wait_after_timeout(),
                         _ => backoff.wait_after_failure(),
                     };
-                    debug!(log, "watch failed"; "why" => %e, "again_in" => ?wait);
+                    debug!(log, "discovery call failed"; "why" => %e, "again_in" => ?wait);
                     sleep(wait).await;
                 }
             }
         }
     }
 
-    /// The whole list where none is held, else the next line of the watch, which is opened where there is
-    /// none.
+    /// Fetches the full list if no version is known, else reads the next object of the watch, which is opened
+    /// if needed.
     async fn next_listing(&mut self) -> Result<Listing, DiscoveryError> {
         let Some(rev) = self.rev else { return fetch_full_list(self.address).await };
         if self.watch.is_none() {
@@ -281,11 +281,11 @@
             status => Err(DiscoveryError::Status(status)),
         }
     };
-    // Its steps have one time together.
+    // One time limit covers all steps.
     timeout(CALL_TIMEOUT, fetch).await.unwrap_or(Err(DiscoveryError::Timeout))
 }
 
-/// A line of the list as the decisions have it, but for its start.
+/// Converts a target to an entry for the decisions, without its start time.
 fn server_entry(target: &Target, names: &ConfiguredNames) -> Result<ServerEntry, SetupError> {
     Ok(ServerEntry {
         server: Id::from(target.uid.as_str()),
@@ -305,9 +305,9 @@
 struct Watch {
     body: Incoming,
     decoder: ListingDecoder,
-    /// When the object began that has not ended yet.
+    /// When the incomplete object in the decoder started.
     partial_since: Option<Instant>,
-    /// When something came on it last, an empty line included, and when before that.
+    /// When data, or an empty line, last arrived, and when it did before that.
     last_activity: Option<Instant>,
     previous_activity: Option<Instant>,
     _driver: AbortOnDropHandle<()>,
@@ -335,7 +335,7 @@
                 self.partial_since = None;
                 return Ok(listing);
             }
-            // Empty lines behind half an object say nothing: what does not end is as good as silent.
+            // An object that does not end counts as silence, even if empty lines follow it.
             let now = Instant::now();
             self.partial_since =
                 self.decoder.has_partial_object().then_some(self.partial_since.unwrap_or(now));
--- a/daemon/src/discovery/xds.rs
+++ b/daemon/src/discovery/xds.rs
@@ -1,5 +1,5 @@
-//! Members from a server that speaks Envoy's xDS, version 3, over REST with JSON: clusters, then the
-//! endpoints of each. A cluster stands for one kind of server; see the README for how they map.
+//! Polls members from a server that speaks Envoy's xDS, version 3, over REST with JSON: first the clusters,
+//! then the endpoints of each. A cluster stands for one kind of server; the README describes the mapping.
 
 use std::hash::{Hash, Hasher};
 use std::net::{IpAddr, SocketAddr};
@@ -22,9 +22,9 @@
 use crate::config::XdsConfig;
 use crate::upstream::AddressTable;
 
-/// An answer must be whole within this time.
+/// Limits sending a request up to the head of its response, and reading the body.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
-/// No list is longer.
+/// The largest response body accepted.
 const MAX_BODY_BYTES: usize = 8 << 20;
 const CLUSTER_TYPE: &str = "envoy.config.cluster.v3.Cluster";
 const ENDPOINT_TYPE: &str = "envoy.config.endpoint.v3.ClusterLoadAssignment";
@@ -109,7 +109,7 @@
     port_value: u16,
 }
 
-/// In JSON an enum may stand by its name or its number.
+/// JSON may give an enum by its name or by its number.
 #[derive(Clone, Deserialize)]
 #[serde(untagged)]
 enum HealthStatus {
@@ -130,7 +130,7 @@
             HealthStatus::Name(name) if name == "UNHEALTHY" || name == "TIMEOUT" => Health::Gone,
             HealthStatus::Number(3) => Health::Draining,
             HealthStatus::Number(2 | 4) => Health::Gone,
-            // Unknown, healthy, degraded: it takes requests.
+            // Unknown, healthy and degraded endpoints take requests.
             _ => Health::Up,
         }
     }
@@ -148,7 +148,7 @@
     frosttrail: FrosttrailMetadata,
 }
 
-/// What clusters and endpoints may say under the name `frosttrail`.
+/// Metadata that clusters and endpoints may give under the name `frosttrail`.
 #[derive(Clone, Default, Deserialize)]
 struct FrosttrailMetadata {
     kind: Option<String>,
@@ -157,7 +157,7 @@
     boot_ms: Option<u64>,
 }
 
-/// The state of one type of resource: what was accepted last.
+/// The last accepted response for one type of resource.
 struct ResourceState<T> {
     version: String,
     nonce: String,
@@ -176,7 +176,7 @@
     }
 }
 
-/// Members from an xDS server, asked again and again.
+/// Reads the list of members from an xDS server by polling it.
 pub struct XdsDiscovery {
     config: XdsConfig,
     node: String,
@@ -190,7 +190,7 @@
 }
 
 impl XdsDiscovery {
-    /// Nothing is known before the first answer.
+    /// Starts without members; the first response lists them.
     pub fn new(
         config: XdsConfig,
         node: String,
@@ -203,7 +203,7 @@
         XdsDiscovery { config, node, names, clock, addresses, log, clusters, assignments, last_entries: None }
     }
 
-    /// Asks for clusters and endpoints; the list as it now is.
+    /// Fetches clusters and endpoints and returns the current list.
     async fn poll(&mut self) -> Result<Vec<ServerEntry>, DiscoveryError> {
         let server = self.config.server;
         fetch_resources(server, &self.node, "clusters", CLUSTER_TYPE, Vec::new(), &mut self.clusters).await?;
@@ -230,13 +230,13 @@
         for cluster in &self.clusters.resources {
             let kind = cluster.metadata.filter_metadata.frosttrail.kind.as_deref().unwrap_or(&cluster.name);
             let Ok(kind) = index_of(self.names.kinds(), kind, "cluster") else {
-                warn!(self.log, "a cluster is of no known kind"; "name" => &cluster.name);
+                warn!(self.log, "skipping a cluster of an unknown kind"; "name" => &cluster.name);
                 continue;
             };
             let inline = cluster.load_assignment.iter();
             let is_named = |a: &&Assignment| a.cluster_name == eds_service_name(cluster);
             let eds = self.assignments.resources.iter().filter(is_named);
-            // What stands in the cluster itself comes in place of what would have to be asked for.
+            // Endpoints in the cluster itself replace those from the endpoint discovery service.
             let assignments = inline.chain(eds.filter(|_| cluster.load_assignment.is_none()));
             for endpoints in assignments.flat_map(|a| &a.endpoints) {
                 entries.extend(
@@ -255,7 +255,7 @@
     ) -> Option<ServerEntry> {
         let locality = &endpoints.locality;
         let Ok(zone) = index_of(self.names.zones(), &locality.zone, "zone") else {
-            warn!(self.log, "an endpoint is in no known zone"; "zone" => &locality.zone);
+            warn!(self.log, "skipping an endpoint in an unknown zone"; "zone" => &locality.zone);
             return None;
         };
         let SocketAddress { address, port_value } = endpoint.endpoint.address.socket_address;
@@ -291,7 +291,7 @@
                     return Some(update);
                 }
                 Err(e) => {
-                    info!(self.log, "xds: asked in vain"; "why" => %e);
+                    info!(self.log, "xDS request failed; retrying"; "why" => %e);
                     sleep(self.config.refresh).await;
                 }
             }
@@ -299,21 +299,21 @@
     }
 }
 
-/// The name under which a cluster's endpoints are asked for.
+/// Returns the name under which the endpoints of a cluster are requested.
 fn eds_service_name(cluster: &Cluster) -> &str {
     let service_name = cluster.eds_cluster_config.as_ref().map(|eds| eds.service_name.as_str());
     service_name.filter(|name| !name.is_empty()).unwrap_or(&cluster.name)
 }
 
-/// A rack's number: the same at every conductor, as this hash has no seed.
+/// Returns the number of a rack. It is the same at every conductor, as the hash has no seed.
 fn rack_number(locality: &Locality) -> u64 {
     let mut hash = FnvHasher::default();
     (&locality.zone, &locality.sub_zone).hash(&mut hash);
     hash.finish()
 }
 
-/// Asks for one type of resource. The request names the version that was accepted last, so that a server
-/// may answer that nothing has changed; an answer that can't be read leaves that version in force.
+/// Fetches one type of resource. The request names the last accepted version, so that the server may respond
+/// that nothing has changed. An invalid response leaves that version in force.
 async fn fetch_resources<T: DeserializeOwned>(
     server: SocketAddr,
     node: &str,
@@ -322,7 +322,7 @@
     names: Vec<String>,
     state: &mut ResourceState<T>,
 ) -> Result<(), DiscoveryError> {
-    // Another set of names is another question, to which no version has been given yet.
+    // The known version belongs to the previous set of names.
     if state.names != names {
         (state.version, state.names) = (String::new(), names);
     }
--- a/daemon/src/tcp.rs
+++ b/daemon/src/tcp.rs
@@ -1,9 +1,9 @@
-//! A TCP connection whose reads and writes may be short.
+//! A TCP connection that tolerates short reads and writes.
 //!
-//! The runtime takes a read that fills only a part of its buffer for the last of what has come, and a write
-//! that takes only a part for a full socket, as epoll(7) allows, and then waits for the next event. A call
-//! that was short for another reason would leave a request unread, or half written, for good. Here a socket
-//! counts as empty or full only where it says so itself (`EAGAIN`).
+//! The runtime treats a read that fills only a part of its buffer as the last of the available data, and a
+//! partial write as a full socket, as epoll(7) allows, and then waits for the next event. A call that was
+//! short for another reason would leave a request unread, or half written, for good. Here a socket counts as
+//! empty or full only if it reports `EAGAIN`.
 
 use std::io::{ErrorKind, IoSlice, Result};
 use std::pin::Pin;
@@ -12,17 +12,17 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// A connection, by whichever side it was opened.
+/// A TCP connection, opened by either side.
 #[derive(Debug)]
 pub(crate) struct TcpConnection(TcpStream);
 
 impl TcpConnection {
-    /// Wraps a connection that is up.
+    /// Wraps an established connection.
     pub(crate) fn new(stream: TcpStream) -> Self {
         TcpConnection(stream)
     }
 
-    /// Writes by `write` until the socket takes something or fails.
+    /// Calls `write` until the socket accepts some bytes or fails.
     fn poll_write_with(
         &self,
         cx: &mut Context<'_>,
@@ -38,7 +38,7 @@
     }
 }
 
-/// Whether a call said only that it was to be made once more, when there is something to do or at once.
+/// Whether a call only has to be repeated, at once or when the socket is ready.
 fn is_retryable(e: &std::io::Error) -> bool {
     matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted)
 }
--- a/daemon/src/transient.rs
+++ b/daemon/src/transient.rs
@@ -1,25 +1,25 @@
-//! Errors of system calls that say nothing of what was asked for: this machine lacks something for a moment.
-//! What a process needs at its start is tried again for a while, as a start that fails is a crash.
+//! Recognizes transient errors of system calls, which are caused by a shortage on this machine and not by the
+//! operation. What a process needs at its start is retried for a while, as a failed start is a crash.
 
 use std::io::{Error, ErrorKind};
 use std::os::unix::net::UnixStream;
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A start tries again for so long.
+/// How long an operation is retried at the start of the process.
 pub const START_RETRY_TIMEOUT: Duration = Duration::from_secs(5);
-/// Between two tries.
+/// The wait between two attempts.
 pub const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Errors of Linux for which Rust has no kinds of its own: a failed device, too many open files, of the
-/// system and of the process, and no room for buffers.
+/// Linux errors without an [`ErrorKind`] of their own: a device error, too many open files in the system and
+/// in the process, and no buffer space.
 const EIO: i32 = 5;
 const ENFILE: i32 = 23;
 const EMFILE: i32 = 24;
 const ENOBUFS: i32 = 105;
 
-/// Whether this machine lacks descriptors, memory, threads, ports or a network: nobody else is to blame,
-/// and the next try may succeed.
+/// Whether this machine lacks descriptors, memory, threads, ports or a network. No peer is at fault then, and
+/// the next attempt may succeed.
 pub fn is_resource_shortage(e: &Error) -> bool {
     let kinds = [
         ErrorKind::AddrNotAvailable,
@@ -31,13 +31,13 @@
     kinds.contains(&e.kind()) || matches!(e.raw_os_error(), Some(ENFILE | EMFILE | ENOBUFS))
 }
 
-/// Whether a file that could not be read may be read a moment later.
+/// Whether reading a file failed with an error that may not recur a moment later.
 pub fn is_transient_read_error(e: &Error) -> bool {
     is_resource_shortage(e) || e.raw_os_error() == Some(EIO)
 }
 
-/// Tries again for [`START_RETRY_TIMEOUT`] while errors are transient. It holds up its thread, and is for the
-/// start of a process only, before anything is served.
+/// Retries an operation for [`START_RETRY_TIMEOUT`] while its errors are transient. It blocks its thread, so
+/// it is only for the start of a process, before anything is served.
 ///
 /// # Errors
 ///
@@ -55,7 +55,7 @@
     }
 }
 
-/// Waits until pairs of sockets can be made: the runtime's signal handlers need one and panic without.
+/// Waits until a pair of sockets can be created: the runtime's signal handlers panic without one.
 ///
 /// # Errors
 ///
@@ -64,14 +64,14 @@
     retry_at_start(is_resource_shortage, UnixStream::pair).map(drop)
 }
 
-/// Waits until threads can be made: the log's writer needs one and panics without.
+/// Waits until a thread can be created: the log's writer panics without one.
 ///
 /// # Errors
 ///
 /// The last error, after [`START_RETRY_TIMEOUT`].
 pub fn await_threads() -> std::io::Result<()> {
     let thread = retry_at_start(is_resource_shortage, || thread::Builder::new().spawn(|| {}))?;
-    // It does nothing that could fail.
+    // The thread does nothing that could fail.
     let _ = thread.join();
     Ok(())
 }
--- a/daemon/src/upstream/attempt.rs
+++ b/daemon/src/upstream/attempt.rs
@@ -1,4 +1,5 @@
-//! One attempt at one server: PROTOCOL's table of what comes back and whether it has run.
+//! Makes one attempt at one server and maps the response to an outcome by the table in PROTOCOL, which also
+//! says whether the request has run.
 
 use std::error::Error;
 use std::io::ErrorKind;
@@ -23,14 +24,14 @@
 use super::sse::{load_report_comment, EventSplitter, InvalidEvent};
 use super::Call;
 
-/// The time that the conductor will wait.
+/// Carries the time that the conductor will wait for the response.
 pub(crate) const REMAINING_HEADER: HeaderName = HeaderName::from_static("x-remaining");
-/// Says that a request was turned away and never ran.
+/// Marks a request that the server rejected and never ran.
 const TURNED_AWAY_HEADER: HeaderName = HeaderName::from_static("x-turned-away");
-/// A load report.
+/// Carries a load report.
 const LOAD_REPORT_HEADER: HeaderName = HeaderName::from_static("x-pressure");
 
-/// One attempt under way.
+/// The parameters and the progress of one attempt.
 struct AttemptContext<'a> {
     call: &'a Call,
     stop_at: Instant,
@@ -38,7 +39,7 @@
     permit: &'a SendPermit,
 }
 
-/// Makes one attempt. Given up before the last byte was written, it never ran.
+/// Makes one attempt. A request that times out before its last byte was written never ran.
 pub(super) async fn attempt(
     pool: &Arc<ConnectionPool>,
     server: &Id,
@@ -55,8 +56,8 @@
     }
 }
 
-/// A kept connection that turns out to have closed before the request was written is replaced by a new
-/// one: the server has not seen the request, so this is still the first copy.
+/// Sends the request on an idle connection, or on a new one. An idle connection that turns out to have closed
+/// before the request was written is replaced: the server has not received it, so the new copy is the first.
 async fn send_with_reconnect(
     pool: &Arc<ConnectionPool>,
     server: &Id,
@@ -66,7 +67,7 @@
         let (idle, sent_at) = (connection.idle_since.elapsed(), Instant::now());
         match send_request(connection, context).await {
             Err(SendFailure::NotWritten) => {}
-            Err(SendFailure::ConnectionReset) if pool.is_stale_reset(sent_at.elapsed()) => {
+            Err(SendFailure::ConnectionLost) if pool.is_stale_reset(sent_at.elapsed()) => {
                 pool.record_stale(server, idle);
                 return AttemptReply::Ended(Outcome::StaleConnection, None);
             }
@@ -80,15 +81,15 @@
     }
 }
 
-/// Why there is no answer.
+/// Why there is no valid response.
 enum SendFailure {
-    /// It was not begun, as something forbids it by now.
+    /// The send permit was no longer valid, so nothing was written.
     NotPermitted,
     /// The connection broke before the request's last byte was written.
     NotWritten,
-    /// It broke after that.
-    ConnectionReset,
-    /// What came after that is no answer.
+    /// The connection broke after the request's last byte was written.
+    ConnectionLost,
+    /// The request was written, but the response is not valid HTTP.
     InvalidResponse,
 }
 
@@ -102,7 +103,7 @@
     *request.method_mut() = call.method.clone();
     *request.uri_mut() = call.target.clone();
     *request.headers_mut() = call.headers.clone();
-    // What is left now: a connection may have taken its time to come up.
+    // Computed only now, as opening the connection may have taken a while.
     request
         .headers_mut()
         .insert(REMAINING_HEADER, remaining_header(stop_at.saturating_duration_since(Instant::now())));
@@ -111,11 +112,11 @@
         Ok(response) => Ok((connection, response)),
         Err(_) if !progress.is_complete() => Err(SendFailure::NotWritten),
         Err(e) if e.is_invalid_response() => Err(SendFailure::InvalidResponse),
-        Err(_) => Err(SendFailure::ConnectionReset),
+        Err(_) => Err(SendFailure::ConnectionLost),
     }
 }
 
-/// Microseconds, with their unit.
+/// Formats the remaining time in microseconds, with the unit.
 fn remaining_header(wait: Duration) -> HeaderValue {
     HeaderValue::try_from(format!("{}u", wait.as_micros().max(1)))
         .unwrap_or_else(|_| HeaderValue::from_static("1u"))
@@ -130,12 +131,12 @@
         Ok(sent) => sent,
         Err(SendFailure::NotPermitted) => return AttemptReply::Ended(Outcome::NotSent, None),
         Err(SendFailure::NotWritten) => return AttemptReply::Ended(Outcome::NoConnection, None),
-        Err(SendFailure::ConnectionReset) => return AttemptReply::Ended(Outcome::ConnectionLost, None),
-        // The server runs and answers, if badly: no reason to keep other requests from it.
+        Err(SendFailure::ConnectionLost) => return AttemptReply::Ended(Outcome::ConnectionLost, None),
+        // The server runs and responds, if incorrectly, so other requests may still go to it.
         Err(SendFailure::InvalidResponse) => return AttemptReply::Ended(Outcome::Failed, None),
     };
     let (head, body) = response.into_parts();
-    let turned_away = head.headers.get(TURNED_AWAY_HEADER).is_some_and(|v| v == "1");
+    let is_rejected = head.headers.get(TURNED_AWAY_HEADER).is_some_and(|v| v == "1");
     let load = head
         .headers
         .get(LOAD_REPORT_HEADER)
@@ -148,15 +149,16 @@
             return events.wait_for_first_event(load).await;
         }
         StatusCode::ACCEPTED => return read_prefill_reply(pool, server, connection, body, load).await,
-        StatusCode::GONE if turned_away => Outcome::CacheMissing,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if turned_away => Outcome::Rejected,
+        StatusCode::GONE if is_rejected => Outcome::CacheMissing,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if is_rejected => Outcome::Rejected,
         _ => Outcome::Failed,
     };
     pool.put_after_body(server, connection, body);
     AttemptReply::Ended(outcome, load)
 }
 
-/// A load report; who sends one that can't be read may send other things besides.
+/// Parses a load report. An invalid one taints the connection, as a server that sends one may also send other
+/// unexpected bytes.
 fn parse_load_report(report: &[u8], connection: &Connection) -> Option<LoadReport> {
     let report = serde_json::from_slice(report).ok().and_then(|r| frosttrail::setup::load_report(&r).ok());
     if report.is_none() {
@@ -170,7 +172,8 @@
     cached_tokens: u64,
 }
 
-/// A reader's answer. One that breaks off has left a state all the same; the decisions let go of it.
+/// Reads the response of a prefill server. One that breaks off has still left a KV cache, which the decisions
+/// release.
 async fn read_prefill_reply(
     pool: &Arc<ConnectionPool>,
     server: &Id,
@@ -182,12 +185,12 @@
         return AttemptReply::Ended(Outcome::ConnectionLost, load);
     };
     pool.put(server, connection);
-    // How much was kept is a hint; without it the read is as good.
+    // The number of cached tokens is a hint; the prefill is valid without it.
     let prefill_body = serde_json::from_slice(&body.to_bytes()).unwrap_or(PrefillBody { cached_tokens: 0 });
     AttemptReply::PrefillDone { cached_tokens: prefill_body.cached_tokens, load }
 }
 
-/// The events of a server's answer as they come.
+/// The events of a server's response, as they arrive.
 pub struct ServerEvents {
     pool: Arc<ConnectionPool>,
     server: Id,
@@ -195,8 +198,8 @@
     body: Incoming,
     event_splitter: EventSplitter,
     first_event: Option<Bytes>,
-    /// The answer says itself where it ends; one that ends with its connection can't be told from one
-    /// that broke off.
+    /// Whether the response states its own end. One that ends with its connection can't be told from one that
+    /// broke off.
     is_framed: bool,
     has_ended: bool,
 }
@@ -222,8 +225,8 @@
         }
     }
 
-    /// Waits for the first event: until it is there, nothing has gone to the client and the request can
-    /// still take another way.
+    /// Waits for the first event. Until it arrives, nothing has been sent to the client and the request can
+    /// still go to another server.
     async fn wait_for_first_event(mut self, load: Option<LoadReport>) -> AttemptReply<Self> {
         match std::future::poll_fn(|cx| self.poll_step(cx)).await {
             StreamStep::Event(first) => {
@@ -237,14 +240,14 @@
 
     fn event_step(&self, event: Bytes) -> StreamStep {
         if let (Some(report), Some(connection)) = (load_report_comment(&event), &self.connection) {
-            // It decides nothing here; the one in the head of an answer is handed on.
+            // Parsed only to detect a tainted connection; the report in a response head is the one passed on.
             parse_load_report(report, connection);
         }
         StreamStep::Event(event)
     }
 }
 
-/// Whether a break is the server's words rather than its connection's end.
+/// Tells an invalid response from a lost connection.
 fn broken_step(e: &hyper::Error) -> StreamStep {
     let io_error_kind = e.source().and_then(|e| e.downcast_ref::<std::io::Error>()).map(std::io::Error::kind);
     let is_invalid = matches!(io_error_kind, Some(ErrorKind::InvalidInput | ErrorKind::InvalidData));
--- a/daemon/src/upstream/calls.rs
+++ b/daemon/src/upstream/calls.rs
@@ -1,4 +1,4 @@
-//! The two calls beside requests: letting go of state, and the probe.
+//! The two calls besides attempts: releasing a KV cache, and the probe.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,14 +14,14 @@
 use super::link::{Connection, WriteProgress};
 use super::pool::{ConnectionPool, MAX_BODY_BYTES};
 
-/// A probe that has not come back by then tells that the server does not answer.
+/// After this time without a response to a probe, the server counts as not answering.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
 
 fn build_request(method: Method, target: String) -> Option<Request<Bytes>> {
     Request::builder().method(method).uri(target).header(HOST, "box").body(Bytes::new()).ok()
 }
 
-/// Sends a call that may be repeated at will: on a kept connection, then on a new one.
+/// Sends a call that is safe to repeat: on an idle connection, then on a new one.
 async fn send_repeatable(
     pool: &ConnectionPool,
     server: &Id,
@@ -43,7 +43,7 @@
     Some((connection, response))
 }
 
-/// True once the server has taken the call.
+/// Releases the KV cache of a request and returns whether the server has accepted the call.
 pub(super) async fn release(pool: &Arc<ConnectionPool>, server: &Id, request: &Id) -> bool {
     let Some((connection, response)) =
         send_repeatable(pool, server, &Method::DELETE, &format!("/state/{request}")).await
@@ -55,7 +55,7 @@
     is_released
 }
 
-/// Asks for a server's load.
+/// Requests the load report of a server.
 pub(super) async fn probe(pool: &Arc<ConnectionPool>, server: &Id) -> (Outcome, Option<LoadReport>) {
     let load_request = async {
         let (connection, response) = send_repeatable(pool, server, &Method::GET, "/_load").await?;
--- a/daemon/src/upstream/idle_age.rs
+++ b/daemon/src/upstream/idle_age.rs
@@ -1,9 +1,9 @@
-//! Up to which age idle connections are used again, learned from those that turned out to be dead. It has no
+//! Learns up to which age idle connections may be reused, from those that turned out to be stale. It has no
 //! clock of its own.
 //!
-//! Servers, and whatever lies before them, may forget connections earlier than the settings say, and without
-//! a word. Where one had been idle for a while, others are likely to be as dead, at whichever server. One
-//! that breaks soon after its last answer tells of its server only.
+//! Servers, and whatever is in front of them, may drop connections earlier than the settings say, and without
+//! closing them. If one had been idle for a while, others are likely to be stale too, at any server. One that
+//! breaks soon after its last response is evidence about its own server only.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -11,16 +11,16 @@
 use frosttrail::Id;
 use tokio::time::Instant;
 
-/// A learned age doubles in this time, until it is that of the settings again.
+/// A learned limit doubles in this time, until it reaches that of the settings.
 const AGE_DOUBLING_INTERVAL: Duration = Duration::from_secs(10);
-/// More doublings than this change nothing: the least age has become longer than any in settings.
+/// More doublings have no effect: even the lowest limit then exceeds any in the settings.
 const MAX_DOUBLINGS: u32 = 24;
-/// What was learned of a server never falls below this, so that it grows again.
+/// The lowest limit learned for a single server. It is above zero so that it can grow by doubling.
 const MIN_IDLE_AGE: Duration = Duration::from_millis(5);
-/// A connection that had been idle for less was not forgotten for its age by anything that serves them all.
+/// A connection that was idle for less was not dropped for its age by a device that all servers share.
 const MIN_SHARED_IDLE_AGE: Duration = Duration::from_secs(1);
 
-/// An age that was learned, and when.
+/// A learned limit, and when it was learned.
 #[derive(Clone, Copy, Debug)]
 struct LearnedAge {
     age: Duration,
@@ -36,7 +36,7 @@
     }
 }
 
-/// The ages learned, for all servers together and for single ones.
+/// The learned limits, for all servers together and for single ones.
 #[derive(Debug, Default)]
 pub(super) struct IdleAgeLimits {
     shared: Option<LearnedAge>,
@@ -44,13 +44,14 @@
 }
 
 impl IdleAgeLimits {
-    /// The age below which an idle connection to this server is used; `most` is what the settings allow.
+    /// Returns the age below which an idle connection to this server is reused. `max_age` is the limit of the
+    /// settings.
     pub(super) fn limit(&self, server: &Id, max_age: Duration, now: Instant) -> Duration {
         let learned = [self.shared.as_ref(), self.servers.get(server)].into_iter().flatten();
         learned.map(|learned| learned.current(now)).fold(max_age, Duration::min)
     }
 
-    /// A connection to this server was dead after it had been idle for so long.
+    /// Records that a connection to this server was stale after it had been idle for `idle`.
     pub(super) fn record_stale(&mut self, server: &Id, idle: Duration, max_age: Duration, now: Instant) {
         let age = self.limit(server, max_age, now).min(idle / 2);
         if idle >= MIN_SHARED_IDLE_AGE {
--- a/daemon/src/upstream/link.rs
+++ b/daemon/src/upstream/link.rs
@@ -1,4 +1,4 @@
-//! One connection to a server, which knows how much of a request has left this machine.
+//! One connection to a server, which tracks how much of a request has been written to the socket.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -26,32 +26,33 @@
 use crate::tcp::TcpConnection;
 use crate::transient::is_resource_shortage;
 
-/// A head comes in one piece or nearly so; one that has begun and has not ended by then never will.
+/// How long a response head may take from its first byte to its end. Heads arrive in one piece or nearly so;
+/// one that has not ended by then never will.
 const RESPONSE_HEAD_TIMEOUT: Duration = Duration::from_millis(400);
-/// No head is larger, and no more is read ahead.
+/// Limits the size of a response head, and how much is read ahead.
 const MAX_BUFFER_BYTES: usize = 32 << 10;
 
-/// How far one request has got. A server starts on a request with its last byte, so this tells a request
-/// that never ran from one that may have.
+/// How much of one request has been written. A server starts a request when it receives the last byte, so
+/// this tells a request that never ran from one that may have.
 #[derive(Clone, Default)]
 pub(super) struct WriteProgress(Arc<ProgressState>);
 
 #[derive(Default)]
 struct ProgressState {
-    /// The library has taken all of the body.
+    /// Whether hyper has taken all of the body.
     is_body_taken: AtomicBool,
-    /// Bytes have gone to the socket since the request was handed over.
+    /// Whether bytes have been written to the socket since the request was passed to hyper.
     has_written: AtomicBool,
-    /// Nothing was left to write after both.
+    /// Whether the socket was flushed after both, so that nothing is left to write.
     is_complete: AtomicBool,
-    /// When the head of an answer began to come.
+    /// When the first byte of the response head arrived.
     head_started_at: watch::Sender<Option<Instant>>,
-    /// Counts the request once it is whole.
+    /// Counts the request once it is written completely.
     counter: Option<IntCounter>,
 }
 
 impl WriteProgress {
-    /// A request that is counted once it is written whole.
+    /// Creates the progress of a request that is counted once it is written completely.
     pub(super) fn with_counter(counter: IntCounter) -> Self {
         WriteProgress(Arc::new(ProgressState { counter: Some(counter), ..ProgressState::default() }))
     }
@@ -61,7 +62,7 @@
         self.0.is_complete.load(Ordering::Relaxed)
     }
 
-    /// The request goes out anew: what an earlier connection took of it does not count.
+    /// Starts again on another connection: what was written to an earlier one does not count.
     fn reset(&self) {
         let ProgressState { is_body_taken, has_written, is_complete, head_started_at, .. } = &*self.0;
         [is_body_taken, has_written, is_complete]
@@ -70,7 +71,7 @@
         head_started_at.send_replace(None);
     }
 
-    /// Bytes have come; those of an answer in front of the answer itself do not count.
+    /// Records that bytes have arrived. Those of an interim (1xx) response do not count.
     fn record_read(&self) {
         self.0.head_started_at.send_if_modified(|at| {
             let is_first = at.is_none();
@@ -79,7 +80,7 @@
         });
     }
 
-    /// Resolves once a head has begun to come and has not ended for so long.
+    /// Resolves [`RESPONSE_HEAD_TIMEOUT`] after a response head has started.
     async fn wait_for_head_timeout(&self) {
         let mut head_started_at = self.0.head_started_at.subscribe();
         loop {
@@ -92,7 +93,7 @@
             };
             tokio::select! {
                 () = timed_out => return,
-                // The sender is in here.
+                // Never fails, as `self` owns the sender.
                 _ = head_started_at.changed() => {}
             }
         }
@@ -108,7 +109,7 @@
         }
     }
 
-    /// The library flushes only what it has written whole.
+    /// Records a flush. Hyper flushes only once it has written all that it has.
     fn record_flush(&self) {
         if self.0.is_body_taken.load(Ordering::Relaxed) && self.0.has_written.load(Ordering::Relaxed) {
             let is_first = !self.0.is_complete.swap(true, Ordering::Relaxed);
@@ -119,10 +120,10 @@
     }
 }
 
-/// The request that a connection carries at the moment.
+/// The progress of the request that a connection currently carries.
 type CurrentRequest = Arc<Mutex<WriteProgress>>;
 
-/// A request's body that notes when it has been taken.
+/// A request body that records when hyper has taken it.
 pub(super) struct RequestBody {
     bytes: Option<Bytes>,
     progress: WriteProgress,
@@ -153,10 +154,10 @@
     }
 }
 
-/// A connection's socket, for as long as the connection is not dropped.
+/// The socket of a connection, or `None` once the connection is dropped.
 type SharedSocket = Arc<Mutex<Option<TokioIo<TcpConnection>>>>;
 
-/// The socket as the library has it, which notes what is written. The library's task may outlive the
+/// The socket as hyper uses it, which records reads, writes and flushes. Hyper's task may outlive the
 /// connection by a moment; the socket does not.
 struct TrackedSocket {
     socket: SharedSocket,
@@ -205,7 +206,7 @@
     }
 
     fn is_write_vectored(&self) -> bool {
-        // As every TCP socket of the library's is.
+        // True of every TCP socket of tokio.
         true
     }
 
@@ -220,7 +221,7 @@
     }
 }
 
-/// Why a connection did not come up.
+/// Why a connection could not be opened.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ConnectError {
     #[error("socket: {0}")]
@@ -229,23 +230,23 @@
     Http(#[from] hyper::Error),
 }
 
-/// A connection. Dropping it closes the socket there and then, which gives up whatever is out on it: the
-/// answer that a request gets next must not overtake the end of its attempt.
+/// A connection. Dropping it closes the socket immediately, which cancels the request on it: the response
+/// that the client gets next must not be sent before the attempt has ended.
 pub(super) struct Connection {
     socket: SharedSocket,
     sender: SendRequest<RequestBody>,
     current_request: CurrentRequest,
-    /// More has come on it than belonged to its answers.
+    /// Whether more has arrived on it than belongs to its responses.
     is_tainted: Arc<AtomicBool>,
     _driver: AbortOnDropHandle<()>,
     _permit: OwnedSemaphorePermit,
-    /// Where it leads.
+    /// The address of the server.
     pub(super) address: SocketAddr,
     pub(super) idle_since: Instant,
 }
 
 impl ConnectError {
-    /// This machine lacks what it takes, or can't reach any network: nothing was asked of the server.
+    /// Whether this machine lacks a resource or can't reach any network, so that the server saw nothing.
     pub(super) fn is_local(&self) -> bool {
         matches!(self, ConnectError::Socket(e) if is_resource_shortage(e))
     }
@@ -263,12 +264,12 @@
         let socket = SharedSocket::new(Mutex::new(Some(TokioIo::new(TcpConnection::new(stream)))));
         let tracked_socket =
             TrackedSocket { socket: socket.clone(), current_request: current_request.clone() };
-        // A header that can't be read, as a load report may be, spoils nothing else.
+        // An invalid header, such as a malformed load report, does not fail the response.
         let mut builder = Builder::new();
         builder.ignore_invalid_headers_in_responses(true).max_buf_size(MAX_BUFFER_BYTES);
         let (sender, http_connection) = builder.handshake(tracked_socket).await?;
         let driver = tokio::spawn(async move {
-            // How it ended shows in the answer that is out, or in the sender.
+            // An error also shows in the pending response, or in the sender.
             let _ = http_connection.await;
         });
         Ok(Connection {
@@ -283,23 +284,23 @@
         })
     }
 
-    /// Whether another request can go out on it now.
+    /// Whether another request can be sent on it now.
     pub(super) fn is_ready(&self) -> bool {
         self.sender.is_ready()
     }
 
-    /// Whether it is of no further use: it has ended, or what comes on it can't be told apart.
+    /// Whether it can't be reused: it has closed, or its bytes can't be assigned to responses.
     pub(super) fn is_unusable(&self) -> bool {
         self.sender.is_closed() || self.is_tainted.load(Ordering::Relaxed)
     }
 
-    /// It brings what nobody asked for; no other request should go out on it.
+    /// Marks it as having delivered unexpected bytes, so that no other request is sent on it.
     pub(super) fn mark_tainted(&self) {
         self.is_tainted.store(true, Ordering::Relaxed);
     }
 
-    /// Sends a request, once, and notes how far it gets. The head of its answer, once it has begun, has a
-    /// time of its own: a spoilt one may never end, and the connection stays open.
+    /// Sends a request once and records its progress. A response head that has started must end within
+    /// [`RESPONSE_HEAD_TIMEOUT`]: a malformed one may never end while the connection stays open.
     pub(super) async fn send(
         &mut self,
         request: Request<Bytes>,
@@ -332,17 +333,17 @@
     }
 }
 
-/// Why there is no answer to a request.
+/// Why there is no valid response to a request.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum SendError {
     #[error("http: {0}")]
     Http(#[from] hyper::Error),
-    #[error("the head of its answer did not end")]
+    #[error("the response head did not end in time")]
     HeadTimeout,
 }
 
 impl SendError {
-    /// What came is no answer; the connection itself did not break.
+    /// Whether an invalid response arrived, as opposed to a broken connection.
     pub(super) fn is_invalid_response(&self) -> bool {
         match self {
             SendError::Http(e) => e.is_parse(),
--- a/daemon/src/upstream/mod.rs
+++ b/daemon/src/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! The way to the servers: where they are, connections to them, and the three calls.
+//! The HTTP client for the servers: their addresses, connections to them, attempts, probes and releases.
 
 mod attempt;
 mod calls;
@@ -22,23 +22,23 @@
 pub use attempt::ServerEvents;
 pub use pool::{ConnectionLimits, ConnectionPool};
 
-/// A server that has gone keeps its last address for this time, as calls that let go of state may still want
-/// it; they end some seconds after it.
+/// How long a server that has gone keeps its address, as calls that release its KV cache may still need it.
+/// Those calls end a few seconds after the server has gone.
 const GONE_ADDRESS_TTL: Duration = Duration::from_secs(30);
 
-/// Where each server is. Filled by discovery.
+/// The address of each server, filled by discovery.
 #[derive(Default)]
 pub struct AddressTable(Mutex<HashMap<Id, AddressEntry>>);
 
 struct AddressEntry {
     address: SocketAddr,
     gone_since: Option<Instant>,
-    /// The shortest time in which a connection to it came up: a way there and back.
+    /// The shortest time that a connection to it took to open, about one round trip.
     round_trip: Option<Duration>,
 }
 
 impl AddressTable {
-    /// Notes where a server is.
+    /// Sets the address of a server.
     pub fn set(&self, server: Id, address: SocketAddr) {
         let mut addresses = lock(&self.0);
         let same_address = addresses.get(&server).filter(|entry| entry.address == address);
@@ -46,26 +46,26 @@
         addresses.insert(server, AddressEntry { address, gone_since: None, round_trip });
     }
 
-    /// Notes how long a connection to it took to come up.
+    /// Records how long a connection to a server took to open.
     fn record_connect_time(&self, server: &Id, elapsed: Duration) {
         if let Some(entry) = lock(&self.0).get_mut(server) {
             entry.round_trip = Some(entry.round_trip.map_or(elapsed, |shortest| shortest.min(elapsed)));
         }
     }
 
-    /// How long a connection's end may be on its way there: two round trips, as one way may be four times as
-    /// slow as half of the shortest. Nothing where no connection has come up.
+    /// How long the end of a connection may take to reach a server: two round trips, as one way may be four
+    /// times as slow as half of the shortest. Zero if no connection to it has opened.
     fn cancellation_delay(&self, server: &Id) -> Duration {
         let round_trip = lock(&self.0).get(server).and_then(|entry| entry.round_trip);
         round_trip.unwrap_or_default() * 2
     }
 
-    /// Where it is.
+    /// Returns the address of a server.
     pub fn get(&self, server: &Id) -> Option<SocketAddr> {
         lock(&self.0).get(server).map(|entry| entry.address)
     }
 
-    /// Follows the list of members: what has left it is forgotten after a while.
+    /// Applies a change to the list of members. Servers that have left it are forgotten after a while.
     pub fn apply_update(&self, update: &MembershipUpdate) {
         let (now, mut addresses) = (Instant::now(), lock(&self.0));
         if matches!(update.kind, ListUpdateKind::Full | ListUpdateKind::StaleCopy) {
@@ -81,36 +81,36 @@
     }
 }
 
-/// What these locks guard is whole between any two statements, so a panic elsewhere does no harm to it.
+/// Locks a mutex even if it is poisoned: the guarded data is consistent between any two statements.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A request as it goes to a server.
+/// A request as it is sent to a server.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// Its method,
+    /// The HTTP method.
     pub method: Method,
-    /// path and query,
+    /// The path and query.
     pub target: Uri,
-    /// headers (the time to wait is added for each attempt)
+    /// The headers, without the remaining time, which each attempt adds.
     pub headers: HeaderMap,
-    /// and body.
+    /// The body.
     pub body: Bytes,
 }
 
-/// The servers, as the core sees them.
+/// The core's access to the servers, over HTTP/1.
 pub struct HttpUpstream {
     pool: Arc<ConnectionPool>,
 }
 
 impl HttpUpstream {
-    /// The servers that the book knows; `sends` counts attempts that are written whole.
+    /// Reaches the servers in `addresses`. `sends` counts the attempts that are written completely.
     pub fn new(addresses: Arc<AddressTable>, limits: ConnectionLimits, sends: IntCounter) -> Self {
         HttpUpstream { pool: Arc::new(ConnectionPool::new(addresses, limits, sends)) }
     }
 
-    /// Takes the times of connections from new settings.
+    /// Applies the connection timeouts of new settings.
     pub fn reconfigure(&self, settings: &Settings) {
         let connect_timeout = Duration::from_micros(settings.connect_timeout);
         self.pool.set_timeouts(connect_timeout, Duration::from_micros(settings.connection_idle_timeout));
--- a/daemon/src/upstream/pool.rs
+++ b/daemon/src/upstream/pool.rs
@@ -1,4 +1,4 @@
-//! Connections that are kept for the next request, and the bound on all there are.
+//! Keeps idle connections for later requests and limits the number of all connections.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
@@ -15,47 +15,47 @@
 use super::link::Connection;
 use super::{lock, AddressTable};
 
-/// Answers' bodies that are read to their end only to keep the connection.
+/// Limits reading a response body to its end only to reuse the connection.
 const BODY_READ_TIMEOUT: Duration = Duration::from_millis(500);
-/// After a connection that this machine could not even try, for want of descriptors, ports or memory.
+/// The wait after a connection that failed for lack of descriptors, ports or memory on this machine.
 const LOCAL_RETRY_INTERVAL: Duration = Duration::from_millis(20);
-/// No body on this wire is larger.
+/// The largest response body that is read whole.
 pub(super) const MAX_BODY_BYTES: usize = 256 << 10;
 
 /// Why there is no new connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectFailure {
-    /// The server refuses it, can't be reached or takes too long.
+    /// The server refused it, can't be reached or took too long.
     Server,
-    /// This machine lacks what it takes; the server is not to blame.
+    /// This machine lacks a resource; the server is not at fault.
     Local,
 }
 
-/// Bounds on connections to servers.
+/// Limits on connections to servers.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionLimits {
-    /// Connections in all.
+    /// The number of connections in all.
     pub max_connections: usize,
-    /// One that has not come up within this time never will.
+    /// How long a connection may take to open.
     pub connect_timeout: Duration,
-    /// Servers close one that has been idle this long.
+    /// Servers close a connection that has been idle for this time.
     pub server_idle_timeout: Duration,
-    /// One that has brought an answer is left alone for this time: what comes right behind the answer
-    /// must not be taken for the next one.
+    /// A connection is not reused for this time after a response, so that bytes that follow the response are
+    /// not taken for the next one.
     pub settle_time: Duration,
-    /// A kept one that breaks within this time of a request was dead before it: the answer to the request's
-    /// first bytes was a reset.
+    /// A reused connection that breaks within this time of a request was stale: the request's first bytes
+    /// were answered by a reset.
     pub stale_reset_window: Duration,
 }
 
-/// Idle connections by server, and permits for all.
+/// The idle connections of each server, and the permits for all connections.
 pub struct ConnectionPool {
     addresses: Arc<AddressTable>,
     limits: Mutex<ConnectionLimits>,
     permits: Arc<Semaphore>,
     idle: Mutex<HashMap<Id, Vec<Connection>>>,
     idle_age_limits: Mutex<IdleAgeLimits>,
-    /// Attempts that were written whole.
+    /// Counts the attempts that were written completely.
     pub(super) sends: IntCounter,
 }
 
@@ -70,22 +70,22 @@
         *lock(&self.limits)
     }
 
-    /// The settings' times, as new settings have them.
+    /// Applies the timeouts of new settings.
     pub(super) fn set_timeouts(&self, connect_timeout: Duration, server_idle_timeout: Duration) {
         let mut limits = lock(&self.limits);
         (limits.connect_timeout, limits.server_idle_timeout) = (connect_timeout, server_idle_timeout);
     }
 
-    /// A connection that was kept, if one is fit for use: open, and far from the age at which the server
-    /// may close it, as a request that crosses the close may have run.
+    /// Takes an idle connection, if one is usable: open, and far from the age at which the server may close
+    /// it, as a request that is sent while the server closes it may have run.
     pub(super) async fn take_idle(&self, server: &Id) -> Option<Connection> {
-        // Lets what lies in the sockets be heard first: a close of this connection, or the end of the client
-        // for whom it is wanted.
+        // Lets pending socket events be handled first: a close of this connection, or of that of the client
+        // that waits for the response.
         tokio::task::yield_now().await;
         let address = self.addresses.get(server);
         let mut idle = lock(&self.idle);
         let connections = idle.get_mut(server)?;
-        // A server that is back elsewhere is not where the connection leads.
+        // A server may have moved to another address than the one connected to.
         connections.retain(|connection| {
             !connection.is_unusable()
                 && self.is_within_idle_limit(server, connection)
@@ -101,8 +101,8 @@
         connection
     }
 
-    /// A new connection. What fails for want of something on this machine is tried again, for as long as a
-    /// connection may take.
+    /// Opens a new connection. Failures for lack of a resource on this machine are retried within the connect
+    /// timeout.
     pub(super) async fn connect(&self, server: &Id) -> Result<Connection, ConnectFailure> {
         let address = self.addresses.get(server).ok_or(ConnectFailure::Server)?;
         let deadline = Instant::now() + self.limits().connect_timeout;
@@ -126,12 +126,12 @@
         }
     }
 
-    /// How long a connection's end may be on its way.
+    /// How long the end of a connection may take to reach the server.
     pub(super) fn cancellation_delay(&self, server: &Id) -> Duration {
         self.addresses.cancellation_delay(server)
     }
 
-    /// A permit for one more connection, if need be in place of the one that has been idle longest.
+    /// Acquires a permit for one more connection, evicting the one that has been idle longest if necessary.
     fn acquire_permit(&self) -> Option<OwnedSemaphorePermit> {
         let try_acquire = || self.permits.clone().try_acquire_owned().ok();
         try_acquire().or_else(|| {
@@ -153,14 +153,14 @@
         }
     }
 
-    /// Keeps a connection whose answer has come whole, and lets go of those that are past use, also of
-    /// servers to which nothing goes any more.
+    /// Keeps a connection whose response is complete, and drops the idle ones that are no longer usable, also
+    /// those to servers that get no more requests.
     pub(super) fn put(&self, server: &Id, connection: Connection) {
         self.put_idle_since(server, connection, Instant::now());
     }
 
-    /// Keeps a connection on which a small call has been answered: no stream's rest can follow on it, and the
-    /// request that the call was for goes out next.
+    /// Keeps a connection after a probe and skips the settle time: no rest of a stream can follow on it, and
+    /// the request that the probe was for is sent next.
     pub(super) fn put_settled(&self, server: &Id, connection: Connection) {
         let now = Instant::now();
         self.put_idle_since(server, connection, now.checked_sub(self.limits().settle_time).unwrap_or(now));
@@ -181,25 +181,25 @@
         idle.entry(server.clone()).or_default().push(connection);
     }
 
-    /// Whether a kept connection that broke so long after a request went out had been dead before.
+    /// Whether a reused connection that broke this long after a request was sent had been stale before.
     pub(super) fn is_stale_reset(&self, elapsed: Duration) -> bool {
         elapsed < self.limits().stale_reset_window
     }
 
-    /// Far from the age at which the server may close it, and younger than those that were found dead.
+    /// Whether it is far from the age at which the server may close it, and younger than those found stale.
     fn is_within_idle_limit(&self, server: &Id, connection: &Connection) -> bool {
         let limit =
             lock(&self.idle_age_limits).limit(server, self.limits().server_idle_timeout / 2, Instant::now());
         connection.idle_since.elapsed() < limit
     }
 
-    /// A connection that had been idle for so long broke at its next request: others may be as dead.
+    /// Records that a connection that had been idle for this time was stale, as others may be too.
     pub(super) fn record_stale(&self, server: &Id, idle: Duration) {
         let max_age = self.limits().server_idle_timeout / 2;
         lock(&self.idle_age_limits).record_stale(server, idle, max_age, Instant::now());
     }
 
-    /// Reads an answer that nobody waits for to its end, to keep the connection.
+    /// Reads a response body that nobody waits for to its end, to keep the connection.
     pub(super) fn put_after_body(self: &Arc<Self>, server: &Id, connection: Connection, body: Incoming) {
         let (pool, server) = (self.clone(), server.clone());
         tokio::spawn(async move {
--- a/daemon/src/upstream/sse.rs
+++ b/daemon/src/upstream/sse.rs
@@ -1,31 +1,31 @@
-//! Server-sent events as a server sends them: cut at their ends, so that nothing of an event goes on before
-//! all of it is there, and what is no event goes nowhere.
+//! Splits a server's response into server-sent events, so that an event is passed on only once it is complete
+//! and invalid input is never passed on.
 
 use bytes::{Bytes, BytesMut};
 
-/// No event is larger.
+/// The largest event accepted.
 const MAX_EVENT_BYTES: usize = 64 << 10;
-/// No answer is longer.
+/// The longest response accepted.
 const MAX_RESPONSE_BYTES: usize = 4 << 20;
-/// What a line may begin with.
+/// The fields with which a line may begin.
 const KNOWN_FIELDS: [&[u8]; 4] = [b"data", b"event", b"id", b"retry"];
 
-/// What came is no event, or too much of one.
+/// The input is not an event, or exceeds a size limit.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
-#[error("what came is not an event")]
+#[error("the response is not a valid event stream")]
 pub(super) struct InvalidEvent;
 
-/// Bytes into events, each with the blank line that ends it.
+/// Splits bytes into events, each including the blank line that ends it.
 #[derive(Debug, Default)]
 pub(super) struct EventSplitter {
     buffer: BytesMut,
-    /// Where the line that is still to be looked at begins.
+    /// Where the first line that has not been checked starts.
     line_start: usize,
     total_bytes: usize,
 }
 
 impl EventSplitter {
-    /// More bytes.
+    /// Appends received bytes.
     pub(super) fn push(&mut self, data: &[u8]) -> Result<(), InvalidEvent> {
         self.total_bytes += data.len();
         self.buffer.extend_from_slice(data);
@@ -35,7 +35,7 @@
             .ok_or(InvalidEvent)
     }
 
-    /// The next whole event, if there is one.
+    /// Returns the next complete event, if there is one.
     pub(super) fn next_event(&mut self) -> Result<Option<Bytes>, InvalidEvent> {
         while let Some(length) = self.buffer[self.line_start..].iter().position(|b| *b == b'\n') {
             let line = &self.buffer[self.line_start..self.line_start + length];
@@ -53,7 +53,7 @@
         Ok(None)
     }
 
-    /// What is left when the stream has ended: an event whose blank line was left out.
+    /// Returns what is left when the stream has ended: an event without its final blank line.
     pub(super) fn remainder(&mut self) -> Option<Bytes> {
         self.line_start = 0;
         let remainder = self.buffer.split().freeze();
@@ -61,7 +61,7 @@
     }
 }
 
-/// A line is empty, a comment or a known field; one that is not whole may still become that.
+/// Accepts a line that is empty, a comment or a known field, or an incomplete line that may become one.
 fn check_line(line: &[u8], is_complete: bool) -> Result<(), InvalidEvent> {
     let is_known_prefix = |field: &&[u8]| match line.strip_prefix(*field) {
         Some(rest) => rest.is_empty() || rest[0] == b':' || (!is_complete && rest == b"\r"),
@@ -72,7 +72,7 @@
         .ok_or(InvalidEvent)
 }
 
-/// The load report in an event that is a comment.
+/// Returns the load report in an event, if the event is a comment that carries one.
 pub(super) fn load_report_comment(event: &[u8]) -> Option<&[u8]> {
     event.strip_prefix(b": X-Pressure:").map(<[u8]>::trim_ascii)
 }
