--- a/daemon/src/upstream/link.rs
+++ b/daemon/src/upstream/link.rs
@@ -80,19 +80,19 @@
         });
     }
 
-    /// Resolves [`RESPONSE_HEAD_TIMEOUT`] after a response head has started.
+    /// Resolves [`RESPONSE_HEAD_TIMEOUT`] after the first byte of a response head.
     async fn wait_for_head_timeout(&self) {
         let mut head_started_at = self.0.head_started_at.subscribe();
         loop {
             let started_at = *head_started_at.borrow_and_update();
-            let timed_out = async {
+            let head_timeout = async {
                 match started_at {
                     Some(at) => sleep_until(at + RESPONSE_HEAD_TIMEOUT).await,
                     None => std::future::pending().await,
                 }
             };
             tokio::select! {
-                () = timed_out => return,
+                () = head_timeout => return,
                 // Never fails, as `self` owns the sender.
                 _ = head_started_at.changed() => {}
             }
@@ -121,7 +121,7 @@
 }
 
 /// The progress of the request that a connection currently carries.
-type CurrentRequest = Arc<Mutex<WriteProgress>>;
+type CurrentProgress = Arc<Mutex<WriteProgress>>;
 
 /// A request body that records when hyper has taken it.
 pub(super) struct RequestBody {
@@ -161,7 +161,7 @@
 /// connection by a moment; the socket does not.
 struct TrackedSocket {
     socket: SharedSocket,
-    current_request: CurrentRequest,
+    current_progress: CurrentProgress,
 }
 
 impl TrackedSocket {
@@ -183,7 +183,7 @@
         buf: ReadBufCursor<'_>,
     ) -> Poll<std::io::Result<()>> {
         ready!(self.with_socket(|io| io.poll_read(cx, buf)))?;
-        lock(&self.current_request).record_read();
+        lock(&self.current_progress).record_read();
         Poll::Ready(Ok(()))
     }
 }
@@ -191,7 +191,7 @@
 impl Write for TrackedSocket {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<std::io::Result<usize>> {
         let bytes = ready!(self.with_socket(|io| io.poll_write(cx, buf)))?;
-        lock(&self.current_request).record_write(bytes);
+        lock(&self.current_progress).record_write(bytes);
         Poll::Ready(Ok(bytes))
     }
 
@@ -201,7 +201,7 @@
         bufs: &[std::io::IoSlice<'_>],
     ) -> Poll<std::io::Result<usize>> {
         let bytes = ready!(self.with_socket(|io| io.poll_write_vectored(cx, bufs)))?;
-        lock(&self.current_request).record_write(bytes);
+        lock(&self.current_progress).record_write(bytes);
         Poll::Ready(Ok(bytes))
     }
 
@@ -212,7 +212,7 @@
 
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<std::io::Result<()>> {
         ready!(self.with_socket(|io| io.poll_flush(cx)))?;
-        lock(&self.current_request).record_flush();
+        lock(&self.current_progress).record_flush();
         Poll::Ready(Ok(()))
     }
 
@@ -224,9 +224,9 @@
 /// Why a connection could not be opened.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ConnectError {
-    #[error("socket: {0}")]
+    #[error("socket error: {0}")]
     Socket(#[from] std::io::Error),
-    #[error("http: {0}")]
+    #[error("HTTP error: {0}")]
     Http(#[from] hyper::Error),
 }
 
@@ -235,7 +235,7 @@
 pub(super) struct Connection {
     socket: SharedSocket,
     sender: SendRequest<RequestBody>,
-    current_request: CurrentRequest,
+    current_progress: CurrentProgress,
     /// Whether more has arrived on it than belongs to its responses.
     is_tainted: Arc<AtomicBool>,
     _driver: AbortOnDropHandle<()>,
@@ -260,10 +260,10 @@
     ) -> Result<Self, ConnectError> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
-        let current_request = CurrentRequest::default();
+        let current_progress = CurrentProgress::default();
         let socket = SharedSocket::new(Mutex::new(Some(TokioIo::new(TcpConnection::new(stream)))));
         let tracked_socket =
-            TrackedSocket { socket: socket.clone(), current_request: current_request.clone() };
+            TrackedSocket { socket: socket.clone(), current_progress: current_progress.clone() };
         // An invalid header, such as a malformed load report, does not fail the response.
         let mut builder = Builder::new();
         builder.ignore_invalid_headers_in_responses(true).max_buf_size(MAX_BUFFER_BYTES);
@@ -275,7 +275,7 @@
         Ok(Connection {
             socket,
             sender,
-            current_request,
+            current_progress,
             is_tainted: Arc::default(),
             _driver: AbortOnDropHandle::new(driver),
             _permit: permit,
@@ -312,7 +312,7 @@
         if body.is_none() {
             progress.record_body_taken();
         }
-        *lock(&self.current_request) = progress.clone();
+        *lock(&self.current_progress) = progress.clone();
         let mut request = Request::from_parts(head, RequestBody { bytes: body, progress: progress.clone() });
         let (is_tainted, interim_progress) = (self.is_tainted.clone(), progress.clone());
         on_informational(&mut request, move |_| {
@@ -336,7 +336,7 @@
 /// Why there is no valid response to a request.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum SendError {
-    #[error("http: {0}")]
+    #[error("HTTP error: {0}")]
     Http(#[from] hyper::Error),
     #[error("the response head did not end in time")]
     HeadTimeout,
--- a/daemon/tests/backoff.rs
+++ b/daemon/tests/backoff.rs
@@ -1,5 +1,5 @@
-//! Waits before discovery is asked again, in simulated time: fleets that lost it together, and how long a
-//! change can stay unheard.
+//! Waits between discovery calls, in simulated time: fleets that lost discovery together, and the time
+//! until a change arrives.
 
 use std::time::Duration;
 
@@ -10,15 +10,15 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// Few instances wait no longer than this.
+/// The longest wait of a small fleet.
 const SMALL_FLEET_MAX_WAIT: Duration = Duration::from_millis(800);
-/// Many begin with at most this.
+/// The longest first wait of a large fleet.
 const LARGE_FLEET_MAX_INITIAL_WAIT: Duration = Duration::from_secs(2);
-/// Safely below the time at which a change counts as told.
+/// Delays must stay below [`MAX_UPDATE_DELAY`] by at least this.
 const MARGIN: Duration = Duration::from_millis(400);
 
-/// Discovery that takes so many calls a second and refuses the rest, and instances that lost it at once.
-/// The time until all have it again, in ms.
+/// Simulates instances that lost discovery at the same moment and a server that accepts `calls_per_s` and
+/// refuses the rest. Returns the time until all have succeeded.
 fn ms_until_all_succeed(instances: u32, calls_per_s: u32) -> u64 {
     let mut waits: Vec<_> = (0..instances).map(|i| Backoff::new(instances, u64::from(i))).collect();
     let mut due: Vec<Option<u64>> =
@@ -34,14 +34,14 @@
             }
         }
         now += 1;
-        assert!(now < 600_000, "never");
+        assert!(now < 600_000, "some instances never succeed");
     }
     now
 }
 
 #[test]
 fn a_fleet_that_lost_discovery_reconnects_soon_at_a_limited_call_rate() {
-    // 100 calls a second would be done in a second by a queue.
+    // A queue would serve 100 calls in one second.
     assert!(ms_until_all_succeed(100, 100) < 12_000, "{}", ms_until_all_succeed(100, 100));
     assert!(ms_until_all_succeed(300, 100) < 25_000, "{}", ms_until_all_succeed(300, 100));
 }
@@ -68,9 +68,10 @@
     assert!(waits.iter().all(|w| *w <= LARGE_FLEET_MAX_INITIAL_WAIT));
 }
 
-/// One instance whose calls fail until discovery can be reached at `back`: each hangs until it is given up,
-/// or is refused at once. A call that was begun before then goes on to hang. The time from `back` on until a
-/// call has brought what discovery had, given that each takes as long as it may.
+/// Simulates one instance whose calls fail until discovery is reachable at `recovered_at`. Each call hangs
+/// until its timeout, or is refused at once; a call that started before `recovered_at` goes on to hang.
+/// Returns the time from `recovered_at` until a call has delivered the change, if that call takes as long
+/// as it may.
 fn delay_after_failures(backoff: &mut Backoff, rng: &mut SmallRng, recovered_at: Duration) -> Duration {
     let mut now = Duration::ZERO;
     while now < recovered_at {
@@ -83,8 +84,9 @@
     now + CALL_TIMEOUT - recovered_at
 }
 
-/// One instance whose calls hang from the fall of silence on; a call that is out as the agent comes back is
-/// answered then, as is the next. The time from `back` on until that.
+/// Simulates one instance whose calls hang from the moment the agent falls silent. A call that is pending
+/// when the agent recovers is answered then, as is the next one. Returns the time from `recovered_at` until
+/// that.
 fn delay_after_silence(backoff: &mut Backoff, recovered_at: Duration) -> Duration {
     let mut now = WATCH_SILENCE_TIMEOUT + backoff.wait_after_silence();
     while now < recovered_at {
@@ -96,7 +98,8 @@
     now - recovered_at
 }
 
-/// What a silent agent learns as it comes back may count as told at once: shorter than any drain's grace.
+/// What a silent agent learns when it recovers may count as delivered at once, so the delay must be shorter
+/// than any drain grace.
 #[test]
 fn an_agent_that_was_silent_is_heard_soon_after_it_recovers_at_any_fleet_size() {
     for instances in [1, 3, 30, 300, 10_000, u32::MAX] {
@@ -129,7 +132,7 @@
     for instances in [1, 3, 300, u32::MAX] {
         for seed in 0..100 {
             let mut backoff = Backoff::new(instances, seed);
-            // Also where it falls silent again and again, or calls failed before.
+            // Holds also after repeated silence and failed calls.
             for _ in 0..6 {
                 assert!(
                     WATCH_SILENCE_TIMEOUT + backoff.wait_after_silence() + CALL_TIMEOUT + MARGIN
@@ -147,8 +150,7 @@
     assert!(worst_cases.iter().all(|delay| *delay + MARGIN < MAX_UPDATE_DELAY), "{worst_cases:?}");
 }
 
-/// What a fleet that may not wait longer asks, while all calls are refused at once: the bound on waits must
-/// not make it ask as fast as it can.
+/// All calls are refused at once. The upper bound on waits must not make a fleet call as fast as it can.
 #[test]
 fn a_fleet_at_the_longest_wait_calls_less_than_once_in_two_seconds_per_instance() {
     let (mut calls, instances, time) = (0, 300, Duration::from_secs(60));
@@ -160,5 +162,5 @@
         }
     }
     let calls_per_s = f64::from(calls) / f64::from(instances) / time.as_secs_f64();
-    assert!(calls_per_s < 0.5, "{calls_per_s} calls a second each");
+    assert!(calls_per_s < 0.5, "{calls_per_s} calls per second and instance");
 }
--- a/daemon/tests/connection.rs
+++ b/daemon/tests/connection.rs
@@ -1,6 +1,6 @@
-//! A model of the connections to one server, against which random steps are checked: each attempt has the
-//! outcome that the protocol's table gives it, reaches the server exactly once, and goes out on a kept
-//! connection exactly where one is fit for use.
+//! Checks random steps against a model of the connections to one server: each attempt has the outcome that
+//! the protocol's table gives it, reaches the server exactly once, and reuses an idle connection exactly if
+//! one is usable.
 
 mod support;
 
@@ -15,7 +15,7 @@
 use support::*;
 use tokio::time::sleep;
 
-/// What happens to the connections next.
+/// What happens next to the connections.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Scenario {
     Prefill,
@@ -52,7 +52,7 @@
     };
 }
 
-/// A reader's answer, with further headers.
+/// The response of a prefill server, with additional headers.
 macro_rules! prefill_response {
     ($headers:literal) => {
         concat!("HTTP/1.1 202 -\r\n", $headers, "content-length: 2\r\n\r\n{}")
@@ -122,7 +122,7 @@
         }
     }
 
-    /// The table's word for it.
+    /// The outcome that the protocol's table gives, or `None` if there is no response.
     fn expected_outcome(self) -> Option<Outcome> {
         Some(match self {
             Prefill => Outcome::PrefillDone,
@@ -140,8 +140,8 @@
     }
 }
 
-/// How many connections wait for the next request, at least and at most: an answer's tail may still be
-/// read beside the walk.
+/// The smallest and largest possible number of idle connections. It is a range because the rest of a response
+/// may still be read while the steps go on.
 #[derive(Clone, Copy, Debug, Default)]
 struct IdleConnections {
     min: u32,
@@ -149,14 +149,14 @@
 }
 
 impl IdleConnections {
-    /// An attempt that opened so many new connections, and what it leaves.
+    /// Returns the range after an attempt that opened this number of new connections.
     fn after(self, opened: u32, scenario: Scenario) -> Self {
         let used = 1 - opened;
         let (min, max) = match scenario {
-            // A stream without an event is no answer, but its connection has ended well.
+            // A stream without an event is a failure, but its connection stays usable.
             Prefill | Served | EmptyStream => (1, 1),
             Rejected | CacheMissing | UnmarkedGone | UnmarkedTimeout | ServerError => (0, 1),
-            // Spoilt, or with more on it than its answer.
+            // The response is invalid, or more bytes follow it.
             _ => (0, 0),
         };
         IdleConnections { min: self.min.saturating_sub(used) + min, max: self.max.saturating_sub(used) + max }
@@ -168,12 +168,12 @@
     Call { method: Method::POST, target, headers: HeaderMap::new(), body: Bytes::from_static(b"{}") }
 }
 
-/// The attempt's whole way: up to the end of its stream, if it became one.
+/// Makes an attempt and reads its stream to the end, if it became one.
 async fn attempt(upstream: &HttpUpstream) -> Outcome {
     attempt_at(upstream, "server").await
 }
 
-/// The same at a server of another name.
+/// Like [`attempt`], at the named server.
 async fn attempt_at(upstream: &HttpUpstream, server: &str) -> Outcome {
     let (server, id, wait) = (Id::from(server), Id::from("id"), Duration::from_secs(5));
     let reply = upstream.attempt(&server, &id, &call(), wait, &SendPermit::unconditional()).await;
@@ -206,7 +206,7 @@
         match scenario.expected_outcome() {
             Some(outcome) => {
                 let actual = attempt(&upstream).await;
-                // A kept connection that is reset was dead; from then on few are trusted.
+                // A reused connection that is reset was stale; from then on the idle limit is low.
                 let is_stale = scenario == Reset && *stand_in.accepted.lock().unwrap() == accepted;
                 assert_eq!(actual, if is_stale { Outcome::StaleConnection } else { outcome }, "{scenario:?}");
                 has_stale_reset |= is_stale;
@@ -220,7 +220,7 @@
         assert_eq!(stand_in.posts().len(), attempts, "every attempt reaches the server once: {scenario:?}");
         let opened = *stand_in.accepted.lock().unwrap() - accepted;
         assert!(opened <= 1, "{scenario:?}");
-        assert!(opened == 0 || idle.min == 0, "{scenario:?}: a kept connection was not used: {idle:?}");
+        assert!(opened == 0 || idle.min == 0, "{scenario:?}: an idle connection was not used: {idle:?}");
         assert!(opened == 1 || idle.max > 0, "{scenario:?}: no connection was opened: {idle:?}");
         idle = idle.after(opened, scenario);
         if has_stale_reset {
@@ -253,7 +253,7 @@
     }
     use Outcome::{PrefillDone, StaleConnection};
     assert_eq!(outcomes, [PrefillDone, StaleConnection, PrefillDone, PrefillDone]);
-    assert_eq!(*stand_in.accepted.lock().unwrap(), 3, "each has been idle for twice what is trusted");
+    assert_eq!(*stand_in.accepted.lock().unwrap(), 3, "each has been idle for twice the learned limit");
 }
 
 #[tokio::test]
@@ -262,11 +262,11 @@
     let address = listener.local_addr().unwrap();
     drop(listener);
     assert_eq!(attempt(&upstream(&[("server", 0, address)])).await, Outcome::NoConnection);
-    assert_eq!(attempt(&upstream(&[])).await, Outcome::NoConnection, "an address that was never told");
+    assert_eq!(attempt(&upstream(&[])).await, Outcome::NoConnection, "the address is unknown");
 }
 
-/// A probe tells what the server holds, and its connection serves the request that it was for at once: a
-/// second one would cost the server a handshake for each read, and servers take few.
+/// A probe returns the server's load, and the request that it was for reuses its connection at once. A second
+/// connection would cost the server a handshake for each prefill, and servers accept few.
 #[tokio::test]
 async fn a_request_after_a_probe_reuses_the_connection_of_the_probe() {
     let stand_in = StandIn::start(READ).await;
@@ -277,10 +277,10 @@
     assert_eq!(attempt(&upstream).await, Outcome::PrefillDone);
     assert_eq!(*stand_in.accepted.lock().unwrap(), 1);
     assert_eq!(attempt(&upstream).await, Outcome::PrefillDone);
-    assert_eq!(*stand_in.accepted.lock().unwrap(), 2, "a read's own answer is left alone first");
+    assert_eq!(*stand_in.accepted.lock().unwrap(), 2, "a connection settles after a prefill response");
 }
 
-/// A connection that comes up late takes its time from what the server is told.
+/// The time that a connection takes to open is subtracted from the time that the server is given.
 #[tokio::test]
 async fn the_remaining_time_is_taken_when_the_head_is_written() {
     let wait = Duration::from_secs(8);
@@ -291,38 +291,38 @@
         let permit = SendPermit::unconditional();
         upstream.attempt(&"decode".into(), &"late".into(), &call(), wait, &permit).await
     });
-    // The kernel tries again after a second.
+    // The kernel retries the connection after a second.
     sleep(Duration::from_millis(300)).await;
     let (head, arrived_at) = shut.first_request().await;
     let arrived_after = arrived_at - started_at;
-    assert!(arrived_after > Duration::from_millis(500), "it came up at once: {arrived_after:?}");
+    assert!(arrived_after > Duration::from_millis(500), "the connection opened at once: {arrived_after:?}");
     let remaining = head.lines().find_map(|line| line.strip_prefix("x-remaining: ")?.strip_suffix('u'));
     let remaining = Duration::from_micros(remaining.unwrap().parse().unwrap());
     assert!(
         remaining + arrived_after < wait + Duration::from_millis(200),
-        "remaining {remaining:?}, {arrived_after:?} after it began"
+        "remaining {remaining:?}, {arrived_after:?} after the attempt started"
     );
     attempt.abort();
 }
 
-/// What is known of the way to a server goes with its address.
+/// The measured round trip belongs to the address of a server, not to its name.
 #[tokio::test]
 async fn the_round_trip_to_a_server_is_measured_when_connecting() {
     let (first, second) = (StandIn::start(READ).await, StandIn::start(READ).await);
     let (upstream, addresses) = upstream_and_book(&[("server", 0, first.address)]);
     let id = Id::from("server");
-    assert_eq!(upstream.cancellation_delay(&id), Duration::ZERO, "nothing has been heard of it");
+    assert_eq!(upstream.cancellation_delay(&id), Duration::ZERO, "no connection has opened");
     assert_eq!(attempt(&upstream).await, Outcome::PrefillDone);
     let delay = upstream.cancellation_delay(&id);
     assert!(delay > Duration::ZERO && delay < Duration::from_secs(1), "{delay:?}");
     addresses.set(id.clone(), first.address);
-    assert_eq!(upstream.cancellation_delay(&id), delay, "a list that names it again changes nothing");
+    assert_eq!(upstream.cancellation_delay(&id), delay, "setting the same address changes nothing");
     addresses.set(id.clone(), second.address);
-    assert_eq!(upstream.cancellation_delay(&id), Duration::ZERO, "the way to another address is another");
+    assert_eq!(upstream.cancellation_delay(&id), Duration::ZERO, "another address has another round trip");
     assert_eq!(upstream.cancellation_delay(&Id::from("unknown")), Duration::ZERO);
 }
 
-/// A server that is back under another address is reached there, though a connection to the old one was kept.
+/// A server that returns at another address is reached there, even if a connection to the old one is idle.
 #[tokio::test]
 async fn an_idle_connection_is_not_reused_after_its_server_has_moved() {
     let (first, second) = (StandIn::start(READ).await, StandIn::start(READ).await);
@@ -330,7 +330,7 @@
     for _ in 0..2 {
         assert_eq!(attempt(&upstream).await, Outcome::PrefillDone);
     }
-    assert_eq!((first.posts().len(), *first.accepted.lock().unwrap()), (2, 1), "it is kept");
+    assert_eq!((first.posts().len(), *first.accepted.lock().unwrap()), (2, 1), "the connection is reused");
     addresses.set("server".into(), second.address);
     assert_eq!(attempt(&upstream).await, Outcome::PrefillDone);
     assert_eq!((first.posts().len(), second.posts().len()), (2, 1));
@@ -339,7 +339,7 @@
     assert_eq!((first.posts().len(), second.posts().len()), (3, 1));
 }
 
-/// A connection that breaks right after its last answer tells of its server, not of the age of all others.
+/// A connection that breaks right after its last response lowers the idle limit of its own server only.
 #[tokio::test]
 async fn a_reset_soon_after_a_response_keeps_the_connections_of_other_servers() {
     let (hasty, steady) = (StandIn::start(READ).await, StandIn::start(READ).await);
@@ -352,5 +352,5 @@
         sleep(Duration::from_millis(40)).await;
         assert_eq!(attempt_at(&upstream, "steady").await, Outcome::PrefillDone);
     }
-    assert_eq!(*steady.accepted.lock().unwrap(), 1, "a handshake for each request");
+    assert_eq!(*steady.accepted.lock().unwrap(), 1, "idle connections to it are no longer reused");
 }
--- a/daemon/tests/discovery.rs
+++ b/daemon/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! Where members come from, against stand-in servers on loopback.
+//! Sources of the list of members, against stand-in servers on loopback.
 
 mod support;
 
@@ -17,7 +17,7 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-/// Longer than anything here should take.
+/// An upper bound on every wait of these tests.
 const LATEST: Duration = Duration::from_secs(20);
 
 const EMPTY_LINE: &str = "\n";
@@ -49,7 +49,7 @@
     update.entries.iter().map(|e| (&*e.server, e.health)).collect()
 }
 
-/// What a configuration says of an agent, in a fleet of two.
+/// The configuration of an agent, in a fleet of two.
 fn discovery_config(agent: std::net::SocketAddr) -> DiscoveryConfig {
     DiscoveryConfig { agent, conductors: 2 }
 }
@@ -57,7 +57,7 @@
 #[tokio::test]
 async fn a_watch_resumes_from_the_last_version() {
     let agent = StandIn::start(Does::Silent).await;
-    // The first watch brings a change and ends; the second a line that can't be read; the third a list.
+    // The first watch delivers a change and ends, the second an invalid line, the third a list.
     agent.next(Does::BreaksAfter(&[EMPTY_LINE, LEAVING_CHANGE, EMPTY_LINE]));
     agent.next(Does::Streams(&[PARTIAL_LIST, "\n"]));
     agent.next(Does::StallsAfter(&[FULL_LIST_PARTS.0, FULL_LIST_PARTS.1]));
@@ -80,7 +80,7 @@
         (second.kind, server_health(&second)),
         (ListUpdateKind::Changes, vec![("a", Health::Draining)])
     );
-    assert_eq!(addresses.get(&Id::from("a")), Some(([127, 0, 0, 1], 7).into()), "its address has moved");
+    assert_eq!(addresses.get(&Id::from("a")), Some(([127, 0, 0, 1], 7).into()), "the address has changed");
     let third = discovery.next().await.unwrap();
     assert_eq!((third.kind, third.entries.len()), (ListUpdateKind::Full, 0));
     let watch_line = |rev: u32| format!("GET /catalog/members?stream=1&index={rev} HTTP/1.1");
@@ -91,7 +91,7 @@
 #[tokio::test]
 async fn a_new_agent_address_is_used_at_once_with_a_full_list() {
     let (mut old, new) = (StandIn::start(Does::Silent).await, StandIn::start(Does::Silent).await);
-    // The new agent counts its versions from elsewhere; asked for changes since 8, it might never answer.
+    // The new agent has its own versions; asked for changes since version 8, it might never respond.
     new.next(Does::Says(200, false, "{\"rev\":2,\"all\":true,\"targets\":[]}"));
     new.next(Does::StallsAfter(&[LEAVING_CHANGE]));
     old.next(Does::StallsAfter(&[LEAVING_CHANGE]));
@@ -153,7 +153,7 @@
     config_sender.send(discovery_config(new_agent.address)).unwrap();
     let full = timeout(LATEST, discovery.next()).await.expect("a list in time").unwrap();
     assert_eq!((full.kind, full.entries.len()), (ListUpdateKind::Full, 0));
-    assert_eq!(agent.posts().len() + agent.got.lock().unwrap().len(), 1, "one watch has brought all");
+    assert_eq!(agent.posts().len() + agent.got.lock().unwrap().len(), 1, "one watch delivered all");
 }
 
 #[tokio::test]
@@ -165,7 +165,7 @@
             agent.next(Does::StallsAfter(&[EMPTY_LINE]));
             agent.next(Does::StallsAfter(&[LEAVING_CHANGE]));
             let (_config_sender, config) = watch::channel(discovery_config(agent.address));
-            // As in a fleet of 300, where waits between calls are longest.
+            // In a fleet of 300 the waits between calls are longest.
             let (addresses, backoff) = (Arc::new(AddressTable::default()), Backoff::new(300, seed));
             let mut discovery = PlatformDiscovery::new(
                 config,
@@ -187,7 +187,7 @@
     assert!(elapsed.iter().all(|t| *t <= Duration::from_secs(6)), "{elapsed:?}");
 }
 
-/// A list that waits for news of this agent, as one of a fleet of 300, past what it was started with.
+/// Creates the discovery of one conductor in a fleet of 300, with the last known list already delivered.
 async fn discovery_past_known_list(config: watch::Receiver<DiscoveryConfig>, seed: u64) -> PlatformDiscovery {
     let (addresses, backoff) = (Arc::new(AddressTable::default()), Backoff::new(300, seed));
     let mut discovery = PlatformDiscovery::new(
@@ -208,7 +208,7 @@
     let mut discoveries = tokio::task::JoinSet::new();
     for seed in 0..8 {
         discoveries.spawn(async move {
-            // It takes the connection and says nothing; or a head, of which nothing more comes.
+            // The agent accepts the connection and sends nothing, or an incomplete head.
             let agent = StandIn::start(Does::Silent).await;
             agent.next([Does::Silent, Does::Raw("HTTP/1.1 200 OK\r\ncontent-")][seed as usize % 2].clone());
             agent.next(Does::StallsAfter(&[LEAVING_CHANGE]));
@@ -249,10 +249,11 @@
     let mut discovery = discovery_past_known_list(config, 1).await;
     let update = timeout(LATEST, discovery.next()).await.expect("a change in time").unwrap();
     assert_eq!(server_health(&update), [("a", Health::Draining)]);
-    assert_eq!(agent.got.lock().unwrap().len(), 1, "by the first watch");
+    assert_eq!(agent.got.lock().unwrap().len(), 1, "the first watch delivered it");
 }
 
-/// What went wrong at the old agent must not make the new one wait: after SIGHUP, time runs anew.
+/// Failures at the old agent must not delay the calls to the new one: after a reload by SIGHUP, the time
+/// for an update counts anew.
 #[tokio::test]
 async fn failures_at_one_agent_do_not_delay_the_call_to_the_next() {
     let (old, new) = (StandIn::start(Does::Resets).await, StandIn::start(Does::Silent).await);
@@ -261,7 +262,7 @@
     let (config_sender, config) = watch::channel(discovery_config(old.address));
     let mut discovery = discovery_past_known_list(config, 3).await;
     let update = tokio::spawn(async move { discovery.next().await.unwrap().kind });
-    // By then its waits have grown.
+    // The waits have grown by then.
     while old.got.lock().unwrap().len() < 3 {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
@@ -271,7 +272,7 @@
     assert!(started_at.elapsed() < Duration::from_millis(2_500), "{:?}", started_at.elapsed());
 }
 
-/// A line may come in pieces.
+/// One line of a watch, split into two pieces.
 const FULL_LIST_PARTS: (&str, &str) = FULL_LIST.split_at(13);
 
 #[tokio::test(start_paused = true)]
@@ -281,8 +282,8 @@
     let five_s_ago = clock.from_unix_ms(now - 5_000);
     assert!(clock.now() - five_s_ago >= 4_900_000 && clock.now() - five_s_ago <= 5_100_000);
     tokio::time::advance(Duration::from_secs(30)).await;
-    assert_eq!(clock.from_unix_ms(now - 5_000), five_s_ago, "else each list would look like a restart");
-    assert_eq!(clock.from_unix_ms(1), 0, "long ago");
+    assert_eq!(clock.from_unix_ms(now - 5_000), five_s_ago, "a moved start would look like a restart");
+    assert_eq!(clock.from_unix_ms(1), 0, "times before the process's clock started count as zero");
 }
 
 #[tokio::test(start_paused = true)]
@@ -305,7 +306,7 @@
     addresses.apply_update(&update(ListUpdateKind::Changes, &[("a", Health::Gone), ("c", Health::Draining)]));
     addresses.apply_update(&update(ListUpdateKind::Full, &[("c", Health::Up)]));
     let has_address = || ["a", "b", "c"].map(|name| addresses.get(&Id::from(name)).is_some());
-    assert_eq!(has_address(), [true; 3], "calls that let go of state may still want it");
+    assert_eq!(has_address(), [true; 3], "calls that release a KV cache may still need it");
     tokio::time::advance(Duration::from_secs(31)).await;
     addresses.apply_update(&update(ListUpdateKind::Changes, &[]));
     assert_eq!(has_address(), [false, false, true]);
@@ -342,7 +343,7 @@
     let draining = assignment(json!([endpoint(11, json!("DRAINING")), endpoint(12, json!("UNHEALTHY"))]));
     server.next(Does::Says(200, false, resources("c1", clusters)));
     server.next(Does::Says(200, false, resources("e1", two_healthy)));
-    // Nothing new; then a failure; then a drain.
+    // First no change, then a failure, then a drain.
     server.next(Does::Says(304, false, ""));
     server.next(Does::Says(304, false, ""));
     server.next(Does::Says(500, false, ""));
@@ -378,7 +379,7 @@
     micros() / 1_000
 }
 
-/// The wall clock of this machine is an hour behind the fleet's, or the fleet's an hour ahead of it.
+/// The wall clock of this machine is an hour behind that of the fleet.
 #[tokio::test]
 async fn start_times_are_not_in_the_future_and_do_not_change() {
     let boot_ms = unix_ms() + 3_600_000;
@@ -393,11 +394,15 @@
     let known = known_listing("decode", boot_ms);
     let mut discovery = PlatformDiscovery::new(config, known, backoff, names(), clock, addresses, log());
     let first = discovery.next().await.unwrap().entries[0].started;
-    assert!(first > 0 && first <= clock.now(), "in slow start for an hour");
-    assert_eq!(discovery.next().await.unwrap().entries[0].started, first, "it looks like a restart");
+    assert!(first > 0 && first <= clock.now(), "the server would be in slow start for an hour");
+    assert_eq!(
+        discovery.next().await.unwrap().entries[0].started,
+        first,
+        "a repeated list must not look like a restart"
+    );
 }
 
-/// The wall clock of this machine is an hour ahead: what starts now seems to have started an hour ago.
+/// The wall clock of this machine is an hour ahead, so a start of this moment seems to be an hour ago.
 #[tokio::test]
 async fn a_new_start_in_a_watch_counts_as_recent() {
     let boot_ms = unix_ms() - 3_600_000;
@@ -415,10 +420,13 @@
     discovery.next().await.unwrap();
     let started = discovery.next().await.unwrap().entries[0].started;
     let age = Duration::from_micros(clock.now() - started);
-    assert!(age < Duration::from_secs(10), "started {age:?} ago: it would get the load of a warm server");
+    assert!(
+        age < Duration::from_secs(10),
+        "started {age:?} ago: the server would get the load of a warm one"
+    );
 }
 
-/// New configurations come quicker than a list, and name the same agent.
+/// New configurations that name the same agent arrive faster than a list can be read.
 #[tokio::test]
 async fn a_configuration_with_the_same_agent_does_not_cancel_the_call() {
     let agent = StandIn::start(Does::Silent).await;
@@ -447,7 +455,7 @@
             config_sender.send_replace(same);
         }
     });
-    let update = timeout(LATEST, discovery.next()).await.expect("no list is ever read to its end").unwrap();
+    let update = timeout(LATEST, discovery.next()).await.expect("the list is read to its end").unwrap();
     assert_eq!(update.kind, ListUpdateKind::Full);
-    assert_eq!(*agent.accepted.lock().unwrap(), 1, "the call was made anew");
+    assert_eq!(*agent.accepted.lock().unwrap(), 1, "the call was not repeated");
 }
--- a/daemon/tests/servers.rs
+++ b/daemon/tests/servers.rs
@@ -1,5 +1,5 @@
-//! Answers that are cut, spoilt, late or without end, by the effect of the request's class; and connections
-//! that come up late or never.
+//! Responses that are cut, invalid, late or endless, for a class that may run twice and one that may not, and
+//! connections that open late or never.
 
 mod support;
 
@@ -9,7 +9,7 @@
 use tokio::time::{sleep, timeout};
 
 const LATEST: Duration = Duration::from_secs(20);
-/// Half an event.
+/// An incomplete event.
 const PARTIAL_EVENT: &str = "data: {\"choices\":[{\"index\":0,";
 const TWO_RESPONSES: &str = "HTTP/1.1 202 Accepted\r\ncontent-length: 19\r\n\r\n{\"cached_tokens\":0}\
     HTTP/1.1 202 Accepted\r\ncontent-length: 19\r\n\r\n{\"cached_tokens\":9}";
@@ -18,7 +18,7 @@
     chat(id, class, 7_000)
 }
 
-/// Before the first event another attempt is possible, where the class may run twice or nothing has run.
+/// Before the first event another attempt is possible if the class may run twice or the request has not run.
 #[tokio::test]
 async fn a_failure_before_the_first_event_is_retried_only_if_the_class_allows_it() {
     let may_have_run = [
@@ -47,11 +47,16 @@
         let site = Site::start().await;
         site.writer.next(Does::Says(503, true, ""));
         let answer = exchange(site.platform, &request("t", class)).await;
-        assert_eq!((answer.status, site.writer.posts().len()), (200, 2), "{class}: it never ran");
+        assert_eq!(
+            (answer.status, site.writer.posts().len()),
+            (200, 2),
+            "{class}: the rejected request never ran"
+        );
     }
 }
 
-/// From the first event on the answer is the client's: it ends without its end, and nothing is sent again.
+/// After the first event the response belongs to the client: it is cut without its final chunk, and nothing
+/// is sent again.
 #[tokio::test]
 async fn a_stream_that_breaks_after_the_first_event_is_cut_and_not_retried() {
     for (behavior, max_duration) in [
@@ -63,8 +68,9 @@
             let site = Site::start().await;
             site.writer.next(behavior.clone());
             let started_at = Instant::now();
-            let answer =
-                timeout(LATEST, exchange(site.platform, &request("t", class))).await.expect("an end");
+            let answer = timeout(LATEST, exchange(site.platform, &request("t", class)))
+                .await
+                .expect("the response ends");
             assert_eq!(
                 (answer.status, answer.whole, &*answer.body),
                 (200, false, EVENT),
@@ -84,7 +90,7 @@
     }
 }
 
-/// An answer that runs on after its last event, and a second answer behind the first.
+/// Sends a second response right after the first, which must not be taken for that of the next request.
 #[tokio::test]
 async fn bytes_after_a_response_do_not_reach_the_next_request() {
     let site = Site::start().await;
@@ -95,11 +101,11 @@
             assert_eq!((answer.status, answer.whole), (200, true), "{n}-{m}: {answer:?}");
         }
     }
-    assert_eq!((site.reader.posts().len(), site.writer.posts().len()), (8, 8), "each went out once");
+    assert_eq!((site.reader.posts().len(), site.writer.posts().len()), (8, 8), "each request was sent once");
 }
 
-/// One server takes no connection: the request goes by the other, one attempt at a time, and nothing is sent
-/// on what comes up when nobody waits for it any more.
+/// One server of each role accepts no connection. Requests go to the other, one attempt at a time, and
+/// nothing is sent on a connection that opens after its attempt has ended.
 #[tokio::test]
 async fn a_connection_that_opens_late_or_never_carries_no_request() {
     for class in ["ask", "book"] {
@@ -116,17 +122,17 @@
             let answer = exchange(site.platform, &request(&format!("{class}-{n}"), class)).await;
             assert_eq!((answer.status, answer.answers), (200, 1), "{class}-{n}");
         }
-        assert_eq!(decode.posts().len(), 6, "{class}: each ran once");
-        // Connections that were given up have gone; no server holds anything.
+        assert_eq!(decode.posts().len(), 6, "{class}: each request ran once");
+        // Cancelled connections are closed, and no server keeps a KV cache.
         site.conductor.wait_for_releases().await;
         let sent = tokio::join!(no_prefill.opened_and_sent(), no_decode.opened_and_sent());
-        assert_eq!(sent, (0, 0), "{class}: something was sent late");
+        assert_eq!(sent, (0, 0), "{class}: nothing is sent on a late connection");
         sleep(Duration::from_millis(20)).await;
         assert_eq!((prefill.posts().len(), decode.posts().len()), (6, 6), "{class}");
     }
 }
 
-/// No server is known at all: each class is refused in time, with an answer, and told when to come back.
+/// No server is known. A request of each class is rejected in time with a response that says when to retry.
 #[tokio::test]
 async fn a_request_without_any_server_is_rejected_in_time() {
     let site = Open::before(&[], CLIENT_TIMEOUTS);
--- a/daemon/tests/slow_start.rs
+++ b/daemon/tests/slow_start.rs
@@ -1,5 +1,5 @@
-//! Several processes of the program before one server that has just started: together they keep within what
-//! the settings let a cold server take, and fill it all the same.
+//! Several conductor processes and one server that has just started: together they do not overload the
+//! server in slow start, and still use what the settings let it take.
 
 mod support;
 
@@ -12,11 +12,13 @@
 
 const PROCESSES: usize = 3;
 const WARM_SERVERS: usize = 3;
-/// Requests a second in all, which the warm servers share.
+/// The request rate in all, shared by the warm servers.
 const REQUESTS_PER_S: f64 = 120.0;
-/// Of the settings: what a cold server takes at once, and the window in which it falls.
-const SLOW_START_SHARE: f64 = 0.25 * 3.0;
-const WINDOW: Duration = Duration::from_secs(2);
+/// From the settings: the initial share of a server in slow start times the overload multiple, and the
+/// overload duration. A server fails if it gets more than that share of a warm server's requests for that
+/// duration.
+const OVERLOAD_SHARE: f64 = 0.25 * 3.0;
+const OVERLOAD_DURATION: Duration = Duration::from_secs(2);
 const LATEST: Duration = Duration::from_secs(20);
 
 async fn client(address: std::net::SocketAddr, client: usize, interval: Duration, end: Instant) -> usize {
@@ -25,7 +27,7 @@
         let started_at = Instant::now();
         let id = format!("c{client}-{sent}");
         let request = chat(&id, "ask", 7_000);
-        let answer = timeout(LATEST, exchange(address, &request)).await.expect("an answer in time");
+        let answer = timeout(LATEST, exchange(address, &request)).await.expect("a response in time");
         served += usize::from(answer.status == 200);
         sent += 1;
         sleep(interval.saturating_sub(started_at.elapsed())).await;
@@ -34,7 +36,7 @@
 }
 
 #[tokio::test]
-async fn processes_that_list_a_new_server_together_stay_within_its_slow_start_limit() {
+async fn processes_that_list_a_new_server_together_do_not_overload_it() {
     let (mut prefill, mut decode) = (Vec::new(), Vec::new());
     for _ in 0..WARM_SERVERS {
         prefill.push(StandIn::start(READ).await);
@@ -50,7 +52,7 @@
         targets.push(target(format!("p{n}"), "prefill", &prefill[n], 0));
         targets.push(target(format!("d{n}"), "decode", &decode[n], 0));
     }
-    // Watches that bring nothing fall silent after 3 s; those that follow tell of the start.
+    // The first watches deliver nothing and time out after 3 s. Those that follow list the new server.
     let started_at = Instant::now();
     let boot_ms = micros() / 1_000 + 3_000;
     let update =
@@ -69,7 +71,7 @@
         running.push(Running::start(program(&format!("slow-start-{n}"), &config.to_string())));
         agents.push(agent);
     }
-    // The first has as much traffic as the others together.
+    // The first process gets as many requests as the others together.
     let end = started_at + Duration::from_secs(9);
     let clients_per_process = 6;
     let mut clients = JoinSet::new();
@@ -85,17 +87,21 @@
     }
     let served: usize = clients.join_all().await.into_iter().sum();
     let count_at = |when: Instant| samples.iter().take_while(|c| c.0 <= when).last().map_or(0, |c| c.1);
-    let max_in_window = samples.iter().map(|c| count_at(c.0 + WINDOW) - c.1).max().unwrap_or(0) as f64;
-    // What the warm ones really got, as a busy machine may ask less.
+    let max_in_window =
+        samples.iter().map(|c| count_at(c.0 + OVERLOAD_DURATION) - c.1).max().unwrap_or(0) as f64;
+    // The budget follows the requests that the warm servers received, as a busy machine may send fewer.
     let warm_requests: usize = decode.iter().map(|d| d.posts().len()).sum();
     let requests_per_s = warm_requests as f64 / WARM_SERVERS as f64 / 9.0;
-    let budget = requests_per_s * SLOW_START_SHARE * WINDOW.as_secs_f64();
+    let budget = requests_per_s * OVERLOAD_SHARE * OVERLOAD_DURATION.as_secs_f64();
     assert!(served > 300, "{served} served");
     assert!(
         max_in_window <= budget + 2.0 * budget.sqrt() + 2.0,
-        "{max_in_window} in {WINDOW:?}, budget {budget:.1}"
+        "{max_in_window} in {OVERLOAD_DURATION:?}, budget {budget:.1}"
+    );
+    assert!(
+        max_in_window >= budget * 0.1,
+        "{max_in_window} in {OVERLOAD_DURATION:?}, budget {budget:.1}: the server starves"
     );
-    assert!(max_in_window >= budget * 0.1, "{max_in_window} in {WINDOW:?}, budget {budget:.1}: it starves");
     for process in running {
         process.signal("-TERM");
         process.ends_well().await;
--- a/daemon/tests/unit/link.rs
+++ b/daemon/tests/unit/link.rs
@@ -1,4 +1,4 @@
-//! Tests of what `daemon/src/upstream/link.rs` keeps to itself.
+//! Tests of private items of `daemon/src/upstream/link.rs`.
 
 use std::io::Read as _;
 
@@ -6,8 +6,8 @@
 
 use super::*;
 
-/// No task runs between the drop and the look at the server's side: whatever the conductor writes next,
-/// as a refusal, comes after the end of the attempt.
+/// No task runs between the drop and the check at the server's side, so whatever the conductor writes next,
+/// such as a rejection to the client, follows the end of the attempt.
 #[tokio::test]
 async fn a_dropped_connection_closes_its_socket_at_once() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
--- a/daemon/tests/unit/objects.rs
+++ b/daemon/tests/unit/objects.rs
@@ -1,4 +1,4 @@
-//! Objects out of pieces.
+//! Decoding of JSON objects that arrive in pieces.
 
 use std::time::{Duration, Instant};
 
@@ -47,7 +47,7 @@
     }
 }
 
-/// Each piece of it was once a reason to read all that had come anew: half a minute of work for one list.
+/// Guards against parsing all received bytes again for each piece, which took half a minute for one list.
 #[test]
 fn a_long_indented_list_in_small_pieces_is_decoded_in_linear_time() {
     let text = listing_text(11_000, true);
--- a/daemon/tests/unit/sse.rs
+++ b/daemon/tests/unit/sse.rs
@@ -1,11 +1,12 @@
-//! Tests of what `daemon/src/upstream/sse.rs` keeps to itself.
+//! Tests of private items of `daemon/src/upstream/sse.rs`.
 
 use super::*;
 use quickcheck::{Gen, QuickCheck};
 
 const EVENTS: [&str; 4] = ["data: {}\n\n", ": X-Pressure: {}\n\n", "event: a\r\ndata\r\n\r\n", "id:1\n\n"];
 
-/// Events in pieces that end anywhere, then noise: all events come whole and unchanged, then none.
+/// Splits events that arrive in pieces of any size, followed by invalid input or an incomplete event.
+/// Checks that all events come out complete and unchanged, and nothing of the invalid input.
 fn splits_any_pieces(event_indices: Vec<u8>, cuts: Vec<u8>, noise: bool) -> bool {
     let events: Vec<&str> =
         event_indices.iter().map(|index| EVENTS[usize::from(*index) % EVENTS.len()]).collect();
@@ -51,5 +52,5 @@
             false
         }
     };
-    assert!((0..3_600).any(&mut exceeds_response_limit), "one answer");
+    assert!((0..3_600).any(&mut exceeds_response_limit), "one response");
 }
--- a/daemon/tests/unit/starts.rs
+++ b/daemon/tests/unit/starts.rs
@@ -13,21 +13,29 @@
 #[test]
 fn a_known_start_time_does_not_change() {
     let mut starts = StartTimes::default();
-    assert_eq!(starts.start_time(&server("a"), 0, 0, NOW), 0, "long ago");
-    assert_eq!(starts.start_time(&server("a"), 7, NOW + HOUR, NOW), NOW, "never in the future");
+    assert_eq!(starts.start_time(&server("a"), 0, 0, NOW), 0, "a boot time of zero means long ago");
+    assert_eq!(starts.start_time(&server("a"), 7, NOW + HOUR, NOW), NOW, "a start is never in the future");
     assert_eq!(starts.start_time(&server("a"), 7, NOW + HOUR, NOW + SECOND), NOW);
-    assert_eq!(starts.start_time(&server("a"), 8, NOW + HOUR, NOW + SECOND), NOW + SECOND, "started anew");
+    assert_eq!(
+        starts.start_time(&server("a"), 8, NOW + HOUR, NOW + SECOND),
+        NOW + SECOND,
+        "a new boot time is a restart"
+    );
 }
 
 #[test]
 fn a_new_start_is_no_older_than_the_last_contact_allows() {
     let mut starts = StartTimes::default();
-    assert_eq!(starts.start_time(&server("a"), 7, NOW - HOUR, NOW), NOW - HOUR, "nothing was heard before");
+    assert_eq!(starts.start_time(&server("a"), 7, NOW - HOUR, NOW), NOW - HOUR, "no contact before");
     starts.record_contact(NOW);
     let later = NOW + 20 * SECOND;
-    assert_eq!(starts.start_time(&server("a"), 7, NOW - HOUR, later), NOW - HOUR, "told before");
+    assert_eq!(starts.start_time(&server("a"), 7, NOW - HOUR, later), NOW - HOUR, "already known");
     assert_eq!(starts.start_time(&server("b"), 9, NOW - HOUR, later), NOW - MAX_LISTING_DELAY);
-    assert_eq!(starts.start_time(&server("c"), 9, NOW + SECOND, later), NOW + SECOND, "after an outage");
+    assert_eq!(
+        starts.start_time(&server("c"), 9, NOW + SECOND, later),
+        NOW + SECOND,
+        "after an outage the converted time counts"
+    );
     starts.reset_contact();
     assert_eq!(starts.start_time(&server("d"), 9, NOW - HOUR, later), NOW - HOUR);
 }
