--- a/daemon/src/config.rs
+++ b/daemon/src/config.rs
@@ -15,7 +15,7 @@
 use serde_json::Value;
 
 use crate::discovery::{DiscoveryConfig, Listing};
-use crate::transient::is_read_failure;
+use crate::transient::is_transient_read_error;
 
 /// Why the daemon can't start.
 #[derive(Debug, thiserror::Error)]
@@ -52,7 +52,7 @@
 impl ConfigError {
     /// Whether the file may be readable a moment later.
     pub fn is_transient(&self) -> bool {
-        matches!(self, ConfigError::Unreadable(_, e) if is_read_failure(e))
+        matches!(self, ConfigError::Unreadable(_, e) if is_transient_read_error(e))
     }
 }
 
@@ -209,7 +209,7 @@
         let seed = u64::from_str_radix(&file.seed, 16).map_err(|_| ConfigError::Seed(at()))?;
         let settings = |e| ConfigError::Settings(at(), e);
         let names = ConfiguredNames::new(&file.settings).map_err(settings)?;
-        if let Some(fault) = file.known.fault() {
+        if let Some(fault) = file.known.first_error() {
             return Err(ConfigError::Known(at(), fault));
         }
         if file.limits.sockets < MIN_SOCKETS {
--- a/daemon/src/upstream/mod.rs
+++ b/daemon/src/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! The way to the servers: where they are, connections to them, and the three calls.
+//! The HTTP client for the servers: their addresses, connections to them, attempts, probes and releases.
 
 mod attempt;
 mod calls;
@@ -20,100 +20,100 @@
 use tokio::time::Instant;
 
 pub use attempt::ServerEvents;
-pub use pool::{Limits, Pool};
+pub use pool::{ConnectionLimits, ConnectionPool};
 
-/// A server that has gone keeps its last address for this time, as calls that let go of state may still want
-/// it; they end some seconds after it.
-const GONE_KEPT: Duration = Duration::from_secs(30);
+/// How long a server that has gone keeps its address, as calls that release its KV cache may still need it.
+/// Those calls end a few seconds after the server has gone.
+const GONE_ADDRESS_TTL: Duration = Duration::from_secs(30);
 
-/// Where each server is. Filled by discovery.
+/// The address of each server, filled by discovery.
 #[derive(Default)]
-pub struct AddressTable(Mutex<HashMap<Id, Entry>>);
+pub struct AddressTable(Mutex<HashMap<Id, AddressEntry>>);
 
-struct Entry {
+struct AddressEntry {
     address: SocketAddr,
-    gone: Option<Instant>,
-    /// The shortest time in which a connection to it came up: a way there and back.
+    gone_since: Option<Instant>,
+    /// The shortest time that a connection to it took to open, about one round trip.
     round_trip: Option<Duration>,
 }
 
 impl AddressTable {
-    /// Notes where a server is.
+    /// Sets the address of a server.
     pub fn set(&self, server: Id, address: SocketAddr) {
-        let mut book = lock(&self.0);
-        let same = book.get(&server).filter(|entry| entry.address == address);
-        let round_trip = same.and_then(|entry| entry.round_trip);
-        book.insert(server, Entry { address, gone: None, round_trip });
+        let mut addresses = lock(&self.0);
+        let same_address = addresses.get(&server).filter(|entry| entry.address == address);
+        let round_trip = same_address.and_then(|entry| entry.round_trip);
+        addresses.insert(server, AddressEntry { address, gone_since: None, round_trip });
     }
 
-    /// Notes how long a connection to it took to come up.
-    fn came_up(&self, server: &Id, took: Duration) {
+    /// Records how long a connection to a server took to open.
+    fn record_connect_time(&self, server: &Id, elapsed: Duration) {
         if let Some(entry) = lock(&self.0).get_mut(server) {
-            entry.round_trip = Some(entry.round_trip.map_or(took, |least| least.min(took)));
+            entry.round_trip = Some(entry.round_trip.map_or(elapsed, |shortest| shortest.min(elapsed)));
         }
     }
 
-    /// How long a connection's end may be on its way there: two round trips, as one way may be four times as
-    /// slow as half of the shortest. Nothing where no connection has come up.
+    /// How long the end of a connection may take to reach a server: two round trips, as one way may be four
+    /// times as slow as half of the shortest. Zero if no connection to it has opened.
     fn cancellation_delay(&self, server: &Id) -> Duration {
         let round_trip = lock(&self.0).get(server).and_then(|entry| entry.round_trip);
         round_trip.unwrap_or_default() * 2
     }
 
-    /// Where it is.
+    /// Returns the address of a server.
     pub fn get(&self, server: &Id) -> Option<SocketAddr> {
         lock(&self.0).get(server).map(|entry| entry.address)
     }
 
-    /// Follows the list of members: what has left it is forgotten after a while.
-    pub fn follow(&self, news: &MembershipUpdate) {
-        let (now, mut book) = (Instant::now(), lock(&self.0));
-        if matches!(news.kind, ListUpdateKind::Full | ListUpdateKind::StaleCopy) {
-            book.values_mut().for_each(|entry| entry.gone = entry.gone.or(Some(now)));
+    /// Applies a change to the list of members. Servers that have left it are forgotten after a while.
+    pub fn apply_update(&self, update: &MembershipUpdate) {
+        let (now, mut addresses) = (Instant::now(), lock(&self.0));
+        if matches!(update.kind, ListUpdateKind::Full | ListUpdateKind::StaleCopy) {
+            addresses.values_mut().for_each(|entry| entry.gone_since = entry.gone_since.or(Some(now)));
         }
-        for member in &news.entries {
-            if let Some(entry) = book.get_mut(&member.server) {
-                let gone = member.health == Health::Gone;
-                entry.gone = gone.then_some(entry.gone.unwrap_or(now));
+        for member in &update.entries {
+            if let Some(entry) = addresses.get_mut(&member.server) {
+                let is_gone = member.health == Health::Gone;
+                entry.gone_since = is_gone.then_some(entry.gone_since.unwrap_or(now));
             }
         }
-        book.retain(|_, entry| entry.gone.is_none_or(|at| now - at < GONE_KEPT));
+        addresses.retain(|_, entry| entry.gone_since.is_none_or(|at| now - at < GONE_ADDRESS_TTL));
     }
 }
 
-/// What these locks guard is whole between any two statements, so a panic elsewhere does no harm to it.
+/// Locks a mutex even if it is poisoned: the guarded data is consistent between any two statements.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A request as it goes to a server.
+/// A request as it is sent to a server.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// Its method,
+    /// The HTTP method.
     pub method: Method,
-    /// path and query,
+    /// The path and query.
     pub target: Uri,
-    /// headers (the time to wait is added for each attempt)
+    /// The headers, without the remaining time, which each attempt adds.
     pub headers: HeaderMap,
-    /// and body.
+    /// The body.
     pub body: Bytes,
 }
 
-/// The servers, as the core sees them.
+/// The core's access to the servers, over HTTP/1.
 pub struct HttpUpstream {
-    pool: Arc<Pool>,
+    pool: Arc<ConnectionPool>,
 }
 
 impl HttpUpstream {
-    /// The servers that the book knows; `sends` counts attempts that are written whole.
-    pub fn new(book: Arc<AddressTable>, limits: Limits, sends: IntCounter) -> Self {
-        HttpUpstream { pool: Arc::new(Pool::new(book, limits, sends)) }
+    /// Reaches the servers in `addresses`. `sends` counts the attempts that are written completely.
+    pub fn new(addresses: Arc<AddressTable>, limits: ConnectionLimits, sends: IntCounter) -> Self {
+        HttpUpstream { pool: Arc::new(ConnectionPool::new(addresses, limits, sends)) }
     }
 
-    /// Takes the times of connections from new settings.
+    /// Applies the connection timeouts of new settings.
     pub fn reconfigure(&self, settings: &Settings) {
         let connect_timeout = Duration::from_micros(settings.connect_timeout);
-        self.pool.set_times(connect_timeout, Duration::from_micros(settings.connection_idle_timeout));
+        self.pool.set_timeouts(connect_timeout, Duration::from_micros(settings.connection_idle_timeout));
     }
 }
 
@@ -133,7 +133,7 @@
     }
 
     fn cancellation_delay(&self, server: &Id) -> Duration {
-        self.pool.end_takes(server)
+        self.pool.cancellation_delay(server)
     }
 
     async fn release(&self, server: &Id, request: &Id) -> bool {
