--- a/daemon/src/command/serve.rs
+++ b/daemon/src/command/serve.rs
@@ -10,8 +10,8 @@
 use frosttrail_daemon::config::{self, ChatConfig, Config, ConfigError, XdsConfig};
 use frosttrail_daemon::discovery::{Backoff, Discovery, DiscoveryConfig, Xds};
 use frosttrail_daemon::ending::Ending;
-use frosttrail_daemon::front::chat::Chat;
-use frosttrail_daemon::front::platform::Platform;
+use frosttrail_daemon::front::chat::ChatFront;
+use frosttrail_daemon::front::platform::PlatformFront;
 use frosttrail_daemon::front::{ClientListeners, ClientTimeouts};
 use frosttrail_daemon::listener_handover::ListenerHandover;
 use frosttrail_daemon::reload::Reload;
@@ -30,9 +30,9 @@
 /// How long clients may take: a request is small and comes from near, idle connections cost memory and
 /// descriptors, and a client on a bad line may fall silent for some seconds while its answer streams.
 const CLIENT_TIMEOUTS: ClientTimeouts = ClientTimeouts {
-    arrive: Duration::from_millis(2_200),
+    request_arrival: Duration::from_millis(2_200),
     idle: Duration::from_secs(5),
-    stall: Duration::from_secs(20),
+    write: Duration::from_secs(20),
 };
 /// A server's connection rests this long after an answer, in which what follows right behind has come.
 const SETTLE: Duration = Duration::from_millis(10);
@@ -124,9 +124,9 @@
         }
     }
     let mut listeners = Listeners::new(&doors, ops.as_mut().and_then(Ops::inherited));
-    doors.serve_on(listeners.bind(listen)?, Platform::new(conductor.clone()))?;
+    doors.serve_on(listeners.bind(listen)?, PlatformFront::new(conductor.clone()))?;
     if let Some(chat) = chat {
-        doors.serve_on(listeners.bind(chat.listen)?, Chat::new(conductor.clone(), chat))?;
+        doors.serve_on(listeners.bind(chat.listen)?, ChatFront::new(conductor.clone(), chat))?;
     }
     let membership = match membership {
         Some(config) => Some(join(config, &conductor, &log).await?),
@@ -147,7 +147,7 @@
     let Ending { notice, answer_all, last } = Ending::new(&conductor.settings());
     let succeeded = handover.as_ref().is_some_and(ListenerHandover::has_successor);
     info!(log, "SIGTERM: closing"; "within" => ?last, "another process accepts" => succeeded);
-    doors.leave();
+    doors.end_keep_alive();
     if succeeded {
         doors.stop_accepting();
     }
@@ -171,7 +171,7 @@
         }
     });
     if in_time.await.is_err() {
-        info!(log, "closed before all was done"; "connections" => doors.connections());
+        info!(log, "closed before all was done"; "connections" => doors.connection_count());
     }
     if let Some((membership, _shares)) = membership {
         // Nothing is sent from here any more: what it had is the others'.
--- a/daemon/src/front/body.rs
+++ b/daemon/src/front/body.rs
@@ -9,15 +9,15 @@
 use frosttrail_core::{AnswerStream, EventStream, StreamBroken};
 
 use super::chat::ChatStream;
-use super::clients::UnderWay;
+use super::clients::OpenRequestGuard;
 use http_body::{Body, Frame, SizeHint};
 use hyper::header::{HeaderName, HeaderValue, CONTENT_TYPE};
 use hyper::{Response, StatusCode};
 
 /// The body of an answer.
-pub enum FrontBody<E: EventStream> {
+pub enum ResponseBody<E: EventStream> {
     /// All of it at once.
-    Whole(Option<Bytes>),
+    Full(Option<Bytes>),
     /// Events as they come. A break is an error, on which the library ends the connection without the
     /// last chunk.
     Events(AnswerStream<E>),
@@ -25,7 +25,7 @@
     Chat(ChatStream<E>),
 }
 
-impl<E: EventStream> Body for FrontBody<E> {
+impl<E: EventStream> Body for ResponseBody<E> {
     type Data = Bytes;
     type Error = StreamBroken;
 
@@ -34,42 +34,42 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, StreamBroken>>> {
         match self.get_mut() {
-            FrontBody::Whole(bytes) => Poll::Ready(bytes.take().map(|b| Ok(Frame::data(b)))),
-            FrontBody::Events(events) => events.poll_next(cx).map(|next| next.map(|r| r.map(Frame::data))),
-            FrontBody::Chat(events) => events.poll_next(cx).map(|next| next.map(|r| r.map(Frame::data))),
+            ResponseBody::Full(bytes) => Poll::Ready(bytes.take().map(|b| Ok(Frame::data(b)))),
+            ResponseBody::Events(events) => events.poll_next(cx).map(|next| next.map(|r| r.map(Frame::data))),
+            ResponseBody::Chat(events) => events.poll_next(cx).map(|next| next.map(|r| r.map(Frame::data))),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            FrontBody::Whole(bytes) => bytes.is_none(),
-            FrontBody::Events(events) => events.is_finished(),
+            ResponseBody::Full(bytes) => bytes.is_none(),
+            ResponseBody::Events(events) => events.is_finished(),
             // Its end is known only once it has been asked for.
-            FrontBody::Chat(_) => false,
+            ResponseBody::Chat(_) => false,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            FrontBody::Whole(bytes) => SizeHint::with_exact(bytes.as_ref().map_or(0, |b| b.len() as u64)),
-            FrontBody::Events(_) | FrontBody::Chat(_) => SizeHint::default(),
+            ResponseBody::Full(bytes) => SizeHint::with_exact(bytes.as_ref().map_or(0, |b| b.len() as u64)),
+            ResponseBody::Events(_) | ResponseBody::Chat(_) => SizeHint::default(),
         }
     }
 }
 
 /// A body, and the request that is under way until it has gone.
-pub(super) struct Held<E: EventStream> {
-    body: FrontBody<E>,
-    _under_way: UnderWay,
+pub(super) struct TrackedBody<E: EventStream> {
+    body: ResponseBody<E>,
+    _open_request: OpenRequestGuard,
 }
 
-impl<E: EventStream> Held<E> {
-    pub(super) fn new(body: FrontBody<E>, under_way: UnderWay) -> Self {
-        Held { body, _under_way: under_way }
+impl<E: EventStream> TrackedBody<E> {
+    pub(super) fn new(body: ResponseBody<E>, open_request: OpenRequestGuard) -> Self {
+        TrackedBody { body, _open_request: open_request }
     }
 }
 
-impl<E: EventStream> Body for Held<E> {
+impl<E: EventStream> Body for TrackedBody<E> {
     type Data = Bytes;
     type Error = StreamBroken;
 
@@ -90,35 +90,35 @@
 }
 
 /// A front's answer.
-pub type FrontResponse<E> = Result<Response<FrontBody<E>>, Infallible>;
+pub type ServiceResult<E> = Result<Response<ResponseBody<E>>, Infallible>;
 
 /// A short answer.
-pub(super) fn whole<E: EventStream>(
+pub(super) fn full_response<E: EventStream>(
     status: StatusCode,
     content_type: &'static str,
     text: impl Into<Bytes>,
-) -> Response<FrontBody<E>> {
-    let mut response = Response::new(FrontBody::Whole(Some(text.into())));
+) -> Response<ResponseBody<E>> {
+    let mut response = Response::new(ResponseBody::Full(Some(text.into())));
     *response.status_mut() = status;
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(content_type));
     response
 }
 
 /// A stream of events.
-pub(super) fn events<E: EventStream>(stream: FrontBody<E>) -> Response<FrontBody<E>> {
+pub(super) fn event_stream_response<E: EventStream>(stream: ResponseBody<E>) -> Response<ResponseBody<E>> {
     let mut response = Response::new(stream);
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("text/event-stream"));
     response
 }
 
 /// Tells the client when to come back, in the words of its wire; nothing where there is no advice.
-pub(super) fn advise<E: EventStream>(
-    response: &mut Response<FrontBody<E>>,
+pub(super) fn set_retry_after<E: EventStream>(
+    response: &mut Response<ResponseBody<E>>,
     name: HeaderName,
     retry_after: Duration,
-    words: impl FnOnce(Duration) -> String,
+    format: impl FnOnce(Duration) -> String,
 ) {
-    if let Ok(value) = HeaderValue::try_from(words(retry_after)) {
+    if let Ok(value) = HeaderValue::try_from(format(retry_after)) {
         if !retry_after.is_zero() {
             response.headers_mut().insert(name, value);
         }
--- a/daemon/src/front/chat/error.rs
+++ b/daemon/src/front/chat/error.rs
@@ -6,7 +6,7 @@
 use serde_json::json;
 
 use super::{JSON, SHOULD_RETRY};
-use crate::front::body::{whole, FrontBody};
+use crate::front::body::{full_response, ResponseBody};
 use crate::front::input::InputError;
 
 /// What a client is told instead of an answer.
@@ -17,29 +17,29 @@
     #[error("`{param}` {why}")]
     Field { param: &'static str, why: &'static str },
     #[error("Too many requests wait already; try again after the time given.")]
-    Busy,
+    Overloaded,
     #[error("No model server can be reached at the moment; try again after the time given.")]
-    NoServer,
+    NoServerReachable,
     #[error("The model server failed. The request may have taken effect.")]
-    HttpUpstream,
+    ServerFailed,
     #[error("No answer came in time. The request may have taken effect.")]
     TimedOut,
 }
 
 impl ApiError {
     /// Why a request that never ran was refused.
-    pub(super) fn refused(reached: bool) -> Self {
-        match reached {
-            true => ApiError::Busy,
-            false => ApiError::NoServer,
+    pub(super) fn from_refusal(has_reached_server: bool) -> Self {
+        match has_reached_server {
+            true => ApiError::Overloaded,
+            false => ApiError::NoServerReachable,
         }
     }
 
     /// Status, type, parameter and code.
-    fn words(&self) -> (StatusCode, &'static str, Option<&'static str>, Option<&'static str>) {
+    fn status_and_fields(&self) -> (StatusCode, &'static str, Option<&'static str>, Option<&'static str>) {
         const INVALID: &str = "invalid_request_error";
         match self {
-            ApiError::Input(e @ InputError::Model(_)) => {
+            ApiError::Input(e @ InputError::UnknownModel(_)) => {
                 (e.status(), INVALID, Some("model"), Some("model_not_found"))
             }
             ApiError::Input(e) if e.is_refusal() => {
@@ -47,23 +47,23 @@
             }
             ApiError::Input(e) => (e.status(), INVALID, None, None),
             ApiError::Field { param, .. } => (StatusCode::BAD_REQUEST, INVALID, Some(param), None),
-            ApiError::Busy => {
+            ApiError::Overloaded => {
                 (StatusCode::TOO_MANY_REQUESTS, "rate_limit_error", None, Some("rate_limit_exceeded"))
             }
-            ApiError::NoServer => {
+            ApiError::NoServerReachable => {
                 (StatusCode::SERVICE_UNAVAILABLE, "server_error", None, Some("service_unavailable"))
             }
-            ApiError::HttpUpstream => (StatusCode::BAD_GATEWAY, "server_error", None, Some("bad_gateway")),
+            ApiError::ServerFailed => (StatusCode::BAD_GATEWAY, "server_error", None, Some("bad_gateway")),
             ApiError::TimedOut => (StatusCode::GATEWAY_TIMEOUT, "server_error", None, Some("timeout")),
         }
     }
 
     /// The answer that says so.
-    pub(super) fn response<E: EventStream>(self) -> Response<FrontBody<E>> {
-        let (status, kind, param, code) = self.words();
+    pub(super) fn response<E: EventStream>(self) -> Response<ResponseBody<E>> {
+        let (status, kind, param, code) = self.status_and_fields();
         let object = json!({"message": self.to_string(), "type": kind, "param": param, "code": code});
-        let mut response = whole(status, JSON, json!({ "error": object }).to_string());
-        if matches!(self, ApiError::HttpUpstream | ApiError::TimedOut) {
+        let mut response = full_response(status, JSON, json!({ "error": object }).to_string());
+        if matches!(self, ApiError::ServerFailed | ApiError::TimedOut) {
             response.headers_mut().insert(SHOULD_RETRY, HeaderValue::from_static("false"));
         }
         response
--- a/daemon/src/front/chat/gather.rs
+++ b/daemon/src/front/chat/gather.rs
@@ -7,7 +7,7 @@
 use serde_json::{json, Map, Value};
 
 use super::error::ApiError;
-use super::sse::{data, is_done};
+use super::sse::{event_data, is_done_event};
 
 #[derive(Deserialize)]
 struct Chunk {
@@ -15,13 +15,13 @@
     created: Option<u64>,
     model: Option<String>,
     #[serde(default)]
-    choices: Vec<Delta>,
+    choices: Vec<ChunkChoice>,
     usage: Option<Value>,
     error: Option<Value>,
 }
 
 #[derive(Deserialize)]
-struct Delta {
+struct ChunkChoice {
     #[serde(default)]
     index: u64,
     #[serde(default)]
@@ -30,34 +30,34 @@
 }
 
 #[derive(Default)]
-struct Choice {
+struct CompletionChoice {
     message: Map<String, Value>,
     finish_reason: Option<String>,
 }
 
 /// The answer so far.
-pub(super) struct Gather {
+pub(super) struct CompletionBuilder {
     id: String,
     created: u64,
     model: String,
-    choices: BTreeMap<u64, Choice>,
+    choices: BTreeMap<u64, CompletionChoice>,
     usage: Option<Value>,
-    done: bool,
+    is_done: bool,
 }
 
-impl Gather {
+impl CompletionBuilder {
     /// Nothing yet; id and model as they are where the server names none.
     pub(super) fn new(id: String, model: String) -> Self {
         let created = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs();
-        Gather { id, created, model, choices: BTreeMap::new(), usage: None, done: false }
+        CompletionBuilder { id, created, model, choices: BTreeMap::new(), usage: None, is_done: false }
     }
 
     /// The whole answer, if its final event has come.
     pub(super) fn finish(self) -> Result<String, ApiError> {
-        if !self.done {
-            return Err(ApiError::HttpUpstream);
+        if !self.is_done {
+            return Err(ApiError::ServerFailed);
         }
-        let choice = |(index, choice): (u64, Choice)| {
+        let choice = |(index, choice): (u64, CompletionChoice)| {
             let mut message = choice.message;
             message.entry("role").or_insert_with(|| json!("assistant"));
             message.entry("content").or_insert(Value::Null);
@@ -77,27 +77,27 @@
     }
 
     /// The next event.
-    pub(super) fn push(&mut self, event: &[u8]) -> Result<(), ApiError> {
-        let data = data(event);
+    pub(super) fn push_event(&mut self, event: &[u8]) -> Result<(), ApiError> {
+        let data = event_data(event);
         if data.is_empty() {
             return Ok(());
         }
-        if is_done(&data) {
-            self.done = true;
+        if is_done_event(&data) {
+            self.is_done = true;
             return Ok(());
         }
-        let chunk: Chunk = serde_json::from_slice(&data).map_err(|_| ApiError::HttpUpstream)?;
+        let chunk: Chunk = serde_json::from_slice(&data).map_err(|_| ApiError::ServerFailed)?;
         if chunk.error.is_some() {
-            return Err(ApiError::HttpUpstream);
+            return Err(ApiError::ServerFailed);
         }
         self.id = chunk.id.unwrap_or(std::mem::take(&mut self.id));
         self.created = chunk.created.unwrap_or(self.created);
         self.model = chunk.model.unwrap_or(std::mem::take(&mut self.model));
         self.usage = chunk.usage.or(self.usage.take());
-        for delta in chunk.choices {
-            let choice = self.choices.entry(delta.index).or_default();
-            merge(&mut choice.message, delta.delta);
-            choice.finish_reason = delta.finish_reason.or(choice.finish_reason.take());
+        for choice_delta in chunk.choices {
+            let choice = self.choices.entry(choice_delta.index).or_default();
+            merge(&mut choice.message, choice_delta.delta);
+            choice.finish_reason = choice_delta.finish_reason.or(choice.finish_reason.take());
         }
         Ok(())
     }
@@ -108,7 +108,9 @@
     for (key, value) in delta {
         match (message.get_mut(&key), value) {
             (_, Value::Null) => {}
-            (Some(Value::String(text)), Value::String(more)) if !is_name(&key) => text.push_str(&more),
+            (Some(Value::String(text)), Value::String(more)) if !is_replaced_whole(&key) => {
+                text.push_str(&more)
+            }
             (Some(Value::Object(object)), Value::Object(more)) => merge(object, more),
             (Some(Value::Array(items)), Value::Array(more)) => merge_items(items, more),
             (_, Value::Array(more)) => {
@@ -124,7 +126,7 @@
 }
 
 /// Texts that name something come whole each time.
-fn is_name(key: &str) -> bool {
+fn is_replaced_whole(key: &str) -> bool {
     matches!(key, "role" | "id" | "type")
 }
 
@@ -134,8 +136,11 @@
             items.push(item);
             continue;
         };
-        let at = object.remove("index").and_then(|at| at.as_u64()).map_or(items.len(), |at| at as usize);
-        match items.get_mut(at) {
+        let position = object
+            .remove("index")
+            .and_then(|position| position.as_u64())
+            .map_or(items.len(), |position| position as usize);
+        match items.get_mut(position) {
             Some(Value::Object(known)) => merge(known, object),
             _ => items.push(Value::Object(object)),
         }
--- a/daemon/src/front/chat/mod.rs
+++ b/daemon/src/front/chat/mod.rs
@@ -18,10 +18,10 @@
 pub use sse::ChatStream;
 
 use self::error::ApiError;
-use self::gather::Gather;
-use self::request::{Asked, Reader};
-use super::body::{advise, events, whole, FrontBody, FrontResponse};
-use super::input::{body, InputError};
+use self::gather::CompletionBuilder;
+use self::request::{ParsedRequest, RequestParser};
+use super::body::{event_stream_response, full_response, set_retry_after, ResponseBody, ServiceResult};
+use super::input::{read_body, InputError};
 use super::listener::Service;
 use crate::config::ChatConfig;
 use crate::upstream::Call;
@@ -34,61 +34,70 @@
 const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
 
 /// Translates the chat API.
-pub struct Chat<B> {
+pub struct ChatFront<B> {
     conductor: Conductor<B>,
-    reader: Reader,
+    parser: RequestParser,
 }
 
-impl<B: Upstream<Call = Call>> Chat<B> {
+impl<B: Upstream<Call = Call>> ChatFront<B> {
     /// A front of this conductor.
     pub fn new(conductor: Conductor<B>, config: ChatConfig) -> Self {
         let ChatConfig { models, class, max_tokens, .. } = config;
-        let reader = Reader::new(models, class, max_tokens);
-        Chat { conductor, reader }
+        let parser = RequestParser::new(models, class, max_tokens);
+        ChatFront { conductor, parser }
     }
 
-    async fn route(&self, request: Request<Incoming>) -> Result<Response<FrontBody<B::Events>>, ApiError> {
+    async fn route(&self, request: Request<Incoming>) -> Result<Response<ResponseBody<B::Events>>, ApiError> {
         match (request.uri().path(), request.method()) {
-            ("/v1/chat/completions", &Method::POST) => self.complete(request).await,
-            ("/v1/chat/completions", _) => Err(InputError::Method("POST").into()),
-            ("/v1/models", &Method::GET) => Ok(self.list()),
-            ("/v1/models", _) => Err(InputError::Method("GET").into()),
-            _ => Err(InputError::Path.into()),
+            ("/v1/chat/completions", &Method::POST) => self.chat_completion(request).await,
+            ("/v1/chat/completions", _) => Err(InputError::MethodNotAllowed("POST").into()),
+            ("/v1/models", &Method::GET) => Ok(self.list_models()),
+            ("/v1/models", _) => Err(InputError::MethodNotAllowed("GET").into()),
+            _ => Err(InputError::UnknownPath.into()),
         }
     }
 
-    fn list(&self) -> Response<FrontBody<B::Events>> {
+    fn list_models(&self) -> Response<ResponseBody<B::Events>> {
         let model = |id| json!({"id": id, "object": "model", "created": 0, "owned_by": "frosttrail"});
-        let data: Vec<_> = self.reader.models().iter().map(model).collect();
-        whole(StatusCode::OK, JSON, json!({"object": "list", "data": data}).to_string())
+        let data: Vec<_> = self.parser.models().iter().map(model).collect();
+        full_response(StatusCode::OK, JSON, json!({"object": "list", "data": data}).to_string())
     }
 
-    async fn complete(&self, request: Request<Incoming>) -> Result<Response<FrontBody<B::Events>>, ApiError> {
+    async fn chat_completion(
+        &self,
+        request: Request<Incoming>,
+    ) -> Result<Response<ResponseBody<B::Events>>, ApiError> {
         let (head, incoming) = request.into_parts();
-        let Asked { query, call, stream, include_usage, model } =
-            self.reader.read(&self.conductor.settings(), &head.headers, body(&head, incoming).await?)?;
+        let ParsedRequest { query, call, stream, include_usage, model } = self.parser.parse(
+            &self.conductor.settings(),
+            &head.headers,
+            read_body(&head, incoming).await?,
+        )?;
         let id = query.id.clone();
         let answer = self.conductor.call(frosttrail_core::Request { query, call }).await;
         let mut response = match answer {
             Ok(Answer::Served(answer)) if stream => {
-                events(FrontBody::Chat(ChatStream::new(answer, include_usage)))
+                event_stream_response(ResponseBody::Chat(ChatStream::new(answer, include_usage)))
             }
-            Ok(Answer::Served(answer)) => match gather(answer, &id, model).await {
-                Ok(text) => whole(StatusCode::OK, JSON, text),
+            Ok(Answer::Served(answer)) => match collect_completion(answer, &id, model).await {
+                Ok(text) => full_response(StatusCode::OK, JSON, text),
                 Err(e) => e.response(),
             },
             Ok(Answer::Refused { retry_after, last_outcome }) => {
-                let reached = self.conductor.is_ready() && last_outcome != Some(Outcome::NoConnection);
-                let mut refused = ApiError::refused(reached).response();
-                advise(&mut refused, RETRY_AFTER, retry_after, |t| t.as_secs_f64().ceil().to_string());
-                advise(&mut refused, RETRY_AFTER_MS, retry_after, |t| t.as_millis().to_string());
+                let has_reached_server =
+                    self.conductor.is_ready() && last_outcome != Some(Outcome::NoConnection);
+                let mut refused = ApiError::from_refusal(has_reached_server).response();
+                set_retry_after(&mut refused, RETRY_AFTER, retry_after, |t| {
+                    t.as_secs_f64().ceil().to_string()
+                });
+                set_retry_after(&mut refused, RETRY_AFTER_MS, retry_after, |t| t.as_millis().to_string());
                 refused.headers_mut().insert(SHOULD_RETRY, HeaderValue::from_static("true"));
                 refused
             }
             Ok(Answer::Failed { last_outcome: None | Some(Outcome::NoAnswer) }) => {
                 ApiError::TimedOut.response()
             }
-            Ok(Answer::Failed { .. }) => ApiError::HttpUpstream.response(),
+            Ok(Answer::Failed { .. }) => ApiError::ServerFailed.response(),
             Err(CallError::IdInUse) => return Err(InputError::IdInUse.into()),
         };
         if let Ok(id) = HeaderValue::from_str(&id) {
@@ -98,29 +107,29 @@
     }
 }
 
-impl<B: Upstream<Call = Call>> Service for Chat<B> {
+impl<B: Upstream<Call = Call>> Service for ChatFront<B> {
     type Events = B::Events;
 
-    async fn answer(&self, request: Request<Incoming>) -> FrontResponse<B::Events> {
+    async fn respond(&self, request: Request<Incoming>) -> ServiceResult<B::Events> {
         Ok(self.route(request).await.unwrap_or_else(ApiError::response))
     }
 
-    fn turn_down(&self, error: InputError) -> Response<FrontBody<B::Events>> {
+    fn reject(&self, error: InputError) -> Response<ResponseBody<B::Events>> {
         ApiError::from(error).response()
     }
 }
 
 /// Reads an answer to its end into one object. One that breaks off, or ends without its final event, is
 /// not an answer.
-async fn gather<E: EventStream>(
+async fn collect_completion<E: EventStream>(
     mut events: AnswerStream<E>,
     id: &str,
     model: String,
 ) -> Result<String, ApiError> {
-    let mut gather = Gather::new(format!("chatcmpl-{id}"), model);
+    let mut completion = CompletionBuilder::new(format!("chatcmpl-{id}"), model);
     while let Some(data) = poll_fn(|cx| events.poll_next(cx)).await {
-        let data = data.map_err(|StreamBroken| ApiError::HttpUpstream)?;
-        gather.push(&data)?;
+        let data = data.map_err(|StreamBroken| ApiError::ServerFailed)?;
+        completion.push_event(&data)?;
     }
-    gather.finish()
+    completion.finish()
 }
--- a/daemon/src/front/chat/request.rs
+++ b/daemon/src/front/chat/request.rs
@@ -12,7 +12,10 @@
 use serde_json::{json, Map, Value};
 
 use super::error::ApiError;
-use crate::front::input::{is_id, platform_labels, repeat, span, tenant, text, InputError, TOKEN_BYTES};
+use crate::front::input::{
+    header_text, is_valid_id, parse_duration, parse_labels, retry_flags, tenant_index, InputError,
+    CHARS_PER_TOKEN,
+};
 use crate::upstream::Call;
 
 /// What the front needs of a request's body; the rest is the server's concern.
@@ -70,13 +73,13 @@
         whole.into_iter().chain(parts.iter().map(|p| p.text.as_str()))
     }
 
-    fn characters(&self) -> u64 {
+    fn character_count(&self) -> u64 {
         self.texts().map(|t| t.chars().count() as u64).sum()
     }
 }
 
 /// A request as understood.
-pub(super) struct Asked {
+pub(super) struct ParsedRequest {
     pub(super) query: Query,
     pub(super) call: Call,
     pub(super) stream: bool,
@@ -85,19 +88,25 @@
 }
 
 /// Reads requests.
-pub(super) struct Reader {
+pub(super) struct RequestParser {
     models: Vec<String>,
     /// The class of a request that names none.
-    class: String,
-    max_tokens: u64,
+    default_class: String,
+    default_max_tokens: u64,
     /// Ids of requests that bring none: a count under keys that are new with each start.
-    ids: RandomState,
-    count: std::sync::atomic::AtomicU64,
+    id_hasher: RandomState,
+    next_id: std::sync::atomic::AtomicU64,
 }
 
-impl Reader {
-    pub(super) fn new(models: Vec<String>, class: String, max_tokens: u64) -> Self {
-        Reader { models, class, max_tokens, ids: RandomState::new(), count: 0.into() }
+impl RequestParser {
+    pub(super) fn new(models: Vec<String>, default_class: String, default_max_tokens: u64) -> Self {
+        RequestParser {
+            models,
+            default_class,
+            default_max_tokens,
+            id_hasher: RandomState::new(),
+            next_id: 0.into(),
+        }
     }
 
     /// The models that clients may name.
@@ -106,30 +115,30 @@
     }
 
     /// The query, and the request as a server gets it.
-    pub(super) fn read(
+    pub(super) fn parse(
         &self,
         settings: &Settings,
         headers: &HeaderMap,
         bytes: Bytes,
-    ) -> Result<Asked, ApiError> {
-        let body: Body = serde_json::from_slice(&bytes).map_err(malformed)?;
-        self.check(&body)?;
-        let query = self.query(settings, headers, &body)?;
+    ) -> Result<ParsedRequest, ApiError> {
+        let body: Body = serde_json::from_slice(&bytes).map_err(invalid_json)?;
+        self.validate(&body)?;
+        let query = self.build_query(settings, headers, &body)?;
         let stream = body.stream.unwrap_or(false);
-        let bytes = if stream { bytes } else { streamed(&bytes)? };
+        let bytes = if stream { bytes } else { as_streaming(&bytes)? };
         let call = Call {
             method: Method::POST,
             target: Uri::from_static("/v1/chat/completions"),
-            headers: box_headers(&query)?,
+            headers: server_headers(&query)?,
             body: bytes,
         };
         let include_usage = body.stream_options.is_some_and(|o| o.include_usage);
-        Ok(Asked { query, call, stream, include_usage, model: body.model })
+        Ok(ParsedRequest { query, call, stream, include_usage, model: body.model })
     }
 
-    fn check(&self, body: &Body) -> Result<(), ApiError> {
+    fn validate(&self, body: &Body) -> Result<(), ApiError> {
         if !self.models.contains(&body.model) {
-            return Err(InputError::Model(body.model.clone()).into());
+            return Err(InputError::UnknownModel(body.model.clone()).into());
         }
         if body.messages.is_empty() {
             return Err(ApiError::Field { param: "messages", why: "must hold at least one message" });
@@ -137,7 +146,7 @@
         if body.messages.iter().any(|m| m.role.is_empty()) {
             return Err(ApiError::Field { param: "messages", why: "must each name a role" });
         }
-        if limit(body) == Some(0) {
+        if token_limit(body) == Some(0) {
             return Err(ApiError::Field { param: "max_tokens", why: "must be at least 1" });
         }
         if body.stream_options.is_some() && body.stream != Some(true) {
@@ -146,27 +155,27 @@
         Ok(())
     }
 
-    fn query(&self, settings: &Settings, headers: &HeaderMap, body: &Body) -> Result<Query, ApiError> {
-        let labels = platform_labels(text(headers, "x-labels").unwrap_or_default())?;
+    fn build_query(&self, settings: &Settings, headers: &HeaderMap, body: &Body) -> Result<Query, ApiError> {
+        let labels = parse_labels(header_text(headers, "x-labels").unwrap_or_default())?;
         let class = self.class(settings, headers, body)?;
         let prompt_tokens = match labels.prompt_tokens {
-            0 => tokens(body.messages.iter().map(Message::characters).sum()),
+            0 => estimate_tokens(body.messages.iter().map(Message::character_count).sum()),
             named => named,
         };
         let (prefix, prefix_tokens) = match labels.prefix {
             Some(prefix) => (Some(prefix), labels.prefix_tokens),
-            None => opening(&body.messages),
+            None => shared_prefix(&body.messages),
         };
-        let max_tokens = if labels.max_tokens > 0 { Some(labels.max_tokens) } else { limit(body) };
-        let (is_client_retry, resumes_stream) = repeat(headers);
+        let max_tokens = if labels.max_tokens > 0 { Some(labels.max_tokens) } else { token_limit(body) };
+        let (is_client_retry, resumes_stream) = retry_flags(headers);
         Ok(Query {
             id: self.id(headers)?,
-            session: session(headers, body),
+            session: session_id(headers, body),
             prefix,
             prefix_tokens: prefix_tokens.min(prompt_tokens),
             prompt_tokens,
-            max_tokens: max_tokens.unwrap_or(self.max_tokens),
-            tenant: tenant(headers, settings),
+            max_tokens: max_tokens.unwrap_or(self.default_max_tokens),
+            tenant: tenant_index(headers, settings),
             budget: budget(headers, &class, prompt_tokens)?,
             class,
             is_client_retry,
@@ -175,12 +184,12 @@
     }
 
     fn id(&self, headers: &HeaderMap) -> Result<Id, InputError> {
-        match text(headers, "x-txn") {
-            Some(id) if is_id(id) => Ok(id.into()),
-            Some(_) => Err(InputError::Header("X-Txn")),
+        match header_text(headers, "x-txn") {
+            Some(id) if is_valid_id(id) => Ok(id.into()),
+            Some(_) => Err(InputError::InvalidHeader("X-Txn")),
             None => {
-                let count = self.count.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-                Ok(format!("{:016x}", self.ids.hash_one(count)).as_str().into())
+                let count = self.next_id.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
+                Ok(format!("{:016x}", self.id_hasher.hash_one(count)).as_str().into())
             }
         }
     }
@@ -192,22 +201,24 @@
         body: &Body,
     ) -> Result<Arc<RequestClass>, InputError> {
         let in_body = || body.metadata.as_ref()?.get("class")?.as_str();
-        let name = text(headers, "x-lane").or_else(in_body).unwrap_or(&self.class);
-        settings.class(name).ok_or(InputError::Unknown("class"))
+        let name = header_text(headers, "x-lane").or_else(in_body).unwrap_or(&self.default_class);
+        settings.class(name).ok_or(InputError::UnknownName("class"))
     }
 }
 
 /// What the client will wait: as it says, or else as long as the class's clients do.
-fn budget(headers: &HeaderMap, class: &RequestClass, prompt: u64) -> Result<u64, InputError> {
-    match text(headers, "x-remaining") {
-        Some(named) => span(named).ok_or(InputError::Header("X-Remaining")),
-        None => Ok(class.deadline + 2 * class.first_token_target_per_ktoken.saturating_mul(prompt) / 1_000),
+fn budget(headers: &HeaderMap, class: &RequestClass, prompt_tokens: u64) -> Result<u64, InputError> {
+    match header_text(headers, "x-remaining") {
+        Some(named) => parse_duration(named).ok_or(InputError::InvalidHeader("X-Remaining")),
+        None => {
+            Ok(class.deadline + 2 * class.first_token_target_per_ktoken.saturating_mul(prompt_tokens) / 1_000)
+        }
     }
 }
 
 /// The platform's headers, so that servers see what they see behind the other front. A client's
 /// credentials end here.
-fn box_headers(query: &Query) -> Result<HeaderMap, InputError> {
+fn server_headers(query: &Query) -> Result<HeaderMap, InputError> {
     let prefix = query.prefix.as_ref().map(|p| format!("prefix={p},")).unwrap_or_default();
     let labels = format!(
         "{prefix}prompt_len={},prefix_len={},max_out={}",
@@ -220,57 +231,57 @@
         ("x-entity", &*query.session),
         ("x-labels", &*labels),
     ] {
-        let value = HeaderValue::from_str(value).map_err(|_| InputError::Header("X-Labels"))?;
+        let value = HeaderValue::from_str(value).map_err(|_| InputError::InvalidHeader("X-Labels"))?;
         headers.insert(HeaderName::from_static(name), value);
     }
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     Ok(headers)
 }
 
-fn limit(body: &Body) -> Option<u64> {
+fn token_limit(body: &Body) -> Option<u64> {
     body.max_completion_tokens.or(body.max_tokens)
 }
 
-fn tokens(characters: u64) -> u64 {
-    characters.div_ceil(TOKEN_BYTES)
+fn estimate_tokens(characters: u64) -> u64 {
+    characters.div_ceil(CHARS_PER_TOKEN)
 }
 
 /// The conversation: as named, or else the user and all up to the first user's message, which is the
 /// same at every turn.
-fn session(headers: &HeaderMap, body: &Body) -> Id {
-    if let Some(named) = text(headers, "x-entity") {
+fn session_id(headers: &HeaderMap, body: &Body) -> Id {
+    if let Some(named) = header_text(headers, "x-entity") {
         return named.into();
     }
     let first = body.messages.iter().position(|m| m.role == "user").map_or(body.messages.len(), |at| at + 1);
     let opening = body.messages[..first].iter().flat_map(Message::texts);
-    digest(body.user.as_deref().into_iter().chain(opening))
+    hash_texts(body.user.as_deref().into_iter().chain(opening))
 }
 
 /// The opening that it shares with other conversations: its first message where that is the operator's.
-fn opening(messages: &[Message]) -> (Option<Id>, u64) {
+fn shared_prefix(messages: &[Message]) -> (Option<Id>, u64) {
     match messages.first() {
         Some(first) if matches!(first.role.as_str(), "system" | "developer") && messages.len() > 1 => {
-            (Some(digest(first.texts())), first.characters() / TOKEN_BYTES)
+            (Some(hash_texts(first.texts())), first.character_count() / CHARS_PER_TOKEN)
         }
         _ => (None, 0),
     }
 }
 
 /// A key of some texts: the same at every conductor and after every restart, as this hash has no seed.
-fn digest<'a>(texts: impl Iterator<Item = &'a str>) -> Id {
+fn hash_texts<'a>(texts: impl Iterator<Item = &'a str>) -> Id {
     let mut hash = FnvHasher::default();
     texts.for_each(|text| text.hash(&mut hash));
     format!("{:016x}", hash.finish()).as_str().into()
 }
 
-fn malformed(e: serde_json::Error) -> InputError {
-    InputError::Body(format!("the body: {e}"))
+fn invalid_json(e: serde_json::Error) -> InputError {
+    InputError::InvalidBody(format!("the body: {e}"))
 }
 
 /// Servers only stream: the same request, asked for as a stream with its usage.
-fn streamed(bytes: &Bytes) -> Result<Bytes, InputError> {
-    let mut body: Map<String, Value> = serde_json::from_slice(bytes).map_err(malformed)?;
+fn as_streaming(bytes: &Bytes) -> Result<Bytes, InputError> {
+    let mut body: Map<String, Value> = serde_json::from_slice(bytes).map_err(invalid_json)?;
     body.insert("stream".into(), json!(true));
     body.insert("stream_options".into(), json!({"include_usage": true}));
-    serde_json::to_vec(&body).map(Bytes::from).map_err(malformed)
+    serde_json::to_vec(&body).map(Bytes::from).map_err(invalid_json)
 }
--- a/daemon/src/front/chat/sse.rs
+++ b/daemon/src/front/chat/sse.rs
@@ -7,7 +7,7 @@
 use serde::Deserialize;
 
 /// What an event's data lines hold.
-pub(super) fn data(event: &[u8]) -> Vec<u8> {
+pub(super) fn event_data(event: &[u8]) -> Vec<u8> {
     let line = |line: &'_ [u8]| -> Option<Vec<u8>> {
         let data = line.strip_prefix(b"data:")?;
         Some(data.strip_prefix(b" ").unwrap_or(data).to_vec())
@@ -18,19 +18,19 @@
 }
 
 /// The final event.
-pub(super) fn is_done(data: &[u8]) -> bool {
+pub(super) fn is_done_event(data: &[u8]) -> bool {
     data.trim_ascii() == b"[DONE]"
 }
 
 #[derive(Deserialize)]
-struct UsageOnly {
+struct UsageChunk {
     choices: [(); 0],
     #[serde(rename = "usage")]
     _usage: serde_json::Map<String, serde_json::Value>,
 }
 
-fn is_usage_only(data: &[u8]) -> bool {
-    serde_json::from_slice::<UsageOnly>(data).is_ok_and(|u| u.choices.is_empty())
+fn is_usage_chunk(data: &[u8]) -> bool {
+    serde_json::from_slice::<UsageChunk>(data).is_ok_and(|u| u.choices.is_empty())
 }
 
 /// A server's events for a client that streams: each unchanged, as soon as it is whole. The event that only
@@ -39,27 +39,27 @@
 pub struct ChatStream<E: EventStream> {
     events: AnswerStream<E>,
     include_usage: bool,
-    done: bool,
+    has_final_event: bool,
 }
 
 impl<E: EventStream> ChatStream<E> {
     pub(super) fn new(events: AnswerStream<E>, include_usage: bool) -> Self {
-        ChatStream { events, include_usage, done: false }
+        ChatStream { events, include_usage, has_final_event: false }
     }
 
     /// Whether an event goes on to the client.
-    fn passes(&mut self, event: &[u8]) -> bool {
-        let data = data(event);
-        self.done |= is_done(&data);
-        self.include_usage || !is_usage_only(&data)
+    fn may_forward(&mut self, event: &[u8]) -> bool {
+        let data = event_data(event);
+        self.has_final_event |= is_done_event(&data);
+        self.include_usage || !is_usage_chunk(&data)
     }
 
     /// The next event; `None` at the end.
     pub fn poll_next(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, StreamBroken>>> {
         loop {
             return match ready!(self.events.poll_next(cx)) {
-                Some(Ok(event)) if !self.passes(&event) => continue,
-                None if !self.done => Poll::Ready(Some(Err(StreamBroken))),
+                Some(Ok(event)) if !self.may_forward(&event) => continue,
+                None if !self.has_final_event => Poll::Ready(Some(Err(StreamBroken))),
                 next => Poll::Ready(next),
             };
         }
--- a/daemon/src/front/clients.rs
+++ b/daemon/src/front/clients.rs
@@ -9,219 +9,229 @@
 use tokio_util::sync::CancellationToken;
 
 /// A connection that was told to make room is gone by then, unless a request has come on it.
-const NEXT: Duration = Duration::from_millis(50);
+const EVICTION_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 /// Who has just come may be about to ask: a connection makes no room before this age.
-const FRESH: Duration = Duration::from_millis(20);
+const MIN_EVICTION_AGE: Duration = Duration::from_millis(20);
 /// Connections on which requests are only refused, while open requests have all places. Their descriptors
 /// come from those that are spared for neither clients nor servers.
-const REFUSING: usize = 8;
+const MAX_REFUSING_CONNECTIONS: usize = 8;
 
 /// All clients' connections, of whichever front.
 #[derive(Clone)]
-pub(super) struct Clients {
+pub(super) struct ConnectionLimiter {
     permits: Arc<Semaphore>,
-    refusing: Arc<Semaphore>,
-    idle: Arc<Mutex<Idle>>,
+    refusing_permits: Arc<Semaphore>,
+    idle: Arc<Mutex<IdleConnections>>,
 }
 
 /// A connection's turn to make room: those that have never brought a whole request go first, then those
 /// that have been without one for longest.
-type Turn = (bool, u64);
+type EvictionKey = (bool, u64);
 
 /// Connections without an open request.
 #[derive(Default)]
-struct Idle {
-    turns: u64,
-    connections: BTreeMap<Turn, Connection>,
+struct IdleConnections {
+    last_sequence: u64,
+    connections: BTreeMap<EvictionKey, IdleConnection>,
 }
 
-struct Connection {
-    leave: CancellationToken,
-    since: Instant,
-    refuses: bool,
+struct IdleConnection {
+    eviction: CancellationToken,
+    idle_since: Instant,
+    is_refusing: bool,
 }
 
-impl Idle {
+impl IdleConnections {
     /// Whether nothing makes room for another request: those that are here have no place of their own.
-    fn is_without_places(&self) -> bool {
-        self.connections.values().all(|connection| connection.refuses)
+    fn has_only_refusing(&self) -> bool {
+        self.connections.values().all(|connection| connection.is_refusing)
     }
 
     /// The one whose turn it is to make room.
-    fn evict(&mut self) -> Option<CancellationToken> {
-        let (&(asked, nth), first) = self.connections.first_key_value()?;
-        let turn = match !asked && first.since.elapsed() < FRESH {
+    fn pop_eviction_candidate(&mut self) -> Option<CancellationToken> {
+        let (&(has_received, sequence), first) = self.connections.first_key_value()?;
+        let eviction_key = match !has_received && first.idle_since.elapsed() < MIN_EVICTION_AGE {
             // All that never asked are as young; the next are those that have.
             true => *self.connections.range((true, 0)..).next()?.0,
-            false => (asked, nth),
+            false => (has_received, sequence),
         };
-        self.connections.remove(&turn).map(|connection| connection.leave)
+        self.connections.remove(&eviction_key).map(|connection| connection.eviction)
     }
 }
 
-impl Clients {
+impl ConnectionLimiter {
     /// Room for so many.
-    pub(super) fn new(most: usize) -> Self {
-        let (permits, refusing) = (Semaphore::new(most), Semaphore::new(REFUSING));
-        Clients { permits: Arc::new(permits), refusing: Arc::new(refusing), idle: Arc::default() }
+    pub(super) fn new(max_connections: usize) -> Self {
+        let (permits, refusing_permits) =
+            (Semaphore::new(max_connections), Semaphore::new(MAX_REFUSING_CONNECTIONS));
+        ConnectionLimiter {
+            permits: Arc::new(permits),
+            refusing_permits: Arc::new(refusing_permits),
+            idle: Arc::default(),
+        }
     }
 
     /// A place for one more. Where there is none, connections without an open request are told to close in
     /// turn; clients keep theirs open, so that without this a crowd of idle ones would shut new ones out.
     /// Where open requests have them all, what comes is refused: unread, it would get no answer in its
     /// time.
-    pub(super) async fn place(&self) -> Place {
+    pub(super) async fn acquire_slot(&self) -> ConnectionSlot {
         loop {
             let permit = self.permits.clone().try_acquire_owned();
             if let Ok(permit) = permit {
-                return self.enter(permit, false);
+                return self.occupy(permit, false);
             }
-            if self.with(|idle| idle.is_without_places()) {
-                if let Ok(permit) = self.refusing.clone().try_acquire_owned() {
-                    return self.enter(permit, true);
+            if self.with_idle(|idle| idle.has_only_refusing()) {
+                if let Ok(permit) = self.refusing_permits.clone().try_acquire_owned() {
+                    return self.occupy(permit, true);
                 }
             }
-            if let Some(leave) = self.with(Idle::evict) {
-                leave.cancel();
+            if let Some(eviction) = self.with_idle(IdleConnections::pop_eviction_candidate) {
+                eviction.cancel();
             }
             // The semaphore is never closed.
-            if let Ok(Ok(permit)) = timeout(NEXT, self.permits.clone().acquire_owned()).await {
-                return self.enter(permit, false);
+            if let Ok(Ok(permit)) =
+                timeout(EVICTION_RETRY_INTERVAL, self.permits.clone().acquire_owned()).await
+            {
+                return self.occupy(permit, false);
             }
         }
     }
 
-    fn enter(&self, permit: OwnedSemaphorePermit, refuses: bool) -> Place {
-        let place = Place {
-            clients: self.clone(),
-            leave: CancellationToken::new(),
+    fn occupy(&self, permit: OwnedSemaphorePermit, is_refusing: bool) -> ConnectionSlot {
+        let slot = ConnectionSlot {
+            limiter: self.clone(),
+            eviction: CancellationToken::new(),
             state: Mutex::default(),
-            refuses,
+            is_refusing,
             _permit: permit,
         };
-        place.note(|_| {});
-        place
+        slot.update(|_| {});
+        slot
     }
 
-    fn with<T>(&self, f: impl FnOnce(&mut Idle) -> T) -> T {
+    fn with_idle<T>(&self, f: impl FnOnce(&mut IdleConnections) -> T) -> T {
         f(&mut self.idle.lock().unwrap_or_else(PoisonError::into_inner))
     }
 }
 
 #[derive(Default)]
-struct State {
+struct RequestState {
     /// Requests that have come whole,
-    arrived: u64,
+    received_count: u64,
     /// and those that have been answered; more than the others where one was turned down before its end.
-    answered: u64,
+    answered_count: u64,
     /// The library has handed out all of one that has not been answered.
-    waited_for: bool,
+    is_awaiting_response: bool,
     /// Its turn while none is open.
-    turn: Option<Turn>,
+    eviction_key: Option<EvictionKey>,
 }
 
 /// One connection's place. Dropping it gives it to another.
-pub(super) struct Place {
-    clients: Clients,
-    leave: CancellationToken,
-    state: Mutex<State>,
-    refuses: bool,
+pub(super) struct ConnectionSlot {
+    limiter: ConnectionLimiter,
+    eviction: CancellationToken,
+    state: Mutex<RequestState>,
+    is_refusing: bool,
     _permit: OwnedSemaphorePermit,
 }
 
-impl Place {
+impl ConnectionSlot {
     /// A request has come on it whole. Until it is answered, the place is not for others.
-    pub(super) fn arrived(&self) {
-        self.note(|state| state.arrived += 1);
+    pub(super) fn record_arrival(&self) {
+        self.update(|state| state.received_count += 1);
     }
 
     /// All of the request has been handed out: what its client sends from now on is no part of it.
-    fn handed_out(&self) {
-        self.note(|state| state.waited_for = true);
+    fn record_body_read(&self) {
+        self.update(|state| state.is_awaiting_response = true);
     }
 
     /// Whether a client waits whose request has been handed out whole.
-    pub(super) fn is_waited_for(&self) -> bool {
-        self.lock().waited_for
+    pub(super) fn is_awaiting_response(&self) -> bool {
+        self.lock().is_awaiting_response
     }
 
     /// Whether a whole request has come, and has not been answered,
-    pub(super) fn is_busy(&self) -> bool {
-        self.lock().turn.is_none()
+    pub(super) fn has_open_request(&self) -> bool {
+        self.lock().eviction_key.is_none()
     }
 
     /// whether one ever came,
-    pub(super) fn has_asked(&self) -> bool {
-        self.lock().arrived > 0
+    pub(super) fn has_received_request(&self) -> bool {
+        self.lock().received_count > 0
     }
 
     /// and whether one was ever answered.
-    pub(super) fn has_answered(&self) -> bool {
-        self.lock().answered > 0
+    pub(super) fn has_answered_request(&self) -> bool {
+        self.lock().answered_count > 0
     }
 
     /// Whether what comes on it is refused, as there is no place for another request.
-    pub(super) fn refuses(&self) -> bool {
-        self.refuses
+    pub(super) fn is_refusing(&self) -> bool {
+        self.is_refusing
     }
 
     /// Cancelled when it should make room.
-    pub(super) fn leave(&self) -> CancellationToken {
-        self.leave.clone()
+    pub(super) fn eviction_token(&self) -> CancellationToken {
+        self.eviction.clone()
     }
 
-    fn note(&self, change: impl FnOnce(&mut State)) {
+    fn update(&self, change: impl FnOnce(&mut RequestState)) {
         let mut state = self.lock();
         change(&mut state);
-        let open = state.arrived > state.answered;
-        match state.turn {
-            Some(turn) if open => {
-                state.turn = None;
-                self.clients.with(|idle| idle.connections.remove(&turn));
+        let is_open = state.received_count > state.answered_count;
+        match state.eviction_key {
+            Some(eviction_key) if is_open => {
+                state.eviction_key = None;
+                self.limiter.with_idle(|idle| idle.connections.remove(&eviction_key));
             }
-            None if !open => {
-                let asked = state.arrived > 0;
-                state.turn = Some(self.clients.with(|idle| {
-                    idle.turns += 1;
-                    let (leave, since, refuses) = (self.leave.clone(), Instant::now(), self.refuses);
-                    let connection = Connection { leave, since, refuses };
-                    idle.connections.insert((asked, idle.turns), connection);
-                    (asked, idle.turns)
+            None if !is_open => {
+                let has_received = state.received_count > 0;
+                state.eviction_key = Some(self.limiter.with_idle(|idle| {
+                    idle.last_sequence += 1;
+                    let (eviction, idle_since, is_refusing) =
+                        (self.eviction.clone(), Instant::now(), self.is_refusing);
+                    let connection = IdleConnection { eviction, idle_since, is_refusing };
+                    idle.connections.insert((has_received, idle.last_sequence), connection);
+                    (has_received, idle.last_sequence)
                 }));
             }
             _ => {}
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, State> {
+    fn lock(&self) -> MutexGuard<'_, RequestState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl Drop for Place {
+impl Drop for ConnectionSlot {
     fn drop(&mut self) {
-        if let Some(turn) = self.lock().turn {
-            self.clients.with(|idle| idle.connections.remove(&turn));
+        if let Some(eviction_key) = self.lock().eviction_key {
+            self.limiter.with_idle(|idle| idle.connections.remove(&eviction_key));
         }
     }
 }
 
 /// A request under way on a connection, until its answer has gone.
-pub(super) struct UnderWay(pub(super) Arc<Place>);
+pub(super) struct OpenRequestGuard(pub(super) Arc<ConnectionSlot>);
 
-impl Drop for UnderWay {
+impl Drop for OpenRequestGuard {
     fn drop(&mut self) {
-        self.0.note(|state| (state.answered, state.waited_for) = (state.answered + 1, false));
+        self.0.update(|state| {
+            (state.answered_count, state.is_awaiting_response) = (state.answered_count + 1, false)
+        });
     }
 }
 
 /// Goes with a request's head to whoever reads its body, to be told when that has ended.
 #[derive(Clone)]
-pub(super) struct Arrival(pub(super) Arc<Place>);
+pub(super) struct BodyReadNotice(pub(super) Arc<ConnectionSlot>);
 
-impl Arrival {
+impl BodyReadNotice {
     /// All of the body has come.
-    pub(super) fn ended(&self) {
-        self.0.handed_out();
+    pub(super) fn notify(&self) {
+        self.0.record_body_read();
     }
 }
--- a/daemon/src/front/framing.rs
+++ b/daemon/src/front/framing.rs
@@ -12,50 +12,50 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::time::Instant;
 
-use super::clients::Place;
+use super::clients::ConnectionSlot;
 
 /// More headers than this are not read.
-pub(super) const HEADERS_MOST: usize = 64;
+pub(super) const MAX_HEADERS: usize = 64;
 
 /// What has been found on a connection.
 #[derive(Default)]
-pub(super) struct Found {
-    ambiguous: AtomicBool,
-    last: AtomicBool,
+pub(super) struct FramingState {
+    is_ambiguous: AtomicBool,
+    is_last_request: AtomicBool,
     /// When the head began that has not ended yet.
-    head_since: Mutex<Option<Instant>>,
+    partial_head_since: Mutex<Option<Instant>>,
 }
 
-impl Found {
+impl FramingState {
     /// A head was ambiguous or can't be read: neither it nor what follows is a request.
     pub(super) fn is_ambiguous(&self) -> bool {
-        self.ambiguous.load(Ordering::Relaxed)
+        self.is_ambiguous.load(Ordering::Relaxed)
     }
 
     /// When the head began that has come in part.
-    pub(super) fn head_since(&self) -> Option<Instant> {
-        *self.head_since.lock().unwrap_or_else(PoisonError::into_inner)
+    pub(super) fn partial_head_since(&self) -> Option<Instant> {
+        *self.partial_head_since.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn note_head(&self, is_part: bool) {
-        let mut since = self.head_since.lock().unwrap_or_else(PoisonError::into_inner);
-        *since = is_part.then(|| since.unwrap_or_else(Instant::now));
+    fn set_partial_head(&self, is_partial: bool) {
+        let mut since = self.partial_head_since.lock().unwrap_or_else(PoisonError::into_inner);
+        *since = is_partial.then(|| since.unwrap_or_else(Instant::now));
     }
 
     /// The request's end is not known here, so that it must be the connection's last.
-    pub(super) fn is_last(&self) -> bool {
-        self.last.load(Ordering::Relaxed)
+    pub(super) fn is_last_request(&self) -> bool {
+        self.is_last_request.load(Ordering::Relaxed)
     }
 }
 
 /// What comes next on a connection.
-enum Next {
+enum ParseState {
     /// The rest of a head that began so.
     Head(Vec<u8>),
     /// So many bytes of a body.
     Body(u64),
     /// Nothing more that would be looked at.
-    Unread,
+    Ignored,
 }
 
 /// How a request's body is framed.
@@ -66,7 +66,7 @@
     Ambiguous,
 }
 
-fn framing(headers: &[Header]) -> Framing {
+fn body_framing(headers: &[Header]) -> Framing {
     let named = |name: &str| {
         let named = headers.iter().filter(|h| h.name.eq_ignore_ascii_case(name));
         named.map(|h| h.value).collect::<Vec<_>>()
@@ -84,82 +84,82 @@
 }
 
 /// A client's connection that is read along with the library.
-pub(super) struct Framed<S> {
+pub(super) struct FramingStream<S> {
     io: Pin<Box<S>>,
-    next: Next,
-    found: Arc<Found>,
-    place: Arc<Place>,
+    state: ParseState,
+    framing: Arc<FramingState>,
+    slot: Arc<ConnectionSlot>,
 }
 
-impl<S> Framed<S> {
-    pub(super) fn new(io: S, found: Arc<Found>, place: Arc<Place>) -> Self {
-        Framed { io: Box::pin(io), next: Next::Head(Vec::new()), found, place }
+impl<S> FramingStream<S> {
+    pub(super) fn new(io: S, framing: Arc<FramingState>, slot: Arc<ConnectionSlot>) -> Self {
+        FramingStream { io: Box::pin(io), state: ParseState::Head(Vec::new()), framing, slot }
     }
 
-    fn follow(&mut self, mut bytes: &[u8]) {
+    fn track(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
-            let (next, taken) = match std::mem::replace(&mut self.next, Next::Unread) {
-                Next::Unread => return self.found.note_head(false),
-                Next::Body(length) => {
-                    let taken = length.min(bytes.len() as u64);
-                    (self.body(length - taken), taken as usize)
+            let (state, consumed) = match std::mem::replace(&mut self.state, ParseState::Ignored) {
+                ParseState::Ignored => return self.framing.set_partial_head(false),
+                ParseState::Body(length) => {
+                    let consumed = length.min(bytes.len() as u64);
+                    (self.expect_body(length - consumed), consumed as usize)
                 }
-                Next::Head(mut held) => {
+                ParseState::Head(mut head) => {
                     // The library's bound on heads bounds this one too: past it nothing more is read.
-                    held.extend_from_slice(bytes);
-                    self.head(held, bytes.len())
+                    head.extend_from_slice(bytes);
+                    self.parse_head(head, bytes.len())
                 }
             };
-            self.next = next;
-            bytes = &bytes[taken..];
+            self.state = state;
+            bytes = &bytes[consumed..];
         }
-        self.found.note_head(matches!(&self.next, Next::Head(held) if !held.is_empty()));
+        self.framing.set_partial_head(matches!(&self.state, ParseState::Head(head) if !head.is_empty()));
     }
 
     /// What follows on a head that has come so far, and how many of its last `new` bytes belong to it.
-    fn head(&self, held: Vec<u8>, new: usize) -> (Next, usize) {
-        let mut headers = [EMPTY_HEADER; HEADERS_MOST];
+    fn parse_head(&self, head: Vec<u8>, new_bytes: usize) -> (ParseState, usize) {
+        let mut headers = [EMPTY_HEADER; MAX_HEADERS];
         let mut request = httparse::Request::new(&mut headers);
-        let (framing, taken) = match request.parse(&held) {
-            Ok(Status::Partial) => return (Next::Head(held), new),
-            Ok(Status::Complete(end)) => (framing(request.headers), new - (held.len() - end)),
-            Err(_) => (Framing::Ambiguous, new),
+        let (framing, consumed) = match request.parse(&head) {
+            Ok(Status::Partial) => return (ParseState::Head(head), new_bytes),
+            Ok(Status::Complete(end)) => (body_framing(request.headers), new_bytes - (head.len() - end)),
+            Err(_) => (Framing::Ambiguous, new_bytes),
         };
-        let next = match framing {
-            Framing::Length(length) => self.body(length),
+        let state = match framing {
+            Framing::Length(length) => self.expect_body(length),
             Framing::Chunked => {
                 // Counts as arrived from its head on, as it must not be cut off once it has.
-                self.place.arrived();
-                self.found.last.store(true, Ordering::Relaxed);
-                Next::Unread
+                self.slot.record_arrival();
+                self.framing.is_last_request.store(true, Ordering::Relaxed);
+                ParseState::Ignored
             }
             Framing::Ambiguous => {
-                self.found.ambiguous.store(true, Ordering::Relaxed);
-                Next::Unread
+                self.framing.is_ambiguous.store(true, Ordering::Relaxed);
+                ParseState::Ignored
             }
         };
-        (next, taken)
+        (state, consumed)
     }
 
-    fn body(&self, left: u64) -> Next {
-        if left > 0 {
-            return Next::Body(left);
+    fn expect_body(&self, remaining: u64) -> ParseState {
+        if remaining > 0 {
+            return ParseState::Body(remaining);
         }
-        self.place.arrived();
-        Next::Head(Vec::new())
+        self.slot.record_arrival();
+        ParseState::Head(Vec::new())
     }
 }
 
-impl<S: AsyncRead> AsyncRead for Framed<S> {
+impl<S: AsyncRead> AsyncRead for FramingStream<S> {
     fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<Result<()>> {
         let before = buf.filled().len();
         ready!(self.io.as_mut().poll_read(cx, buf))?;
-        self.follow(&buf.filled()[before..]);
+        self.track(&buf.filled()[before..]);
         Poll::Ready(Ok(()))
     }
 }
 
-impl<S: AsyncWrite> AsyncWrite for Framed<S> {
+impl<S: AsyncWrite> AsyncWrite for FramingStream<S> {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<Result<usize>> {
         self.io.as_mut().poll_write(cx, buf)
     }
--- a/daemon/src/front/mod.rs
+++ b/daemon/src/front/mod.rs
@@ -9,5 +9,5 @@
 pub mod platform;
 mod socket;
 
-pub use body::FrontBody;
+pub use body::ResponseBody;
 pub use listener::{ClientListeners, ClientTimeouts, Service};
--- a/daemon/src/front/platform.rs
+++ b/daemon/src/front/platform.rs
@@ -6,98 +6,112 @@
 use hyper::header::RETRY_AFTER;
 use hyper::{HeaderMap, Method, Request, Response, StatusCode};
 
-use super::body::{advise, events, whole, FrontBody, FrontResponse};
+use super::body::{event_stream_response, full_response, set_retry_after, ResponseBody, ServiceResult};
 use super::input::{
-    body, end_to_end, is_id, platform_labels, repeat, span, tenant, text, InputError, TOKEN_BYTES,
+    header_text, is_valid_id, parse_duration, parse_labels, read_body, remove_hop_by_hop_headers,
+    retry_flags, tenant_index, InputError, CHARS_PER_TOKEN,
 };
 use super::listener::Service;
 use crate::upstream::Call;
 
-const PLAIN: &str = "text/plain; charset=utf-8";
+const TEXT_PLAIN: &str = "text/plain; charset=utf-8";
 
 /// Translates the platform's protocol.
-pub struct Platform<B> {
+pub struct PlatformFront<B> {
     conductor: Conductor<B>,
 }
 
-impl<B: Upstream<Call = Call>> Platform<B> {
+impl<B: Upstream<Call = Call>> PlatformFront<B> {
     /// A front of this conductor.
     pub fn new(conductor: Conductor<B>) -> Self {
-        Platform { conductor }
+        PlatformFront { conductor }
     }
 
-    async fn route(&self, request: Request<Incoming>) -> Result<Response<FrontBody<B::Events>>, InputError> {
+    async fn route(
+        &self,
+        request: Request<Incoming>,
+    ) -> Result<Response<ResponseBody<B::Events>>, InputError> {
         match (request.uri().path(), request.method()) {
             ("/_health", &Method::GET) => Ok(self.health()),
-            ("/_health", _) => Err(InputError::Method("GET")),
-            ("/v1/chat/completions", &Method::POST) => self.chat(request).await,
-            ("/v1/chat/completions", _) => Err(InputError::Method("POST")),
-            _ => Err(InputError::Path),
+            ("/_health", _) => Err(InputError::MethodNotAllowed("GET")),
+            ("/v1/chat/completions", &Method::POST) => self.chat_completion(request).await,
+            ("/v1/chat/completions", _) => Err(InputError::MethodNotAllowed("POST")),
+            _ => Err(InputError::UnknownPath),
         }
     }
 
-    fn health(&self) -> Response<FrontBody<B::Events>> {
+    fn health(&self) -> Response<ResponseBody<B::Events>> {
         match self.conductor.is_ready() {
-            true => whole(StatusCode::OK, PLAIN, "ready\n"),
-            false => whole(StatusCode::SERVICE_UNAVAILABLE, PLAIN, "no box is known yet\n"),
+            true => full_response(StatusCode::OK, TEXT_PLAIN, "ready\n"),
+            false => full_response(StatusCode::SERVICE_UNAVAILABLE, TEXT_PLAIN, "no box is known yet\n"),
         }
     }
 
-    async fn chat(&self, request: Request<Incoming>) -> Result<Response<FrontBody<B::Events>>, InputError> {
+    async fn chat_completion(
+        &self,
+        request: Request<Incoming>,
+    ) -> Result<Response<ResponseBody<B::Events>>, InputError> {
         let (mut head, incoming) = request.into_parts();
-        let mut query = query(&head.headers, &self.conductor.settings())?;
-        let body = body(&head, incoming).await.inspect_err(|e| {
+        let mut query = parse_query(&head.headers, &self.conductor.settings())?;
+        let body = read_body(&head, incoming).await.inspect_err(|e| {
             if e.is_refusal() {
                 self.conductor.count_refused(&query.class.name);
             }
         })?;
         if query.prompt_tokens == 0 {
-            query.prompt_tokens = body.len() as u64 / TOKEN_BYTES;
+            query.prompt_tokens = body.len() as u64 / CHARS_PER_TOKEN;
         }
-        end_to_end(&mut head.headers);
+        remove_hop_by_hop_headers(&mut head.headers);
         let call = Call { method: head.method, target: head.uri, headers: head.headers, body };
         let answer = self.conductor.call(frosttrail_core::Request { query, call }).await;
         Ok(match answer {
-            Ok(Answer::Served(stream)) => events(FrontBody::Events(stream)),
+            Ok(Answer::Served(stream)) => event_stream_response(ResponseBody::Events(stream)),
             Ok(Answer::Refused { retry_after, .. }) => {
-                let mut refused = whole(StatusCode::SERVICE_UNAVAILABLE, PLAIN, "refused: try again\n");
-                advise(&mut refused, RETRY_AFTER, retry_after, |t| format!("{:.3}", t.as_secs_f64()));
+                let mut refused =
+                    full_response(StatusCode::SERVICE_UNAVAILABLE, TEXT_PLAIN, "refused: try again\n");
+                set_retry_after(&mut refused, RETRY_AFTER, retry_after, |t| {
+                    format!("{:.3}", t.as_secs_f64())
+                });
                 refused
             }
-            Ok(Answer::Failed { .. }) => whole(StatusCode::BAD_GATEWAY, PLAIN, "failed\n"),
+            Ok(Answer::Failed { .. }) => full_response(StatusCode::BAD_GATEWAY, TEXT_PLAIN, "failed\n"),
             Err(CallError::IdInUse) => return Err(InputError::IdInUse),
         })
     }
 }
 
-impl<B: Upstream<Call = Call>> Service for Platform<B> {
+impl<B: Upstream<Call = Call>> Service for PlatformFront<B> {
     type Events = B::Events;
 
-    async fn answer(&self, request: Request<Incoming>) -> FrontResponse<B::Events> {
-        Ok(self.route(request).await.unwrap_or_else(|e| self.turn_down(e)))
+    async fn respond(&self, request: Request<Incoming>) -> ServiceResult<B::Events> {
+        Ok(self.route(request).await.unwrap_or_else(|e| self.reject(e)))
     }
 
-    fn turn_down(&self, error: InputError) -> Response<FrontBody<B::Events>> {
-        whole(error.status(), PLAIN, format!("{error}\n"))
+    fn reject(&self, error: InputError) -> Response<ResponseBody<B::Events>> {
+        full_response(error.status(), TEXT_PLAIN, format!("{error}\n"))
     }
 }
 
 /// What the headers say of a request.
-fn query(headers: &HeaderMap, settings: &Settings) -> Result<Query, InputError> {
-    let id = text(headers, "x-txn").filter(|id| is_id(id)).ok_or(InputError::Header("X-Txn"))?;
-    let lane = text(headers, "x-lane").ok_or(InputError::Header("X-Lane"))?;
-    let labels = platform_labels(text(headers, "x-labels").unwrap_or_default())?;
-    let (is_client_retry, resumes_stream) = repeat(headers);
+fn parse_query(headers: &HeaderMap, settings: &Settings) -> Result<Query, InputError> {
+    let id = header_text(headers, "x-txn")
+        .filter(|id| is_valid_id(id))
+        .ok_or(InputError::InvalidHeader("X-Txn"))?;
+    let class_name = header_text(headers, "x-lane").ok_or(InputError::InvalidHeader("X-Lane"))?;
+    let labels = parse_labels(header_text(headers, "x-labels").unwrap_or_default())?;
+    let (is_client_retry, resumes_stream) = retry_flags(headers);
     Ok(Query {
         id: id.into(),
-        session: text(headers, "x-entity").unwrap_or_default().into(),
+        session: header_text(headers, "x-entity").unwrap_or_default().into(),
         prefix: labels.prefix,
         prefix_tokens: labels.prefix_tokens,
         prompt_tokens: labels.prompt_tokens,
         max_tokens: labels.max_tokens,
-        class: settings.class(lane).ok_or(InputError::Unknown("X-Lane"))?,
-        tenant: tenant(headers, settings),
-        budget: text(headers, "x-remaining").and_then(span).ok_or(InputError::Header("X-Remaining"))?,
+        class: settings.class(class_name).ok_or(InputError::UnknownName("X-Lane"))?,
+        tenant: tenant_index(headers, settings),
+        budget: header_text(headers, "x-remaining")
+            .and_then(parse_duration)
+            .ok_or(InputError::InvalidHeader("X-Remaining"))?,
         is_client_retry,
         resumes_stream,
     })
--- a/daemon/tests/closes.rs
+++ b/daemon/tests/closes.rs
@@ -170,7 +170,7 @@
     let site = Site::start().await;
     let mut client = resting(site.platform).await;
     client.write_all(b"POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\n").await.unwrap();
-    let within = CLIENT_TIMEOUTS.arrive + Duration::from_millis(700);
+    let within = CLIENT_TIMEOUTS.request_arrival + Duration::from_millis(700);
     let ended = timeout(within, client.read_to_end(&mut Vec::new())).await;
     assert!(ended.is_ok(), "nothing after {within:?}");
 }
--- a/daemon/tests/platform.rs
+++ b/daemon/tests/platform.rs
@@ -143,7 +143,7 @@
 
 #[tokio::test]
 async fn a_crowd_that_sends_no_whole_request_keeps_nobody_out_and_ends_nobodys_answer() {
-    let site = Site::with(ClientTimeouts { arrive: 3 * LATEST, ..CLIENT_TIMEOUTS }).await;
+    let site = Site::with(ClientTimeouts { request_arrival: 3 * LATEST, ..CLIENT_TIMEOUTS }).await;
     site.writer.next(Does::StallsAfter(&[EVENT]));
     let mut served = send(site.platform, &post(PATH, HEADERS, "{}")).await;
     let mut seen = Vec::new();
@@ -225,7 +225,7 @@
     while site.writer.posts().is_empty() {
         tokio::task::yield_now().await;
     }
-    site.doors.leave();
+    site.doors.end_keep_alive();
     site.conductor.close();
     assert_eq!(book.await.unwrap().status, 502);
     site.writer.given_up.recv().await.unwrap();
--- a/daemon/tests/support/mod.rs
+++ b/daemon/tests/support/mod.rs
@@ -15,8 +15,8 @@
 use frosttrail::{Health, Id, ListUpdateKind, ServerEntry, Settings};
 use frosttrail_core::{start, Clock, Conductor, ConductorParts, MembershipSource, MembershipUpdate, Metrics};
 use frosttrail_daemon::config::ChatConfig;
-use frosttrail_daemon::front::chat::Chat;
-use frosttrail_daemon::front::platform::Platform;
+use frosttrail_daemon::front::chat::ChatFront;
+use frosttrail_daemon::front::platform::PlatformFront;
 use frosttrail_daemon::front::{ClientListeners, ClientTimeouts};
 use frosttrail_daemon::upstream::{AddressTable, HttpUpstream, Limits};
 use serde_json::{json, Value};
@@ -69,9 +69,9 @@
 
 /// How long clients may take.
 pub const CLIENT_TIMEOUTS: ClientTimeouts = ClientTimeouts {
-    arrive: Duration::from_millis(300),
+    request_arrival: Duration::from_millis(300),
     idle: Duration::from_secs(60),
-    stall: Duration::from_millis(200),
+    write: Duration::from_millis(200),
 };
 
 pub const READ: Does = Does::Says(202, false, "{\"cached_tokens\":0}");
@@ -423,8 +423,8 @@
         let doors = ClientListeners::new(8, patience, slog::Logger::root(slog::Discard, slog::o!()));
         let config =
             ChatConfig { listen: any(), models: vec!["chat".into()], class: "book".into(), max_tokens: 400 };
-        let platform = Platform::new(conductor.clone());
-        let chat = Chat::new(conductor.clone(), config);
+        let platform = PlatformFront::new(conductor.clone());
+        let chat = ChatFront::new(conductor.clone(), config);
         let (platform, chat) = (doors.open(any(), platform).unwrap(), doors.open(any(), chat).unwrap());
         Open { platform, chat, conductor, doors, news, book }
     }
--- a/daemon/tests/unit/listener.rs
+++ b/daemon/tests/unit/listener.rs
@@ -1,7 +1,7 @@
 use std::io::{Read, Write};
 
 use super::*;
-use crate::front::body::whole;
+use crate::front::body::full_response;
 use crate::upstream::ServerEvents;
 
 /// Answers everything at once.
@@ -10,12 +10,12 @@
 impl Service for Answers {
     type Events = ServerEvents;
 
-    async fn answer(&self, _: Request<Incoming>) -> FrontResponse<ServerEvents> {
-        Ok(whole(StatusCode::OK, "text/plain", "here"))
+    async fn respond(&self, _: Request<Incoming>) -> ServiceResult<ServerEvents> {
+        Ok(full_response(StatusCode::OK, "text/plain", "here"))
     }
 
-    fn turn_down(&self, error: InputError) -> Response<FrontBody<ServerEvents>> {
-        whole(error.status(), "text/plain", "")
+    fn reject(&self, error: InputError) -> Response<ResponseBody<ServerEvents>> {
+        full_response(error.status(), "text/plain", "")
     }
 }
 
@@ -23,20 +23,25 @@
 /// process was held up right after it was accepted.
 #[tokio::test]
 async fn a_connection_that_makes_room_is_looked_at_once_more() {
-    let patience = ClientTimeouts {
-        arrive: Duration::from_secs(2),
+    let timeouts = ClientTimeouts {
+        request_arrival: Duration::from_secs(2),
         idle: Duration::from_secs(5),
-        stall: Duration::from_secs(20),
+        write: Duration::from_secs(20),
     };
-    let doors = ClientListeners::new(1, patience, Logger::root(slog::Discard, slog::o!()));
+    let listeners = ClientListeners::new(1, timeouts, Logger::root(slog::Discard, slog::o!()));
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let mut client = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     client.write_all(b"GET / HTTP/1.1\r\nhost: x\r\n\r\n").unwrap();
     let (accepted, _) = listener.accept().unwrap();
     accepted.set_nonblocking(true).unwrap();
-    let place = doors.clients.place().await;
-    place.leave().cancel();
-    doors.serve(TcpStream::from_std(accepted).unwrap(), Instant::now(), place, Arc::new(Answers));
+    let slot = listeners.limiter.acquire_slot().await;
+    slot.eviction_token().cancel();
+    listeners.serve_connection(
+        TcpStream::from_std(accepted).unwrap(),
+        Instant::now(),
+        slot,
+        Arc::new(Answers),
+    );
     let read = tokio::task::spawn_blocking(move || {
         let mut answer = String::new();
         client.read_to_string(&mut answer).map(|_| answer)
