--- a/daemon/src/front/body.rs
+++ b/daemon/src/front/body.rs
@@ -1,4 +1,4 @@
-//! What a front sends back: a short text, or a server's events.
+//! Response bodies of the fronts: a complete text, or a stream of a server's events.
 
 use std::convert::Infallible;
 use std::pin::Pin;
@@ -14,14 +14,14 @@
 use hyper::header::{HeaderName, HeaderValue, CONTENT_TYPE};
 use hyper::{Response, StatusCode};
 
-/// The body of an answer.
+/// The body of a response.
 pub enum ResponseBody<E: EventStream> {
-    /// All of it at once.
+    /// A complete body, sent at once.
     Full(Option<Bytes>),
-    /// Events as they come. A break is an error, on which the library ends the connection without the
+    /// Events as they arrive. A broken stream is an error, on which hyper closes the connection without the
     /// last chunk.
     Events(AnswerStream<E>),
-    /// The same for a chat client.
+    /// Events as they arrive, for a client of the chat API.
     Chat(ChatStream<E>),
 }
 
@@ -44,7 +44,7 @@
         match self {
             ResponseBody::Full(bytes) => bytes.is_none(),
             ResponseBody::Events(events) => events.is_finished(),
-            // Its end is known only once it has been asked for.
+            // The end of the stream is known only once it has been polled.
             ResponseBody::Chat(_) => false,
         }
     }
@@ -57,7 +57,7 @@
     }
 }
 
-/// A body, and the request that is under way until it has gone.
+/// A body that keeps its request open until the body has been sent or dropped.
 pub(super) struct TrackedBody<E: EventStream> {
     body: ResponseBody<E>,
     _open_request: OpenRequestGuard,
@@ -89,10 +89,10 @@
     }
 }
 
-/// A front's answer.
+/// The response of a front; a front has no errors of its own.
 pub type ServiceResult<E> = Result<Response<ResponseBody<E>>, Infallible>;
 
-/// A short answer.
+/// Creates a response with a complete body.
 pub(super) fn full_response<E: EventStream>(
     status: StatusCode,
     content_type: &'static str,
@@ -104,14 +104,15 @@
     response
 }
 
-/// A stream of events.
+/// Creates a response that streams events.
 pub(super) fn event_stream_response<E: EventStream>(stream: ResponseBody<E>) -> Response<ResponseBody<E>> {
     let mut response = Response::new(stream);
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("text/event-stream"));
     response
 }
 
-/// Tells the client when to come back, in the words of its wire; nothing where there is no advice.
+/// Sets a retry header, whose value `format` writes as the client's protocol has it; sets none if the time is
+/// zero.
 pub(super) fn set_retry_after<E: EventStream>(
     response: &mut Response<ResponseBody<E>>,
     name: HeaderName,
--- a/daemon/src/front/chat/error.rs
+++ b/daemon/src/front/chat/error.rs
@@ -1,4 +1,4 @@
-//! The API's error object and its statuses.
+//! Errors of the chat API, as JSON error objects with their status codes.
 
 use frosttrail_core::EventStream;
 use hyper::header::HeaderValue;
@@ -9,7 +9,7 @@
 use crate::front::body::{full_response, ResponseBody};
 use crate::front::input::InputError;
 
-/// What a client is told instead of an answer.
+/// Why a request gets an error instead of a completion.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ApiError {
     #[error("{0}")]
@@ -27,7 +27,7 @@
 }
 
 impl ApiError {
-    /// Why a request that never ran was refused.
+    /// The error for a request that was refused and never ran, by whether any server could be reached.
     pub(super) fn from_refusal(has_reached_server: bool) -> Self {
         match has_reached_server {
             true => ApiError::Overloaded,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Status, type, parameter and code.
+    /// The status code, and the error object's type, parameter and code.
     fn status_and_fields(&self) -> (StatusCode, &'static str, Option<&'static str>, Option<&'static str>) {
         const INVALID: &str = "invalid_request_error";
         match self {
@@ -58,7 +58,7 @@
         }
     }
 
-    /// The answer that says so.
+    /// Creates the error response.
     pub(super) fn response<E: EventStream>(self) -> Response<ResponseBody<E>> {
         let (status, kind, param, code) = self.status_and_fields();
         let object = json!({"message": self.to_string(), "type": kind, "param": param, "code": code});
--- a/daemon/src/front/chat/gather.rs
+++ b/daemon/src/front/chat/gather.rs
@@ -1,4 +1,4 @@
-//! A stream of events into the one object that a client gets who does not stream.
+//! Collects a stream of events into the single completion object for a client that does not stream.
 
 use std::collections::BTreeMap;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -35,7 +35,7 @@
     finish_reason: Option<String>,
 }
 
-/// The answer so far.
+/// The completion, as far as its events have arrived.
 pub(super) struct CompletionBuilder {
     id: String,
     created: u64,
@@ -46,13 +46,13 @@
 }
 
 impl CompletionBuilder {
-    /// Nothing yet; id and model as they are where the server names none.
+    /// Creates an empty completion; `id` and `model` apply where the server's events name none.
     pub(super) fn new(id: String, model: String) -> Self {
         let created = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs();
         CompletionBuilder { id, created, model, choices: BTreeMap::new(), usage: None, is_done: false }
     }
 
-    /// The whole answer, if its final event has come.
+    /// Returns the completion as JSON, or an error if the final event is missing.
     pub(super) fn finish(self) -> Result<String, ApiError> {
         if !self.is_done {
             return Err(ApiError::ServerFailed);
@@ -76,7 +76,7 @@
         .to_string())
     }
 
-    /// The next event.
+    /// Adds the next event.
     pub(super) fn push_event(&mut self, event: &[u8]) -> Result<(), ApiError> {
         let data = event_data(event);
         if data.is_empty() {
@@ -103,7 +103,8 @@
     }
 }
 
-/// Adds a delta to what came before: texts grow, lists merge by their items' `index`, the rest is set.
+/// Merges a delta into a message: appends to texts, merges lists by the `index` of their items, and replaces
+/// all other values.
 fn merge(message: &mut Map<String, Value>, delta: Map<String, Value>) {
     for (key, value) in delta {
         match (message.get_mut(&key), value) {
@@ -125,11 +126,12 @@
     }
 }
 
-/// Texts that name something come whole each time.
+/// Whether a text is replaced instead of appended to: names are sent in full each time.
 fn is_replaced_whole(key: &str) -> bool {
     matches!(key, "role" | "id" | "type")
 }
 
+/// Merges list items by their `index`; items without one are appended.
 fn merge_items(items: &mut Vec<Value>, more: Vec<Value>) {
     for item in more {
         let Value::Object(mut object) = item else {
--- a/daemon/src/front/chat/mod.rs
+++ b/daemon/src/front/chat/mod.rs
@@ -1,5 +1,5 @@
-//! The OpenAI-style front: `POST /v1/chat/completions`, with or without streamed events. It translates
-//! and checks; what becomes of a request is settled by the same core as behind the platform's front.
+//! The OpenAI-style front: `POST /v1/chat/completions`, with or without streaming. It validates and
+//! translates requests; the same core as behind the platform's front decides how each request is served.
 
 mod error;
 mod gather;
@@ -27,20 +27,20 @@
 use crate::upstream::Call;
 
 pub(super) const JSON: &str = "application/json";
-/// Tells a client's library not to repeat by itself what may have run.
+/// Tells client libraries whether to retry; `false` for a request that may have run.
 const SHOULD_RETRY: HeaderName = HeaderName::from_static("x-should-retry");
-/// The same advice as `Retry-After`, which holds whole seconds only, for libraries that read this first.
+/// Like `Retry-After`, which holds whole seconds only, but in milliseconds; some client libraries prefer it.
 const RETRY_AFTER_MS: HeaderName = HeaderName::from_static("retry-after-ms");
 const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
 
-/// Translates the chat API.
+/// Serves the chat API.
 pub struct ChatFront<B> {
     conductor: Conductor<B>,
     parser: RequestParser,
 }
 
 impl<B: Upstream<Call = Call>> ChatFront<B> {
-    /// A front of this conductor.
+    /// Creates a front for this conductor.
     pub fn new(conductor: Conductor<B>, config: ChatConfig) -> Self {
         let ChatConfig { models, class, max_tokens, .. } = config;
         let parser = RequestParser::new(models, class, max_tokens);
@@ -119,8 +119,7 @@
     }
 }
 
-/// Reads an answer to its end into one object. One that breaks off, or ends without its final event, is
-/// not an answer.
+/// Collects a stream into one completion object. Fails if the stream breaks, or ends without its final event.
 async fn collect_completion<E: EventStream>(
     mut events: AnswerStream<E>,
     id: &str,
--- a/daemon/src/front/chat/request.rs
+++ b/daemon/src/front/chat/request.rs
@@ -1,4 +1,5 @@
-//! From a chat request to a query. What the request does not name is derived by the rules in the README.
+//! Translates chat requests into queries; what a request does not state is derived by the rules in the
+//! README.
 
 use std::hash::{BuildHasher, Hash, Hasher, RandomState};
 use std::sync::Arc;
@@ -18,7 +19,8 @@
 };
 use crate::upstream::Call;
 
-/// What the front needs of a request's body; the rest is the server's concern.
+/// The fields of a request body that the front reads; the server validates the rest. The names of these types
+/// appear in serde's errors, which are sent to clients.
 #[derive(Deserialize)]
 struct Body {
     model: String,
@@ -64,6 +66,7 @@
 }
 
 impl Message {
+    /// All texts of the message's content.
     fn texts(&self) -> impl Iterator<Item = &str> {
         let (whole, parts) = match &self.content {
             Some(Content::Text(text)) => (Some(text.as_str()), [].as_slice()),
@@ -78,7 +81,7 @@
     }
 }
 
-/// A request as understood.
+/// A validated request, translated for the core and the server.
 pub(super) struct ParsedRequest {
     pub(super) query: Query,
     pub(super) call: Call,
@@ -87,13 +90,13 @@
     pub(super) model: String,
 }
 
-/// Reads requests.
+/// Parses and validates chat requests.
 pub(super) struct RequestParser {
     models: Vec<String>,
     /// The class of a request that names none.
     default_class: String,
     default_max_tokens: u64,
-    /// Ids of requests that bring none: a count under keys that are new with each start.
+    /// Generates ids for requests without one, by hashing `next_id` with keys that are random per process.
     id_hasher: RandomState,
     next_id: std::sync::atomic::AtomicU64,
 }
@@ -109,12 +112,12 @@
         }
     }
 
-    /// The models that clients may name.
+    /// The models that clients may request.
     pub(super) fn models(&self) -> &[String] {
         &self.models
     }
 
-    /// The query, and the request as a server gets it.
+    /// Parses a request into its query and the call to the server.
     pub(super) fn parse(
         &self,
         settings: &Settings,
@@ -206,7 +209,8 @@
     }
 }
 
-/// What the client will wait: as it says, or else as long as the class's clients do.
+/// How long the client waits, in microseconds: as it states, or else as long as clients of its class do,
+/// which is the deadline and twice the target for the first token.
 fn budget(headers: &HeaderMap, class: &RequestClass, prompt_tokens: u64) -> Result<u64, InputError> {
     match header_text(headers, "x-remaining") {
         Some(named) => parse_duration(named).ok_or(InputError::InvalidHeader("X-Remaining")),
@@ -216,8 +220,8 @@
     }
 }
 
-/// The platform's headers, so that servers see what they see behind the other front. A client's
-/// credentials end here.
+/// Creates the platform's headers, so that servers get the same as from the platform's front. The client's
+/// own headers, and with them its credentials, are not forwarded.
 fn server_headers(query: &Query) -> Result<HeaderMap, InputError> {
     let prefix = query.prefix.as_ref().map(|p| format!("prefix={p},")).unwrap_or_default();
     let labels = format!(
@@ -238,16 +242,18 @@
     Ok(headers)
 }
 
+/// The limit on output tokens, if the request states one.
 fn token_limit(body: &Body) -> Option<u64> {
     body.max_completion_tokens.or(body.max_tokens)
 }
 
+/// Estimates a token count from a number of characters.
 fn estimate_tokens(characters: u64) -> u64 {
     characters.div_ceil(CHARS_PER_TOKEN)
 }
 
-/// The conversation: as named, or else the user and all up to the first user's message, which is the
-/// same at every turn.
+/// The id of the conversation: as the client states it, or else a hash of the user and all messages up to the
+/// first from the user, which are the same in every turn.
 fn session_id(headers: &HeaderMap, body: &Body) -> Id {
     if let Some(named) = header_text(headers, "x-entity") {
         return named.into();
@@ -257,7 +263,8 @@
     hash_texts(body.user.as_deref().into_iter().chain(opening))
 }
 
-/// The opening that it shares with other conversations: its first message where that is the operator's.
+/// The prefix that the prompt shares with other conversations, and its tokens: the first message, if it is a
+/// system or developer message with others after it.
 fn shared_prefix(messages: &[Message]) -> (Option<Id>, u64) {
     match messages.first() {
         Some(first) if matches!(first.role.as_str(), "system" | "developer") && messages.len() > 1 => {
@@ -267,7 +274,8 @@
     }
 }
 
-/// A key of some texts: the same at every conductor and after every restart, as this hash has no seed.
+/// Hashes texts into an id. The hash has no seed, so that it is the same on every conductor and after a
+/// restart.
 fn hash_texts<'a>(texts: impl Iterator<Item = &'a str>) -> Id {
     let mut hash = FnvHasher::default();
     texts.for_each(|text| text.hash(&mut hash));
@@ -278,7 +286,7 @@
     InputError::InvalidBody(format!("the body: {e}"))
 }
 
-/// Servers only stream: the same request, asked for as a stream with its usage.
+/// Rewrites a request body to ask for a stream with usage, because servers only stream.
 fn as_streaming(bytes: &Bytes) -> Result<Bytes, InputError> {
     let mut body: Map<String, Value> = serde_json::from_slice(bytes).map_err(invalid_json)?;
     body.insert("stream".into(), json!(true));
--- a/daemon/src/front/chat/sse.rs
+++ b/daemon/src/front/chat/sse.rs
@@ -1,4 +1,4 @@
-//! Server-sent events: what one holds, and a chat stream that is whole only with its final event.
+//! Server-sent events: their data, and a chat stream that is complete only with its final event.
 
 use std::task::{ready, Context, Poll};
 
@@ -6,7 +6,7 @@
 use frosttrail_core::{AnswerStream, EventStream, StreamBroken};
 use serde::Deserialize;
 
-/// What an event's data lines hold.
+/// The data of an event: its `data:` lines, joined by line feeds.
 pub(super) fn event_data(event: &[u8]) -> Vec<u8> {
     let line = |line: &'_ [u8]| -> Option<Vec<u8>> {
         let data = line.strip_prefix(b"data:")?;
@@ -17,11 +17,12 @@
     lines.join(&b'\n')
 }
 
-/// The final event.
+/// Whether an event's data marks the final event.
 pub(super) fn is_done_event(data: &[u8]) -> bool {
     data.trim_ascii() == b"[DONE]"
 }
 
+/// A chunk without choices that only reports the usage.
 #[derive(Deserialize)]
 struct UsageChunk {
     choices: [(); 0],
@@ -33,9 +34,9 @@
     serde_json::from_slice::<UsageChunk>(data).is_ok_and(|u| u.choices.is_empty())
 }
 
-/// A server's events for a client that streams: each unchanged, as soon as it is whole. The event that only
-/// tells the usage is left out where it was not asked for. A stream that ends without its final event is
-/// broken, however well its connection ended.
+/// A server's events for a client that streams: each is forwarded unchanged as soon as it is complete. The
+/// event that only reports the usage is dropped unless the client asked for it. A stream that ends without
+/// its final event counts as broken, even if its connection ended regularly.
 pub struct ChatStream<E: EventStream> {
     events: AnswerStream<E>,
     include_usage: bool,
@@ -47,7 +48,7 @@
         ChatStream { events, include_usage, has_final_event: false }
     }
 
-    /// Whether an event goes on to the client.
+    /// Whether an event may be forwarded to the client; also notes the final event.
     fn may_forward(&mut self, event: &[u8]) -> bool {
         let data = event_data(event);
         self.has_final_event |= is_done_event(&data);
--- a/daemon/src/front/clients.rs
+++ b/daemon/src/front/clients.rs
@@ -1,4 +1,4 @@
-//! The bound on clients' connections, and which of them makes room for a new one.
+//! Limits the number of client connections, and evicts idle ones to make room for new ones.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -8,15 +8,17 @@
 use tokio::time::{timeout, Instant};
 use tokio_util::sync::CancellationToken;
 
-/// A connection that was told to make room is gone by then, unless a request has come on it.
+/// How long to wait for an evicted connection to release its slot before evicting another. An evicted
+/// connection has closed by then, unless a request has arrived on it.
 const EVICTION_RETRY_INTERVAL: Duration = Duration::from_millis(50);
-/// Who has just come may be about to ask: a connection makes no room before this age.
+/// A connection that has not brought a request yet is not evicted before this age: its client may be about to
+/// send one.
 const MIN_EVICTION_AGE: Duration = Duration::from_millis(20);
-/// Connections on which requests are only refused, while open requests have all places. Their descriptors
-/// come from those that are spared for neither clients nor servers.
+/// Connections accepted only to refuse their requests, while open requests hold every slot. Their file
+/// descriptors come from the reserve that is set aside for neither clients nor servers.
 const MAX_REFUSING_CONNECTIONS: usize = 8;
 
-/// All clients' connections, of whichever front.
+/// Hands out connection slots; shared by the listeners of all fronts.
 #[derive(Clone)]
 pub(super) struct ConnectionLimiter {
     permits: Arc<Semaphore>,
@@ -24,11 +26,11 @@
     idle: Arc<Mutex<IdleConnections>>,
 }
 
-/// A connection's turn to make room: those that have never brought a whole request go first, then those
-/// that have been without one for longest.
+/// Order of eviction: connections that have never brought a whole request go first (`false`), then those that
+/// have been idle for longest (lowest sequence number).
 type EvictionKey = (bool, u64);
 
-/// Connections without an open request.
+/// Connections without an open request, in the order of their eviction.
 #[derive(Default)]
 struct IdleConnections {
     last_sequence: u64,
@@ -42,16 +44,16 @@
 }
 
 impl IdleConnections {
-    /// Whether nothing makes room for another request: those that are here have no place of their own.
+    /// Whether no idle connection holds a regular slot, so that an eviction would make no room.
     fn has_only_refusing(&self) -> bool {
         self.connections.values().all(|connection| connection.is_refusing)
     }
 
-    /// The one whose turn it is to make room.
+    /// Removes the connection to evict next and returns its eviction token.
     fn pop_eviction_candidate(&mut self) -> Option<CancellationToken> {
         let (&(has_received, sequence), first) = self.connections.first_key_value()?;
         let eviction_key = match !has_received && first.idle_since.elapsed() < MIN_EVICTION_AGE {
-            // All that never asked are as young; the next are those that have.
+            // The oldest without a request is too young, so all of them are: take one that has had a request.
             true => *self.connections.range((true, 0)..).next()?.0,
             false => (has_received, sequence),
         };
@@ -60,7 +62,7 @@
 }
 
 impl ConnectionLimiter {
-    /// Room for so many.
+    /// Creates a limiter with this many regular slots.
     pub(super) fn new(max_connections: usize) -> Self {
         let (permits, refusing_permits) =
             (Semaphore::new(max_connections), Semaphore::new(MAX_REFUSING_CONNECTIONS));
@@ -71,10 +73,10 @@
         }
     }
 
-    /// A place for one more. Where there is none, connections without an open request are told to close in
-    /// turn; clients keep theirs open, so that without this a crowd of idle ones would shut new ones out.
-    /// Where open requests have them all, what comes is refused: unread, it would get no answer in its
-    /// time.
+    /// Acquires a slot for a new connection. If all are taken, evicts idle connections one after another:
+    /// clients keep their connections open, so many idle clients would otherwise lock new ones out. If open
+    /// requests hold every slot, returns a refusing slot: a request left unread would get no response within
+    /// its deadline.
     pub(super) async fn acquire_slot(&self) -> ConnectionSlot {
         loop {
             let permit = self.permits.clone().try_acquire_owned();
@@ -117,17 +119,18 @@
 
 #[derive(Default)]
 struct RequestState {
-    /// Requests that have come whole,
+    /// Requests that have been received in full.
     received_count: u64,
-    /// and those that have been answered; more than the others where one was turned down before its end.
+    /// Requests whose response has been sent. Exceeds `received_count` if a request was rejected before all
+    /// of it had arrived.
     answered_count: u64,
-    /// The library has handed out all of one that has not been answered.
+    /// hyper has handed out the whole of a request that has not been answered yet.
     is_awaiting_response: bool,
-    /// Its turn while none is open.
+    /// The connection's place in the order of eviction, while it has no open request.
     eviction_key: Option<EvictionKey>,
 }
 
-/// One connection's place. Dropping it gives it to another.
+/// The slot of one connection. Dropping it frees the slot for another connection.
 pub(super) struct ConnectionSlot {
     limiter: ConnectionLimiter,
     eviction: CancellationToken,
@@ -137,46 +140,48 @@
 }
 
 impl ConnectionSlot {
-    /// A request has come on it whole. Until it is answered, the place is not for others.
+    /// Records that a whole request has arrived. The connection can't be evicted until it is answered.
     pub(super) fn record_arrival(&self) {
         self.update(|state| state.received_count += 1);
     }
 
-    /// All of the request has been handed out: what its client sends from now on is no part of it.
+    /// Records that hyper has handed out the whole request: what the client sends from now on is not part of
+    /// it.
     fn record_body_read(&self) {
         self.update(|state| state.is_awaiting_response = true);
     }
 
-    /// Whether a client waits whose request has been handed out whole.
+    /// Whether a request has been handed out in full and its response is outstanding.
     pub(super) fn is_awaiting_response(&self) -> bool {
         self.lock().is_awaiting_response
     }
 
-    /// Whether a whole request has come, and has not been answered,
+    /// Whether a whole request has arrived and has not been answered.
     pub(super) fn has_open_request(&self) -> bool {
         self.lock().eviction_key.is_none()
     }
 
-    /// whether one ever came,
+    /// Whether a whole request has ever arrived.
     pub(super) fn has_received_request(&self) -> bool {
         self.lock().received_count > 0
     }
 
-    /// and whether one was ever answered.
+    /// Whether a request has ever been answered.
     pub(super) fn has_answered_request(&self) -> bool {
         self.lock().answered_count > 0
     }
 
-    /// Whether what comes on it is refused, as there is no place for another request.
+    /// Whether requests on this connection are refused because no regular slot was free.
     pub(super) fn is_refusing(&self) -> bool {
         self.is_refusing
     }
 
-    /// Cancelled when it should make room.
+    /// The token that is cancelled when the connection is to make room for another.
     pub(super) fn eviction_token(&self) -> CancellationToken {
         self.eviction.clone()
     }
 
+    /// Changes the request state, and enters the connection into the order of eviction or removes it.
     fn update(&self, change: impl FnOnce(&mut RequestState)) {
         let mut state = self.lock();
         change(&mut state);
@@ -214,7 +219,7 @@
     }
 }
 
-/// A request under way on a connection, until its answer has gone.
+/// Counts a request as answered when dropped, once its response has been sent.
 pub(super) struct OpenRequestGuard(pub(super) Arc<ConnectionSlot>);
 
 impl Drop for OpenRequestGuard {
@@ -225,12 +230,12 @@
     }
 }
 
-/// Goes with a request's head to whoever reads its body, to be told when that has ended.
+/// Travels with a request's head to the reader of its body, which reports the body's end through it.
 #[derive(Clone)]
 pub(super) struct BodyReadNotice(pub(super) Arc<ConnectionSlot>);
 
 impl BodyReadNotice {
-    /// All of the body has come.
+    /// Reports that the whole body has been read.
     pub(super) fn notify(&self) {
         self.0.record_body_read();
     }
--- a/daemon/src/front/framing.rs
+++ b/daemon/src/front/framing.rs
@@ -1,6 +1,8 @@
-//! Where each request on a connection ends. The library lets the chunked coding win over a length, and one
-//! length stand for several; whoever reads such a head otherwise sees another request in its body. Here a
-//! head that can be read in two ways counts as none.
+//! Tracks where each request on a connection ends, and detects heads with ambiguous framing.
+//!
+//! hyper lets chunked coding override a `Content-Length`, and one length stand for several. A parser that
+//! reads such a head differently would see another request in its body (request smuggling), so a head that
+//! can be read in two ways is rejected.
 
 use std::io::{IoSlice, Result};
 use std::pin::Pin;
@@ -14,25 +16,25 @@
 
 use super::clients::ConnectionSlot;
 
-/// More headers than this are not read.
+/// Most headers in a request head; a head with more is rejected.
 pub(super) const MAX_HEADERS: usize = 64;
 
-/// What has been found on a connection.
+/// What parsing has found on a connection so far; shared between the stream and the connection's task.
 #[derive(Default)]
 pub(super) struct FramingState {
     is_ambiguous: AtomicBool,
     is_last_request: AtomicBool,
-    /// When the head began that has not ended yet.
+    /// When the head that is still incomplete began to arrive.
     partial_head_since: Mutex<Option<Instant>>,
 }
 
 impl FramingState {
-    /// A head was ambiguous or can't be read: neither it nor what follows is a request.
+    /// Whether a head was ambiguous or malformed: neither it nor what follows is served as a request.
     pub(super) fn is_ambiguous(&self) -> bool {
         self.is_ambiguous.load(Ordering::Relaxed)
     }
 
-    /// When the head began that has come in part.
+    /// When the head that is still incomplete began to arrive.
     pub(super) fn partial_head_since(&self) -> Option<Instant> {
         *self.partial_head_since.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -42,19 +44,19 @@
         *since = is_partial.then(|| since.unwrap_or_else(Instant::now));
     }
 
-    /// The request's end is not known here, so that it must be the connection's last.
+    /// Whether the request must be the connection's last, because its end is not tracked here.
     pub(super) fn is_last_request(&self) -> bool {
         self.is_last_request.load(Ordering::Relaxed)
     }
 }
 
-/// What comes next on a connection.
+/// What the next bytes on a connection belong to.
 enum ParseState {
-    /// The rest of a head that began so.
+    /// A request head, of which these bytes have arrived.
     Head(Vec<u8>),
-    /// So many bytes of a body.
+    /// A request body with this many bytes to come.
     Body(u64),
-    /// Nothing more that would be looked at.
+    /// The rest of the connection is not parsed.
     Ignored,
 }
 
@@ -66,14 +68,15 @@
     Ambiguous,
 }
 
+/// Determines the framing of the body from the headers of its request.
 fn body_framing(headers: &[Header]) -> Framing {
-    let named = |name: &str| {
-        let named = headers.iter().filter(|h| h.name.eq_ignore_ascii_case(name));
-        named.map(|h| h.value).collect::<Vec<_>>()
+    let values_of = |name: &str| {
+        let headers = headers.iter().filter(|h| h.name.eq_ignore_ascii_case(name));
+        headers.map(|h| h.value).collect::<Vec<_>>()
     };
-    match (named("content-length").as_slice(), named("transfer-encoding").as_slice()) {
+    match (values_of("content-length").as_slice(), values_of("transfer-encoding").as_slice()) {
         ([], []) => Framing::Length(0),
-        // Digits alone: other readers take a sign, a list or a number in another base to be something else.
+        // Accepts digits only: parsers disagree on signs, lists and numbers in other bases.
         ([length], []) if length.iter().all(u8::is_ascii_digit) => std::str::from_utf8(length)
             .ok()
             .and_then(|length| length.parse().ok())
@@ -83,7 +86,7 @@
     }
 }
 
-/// A client's connection that is read along with the library.
+/// A client's connection that parses the framing of the bytes that hyper reads from it.
 pub(super) struct FramingStream<S> {
     io: Pin<Box<S>>,
     state: ParseState,
@@ -96,6 +99,7 @@
         FramingStream { io: Box::pin(io), state: ParseState::Head(Vec::new()), framing, slot }
     }
 
+    /// Advances the parse state over bytes that hyper is about to get.
     fn track(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
             let (state, consumed) = match std::mem::replace(&mut self.state, ParseState::Ignored) {
@@ -105,7 +109,8 @@
                     (self.expect_body(length - consumed), consumed as usize)
                 }
                 ParseState::Head(mut head) => {
-                    // The library's bound on heads bounds this one too: past it nothing more is read.
+                    // hyper's limit on the size of a head bounds this buffer too: nothing more is read past
+                    // it.
                     head.extend_from_slice(bytes);
                     self.parse_head(head, bytes.len())
                 }
@@ -116,7 +121,8 @@
         self.framing.set_partial_head(matches!(&self.state, ParseState::Head(head) if !head.is_empty()));
     }
 
-    /// What follows on a head that has come so far, and how many of its last `new` bytes belong to it.
+    /// Parses the head received so far. Returns the next state and how many of the head's last `new_bytes`
+    /// bytes belong to it.
     fn parse_head(&self, head: Vec<u8>, new_bytes: usize) -> (ParseState, usize) {
         let mut headers = [EMPTY_HEADER; MAX_HEADERS];
         let mut request = httparse::Request::new(&mut headers);
@@ -128,7 +134,8 @@
         let state = match framing {
             Framing::Length(length) => self.expect_body(length),
             Framing::Chunked => {
-                // Counts as arrived from its head on, as it must not be cut off once it has.
+                // A chunked request counts as arrived from its head on: its end is not tracked here, and a
+                // request that has arrived must not be cut off.
                 self.slot.record_arrival();
                 self.framing.is_last_request.store(true, Ordering::Relaxed);
                 ParseState::Ignored
@@ -141,6 +148,8 @@
         (state, consumed)
     }
 
+    /// Returns the state with `remaining` bytes of the body to come; if there are none, records the request
+    /// as arrived.
     fn expect_body(&self, remaining: u64) -> ParseState {
         if remaining > 0 {
             return ParseState::Body(remaining);
--- a/daemon/src/front/input.rs
+++ b/daemon/src/front/input.rs
@@ -1,4 +1,4 @@
-//! What every front checks of what comes in.
+//! Validation of client input that all fronts share.
 
 use std::collections::HashMap;
 use std::sync::{Arc, OnceLock};
@@ -18,13 +18,14 @@
 
 use super::clients::BodyReadNotice;
 
-/// The largest body on this wire.
+/// Largest request body.
 const MAX_BODY_BYTES: usize = 256 << 10;
-/// No prompt or answer has more tokens; a body holds a small part of this.
+/// Largest token count that a client may state for a prompt or an answer; a body of the largest size holds
+/// far fewer tokens.
 const MAX_TOKENS: u64 = 1 << 20;
-/// No header that says what a request is, is longer: sessions and prefixes are remembered for a while.
+/// Longest value of a request header; bounded because sessions and prefixes are kept in memory for a while.
 const MAX_HEADER_BYTES: usize = 1 << 10;
-/// Headers that say what a request is, as they are compared and as they are spelt.
+/// Headers that describe a request: in lower case for comparison, and as spelled in errors.
 const REQUEST_HEADERS: [(&str, &str); 7] = [
     ("x-txn", "X-Txn"),
     ("x-lane", "X-Lane"),
@@ -34,62 +35,63 @@
     ("x-resent", "X-Resent"),
     ("x-org", "X-Org"),
 ];
-/// What is whole so long after the listeners have closed, 0.65 s after SIGTERM at the latest, begins no
-/// more: a stream that was taken over 0.7 s after SIGTERM and still runs at SIGKILL is lost.
+/// Requests that are complete later than this after the listeners have closed are refused. The listeners
+/// close at most 0.65 s after SIGTERM, and a stream that was admitted more than 0.7 s after SIGTERM and still
+/// runs at SIGKILL is lost.
 const ADMISSION_GRACE: Duration = Duration::from_millis(30);
-/// Four characters make a token.
+/// Characters (or bytes) per token, to estimate token counts that a client does not state.
 pub(super) const CHARS_PER_TOKEN: u64 = 4;
-/// The longest id.
+/// Longest request id.
 const MAX_ID_BYTES: usize = 128;
 
-/// Why a client's request is turned down before it is one.
+/// Why a request is rejected before it reaches the core.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum InputError {
-    /// A header is missing or says nothing that makes sense.
+    /// A header is missing or malformed.
     #[error("{0}: missing or malformed")]
     InvalidHeader(&'static str),
-    /// A header names something that the settings don't.
+    /// A header or a field has a name that the settings don't define.
     #[error("{0}: no such name")]
     UnknownName(&'static str),
-    /// The body is not what it should be.
+    /// The body is missing, incomplete or malformed.
     #[error("{0}")]
     InvalidBody(String),
     /// The model is not served here.
     #[error("the model `{0}` does not exist")]
     UnknownModel(String),
-    /// No such path.
+    /// The path does not exist.
     #[error("no such path")]
     UnknownPath,
-    /// The path takes another method.
+    /// The path takes another method, which is given.
     #[error("this path takes {0} only")]
     MethodNotAllowed(&'static str),
-    /// Its head can be read in more than one way.
+    /// The framing of the body can be read in more than one way.
     #[error("Content-Length or Transfer-Encoding: repeated, at odds or malformed")]
     AmbiguousFraming,
-    /// Its id is that of a request that has not ended.
+    /// Another request with the same id is still open.
     #[error("X-Txn: a request with this id has not ended yet")]
     IdInUse,
-    /// More than a body may hold.
+    /// The body is larger than `MAX_BODY_BYTES`.
     #[error("the body is larger than 256 KiB")]
     BodyTooLarge,
-    /// The body did not come in time.
+    /// The body did not arrive in time.
     #[error("the body did not come in time")]
     BodyTimeout,
-    /// It came whole only after the listeners had closed; trying again elsewhere is harmless.
+    /// The request was complete only after the listeners had closed; a retry at another conductor is safe.
     #[error("refused: this conductor is about to end, ask another")]
     Closing,
-    /// Open requests have all places; trying again is harmless.
+    /// Open requests hold all connection slots; a retry is safe.
     #[error("refused: too many requests are open, try again")]
     TooManyOpenRequests,
 }
 
 impl InputError {
-    /// Whether the request was whole, and is refused for want of time or room here.
+    /// Whether the request arrived in full and is refused only for lack of time or capacity.
     pub fn is_refusal(&self) -> bool {
         matches!(self, InputError::Closing | InputError::TooManyOpenRequests)
     }
 
-    /// The status that says so.
+    /// The status code of the response.
     pub fn status(&self) -> StatusCode {
         match self {
             InputError::InvalidHeader(_)
@@ -106,22 +108,22 @@
     }
 }
 
-/// When a request must have come whole.
+/// The time by which a request must have arrived in full.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ArrivalDeadline(pub(super) Instant);
 
-/// Whether a request may begin once it has come whole.
+/// Decides whether a request may start once it has arrived in full.
 #[derive(Clone, Debug)]
 pub(super) struct Admission {
-    /// When the listeners were closed for good, once they are.
+    /// When the listeners were closed, if they are.
     pub(super) closed_at: Arc<OnceLock<Instant>>,
-    /// Its connection has a place for a request.
+    /// Whether the connection holds a regular slot.
     pub(super) has_slot: bool,
 }
 
 impl Admission {
     fn check(&self) -> Result<(), InputError> {
-        // What it would begin to stream now might run into the program's end.
+        // A stream that starts now might still run when the process is killed.
         if self.closed_at.get().is_some_and(|at| at.elapsed() > ADMISSION_GRACE) {
             return Err(InputError::Closing);
         }
@@ -132,7 +134,7 @@
     }
 }
 
-/// Checks the headers that say what a request is, then reads its body, within its bounds of size and time.
+/// Checks the request headers, then reads the body within its limits of size and time.
 pub(super) async fn read_body(head: &Parts, body: Incoming) -> Result<Bytes, InputError> {
     check_request_headers(&head.headers)?;
     if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
@@ -156,15 +158,15 @@
         Err(_) => return Err(InputError::InvalidBody("the body broke off".into())),
     };
     head.extensions.get::<Admission>().map_or(Ok(()), Admission::check)?;
-    // A server could only turn it away.
+    // A server could only reject an empty body.
     match bytes.is_empty() {
         true => Err(InputError::InvalidBody("the body is missing".into())),
         false => Ok(bytes),
     }
 }
 
-/// Each of them at most once, of bounded length and meant for the server: else server and conductor could
-/// read different things in one request.
+/// Checks that each request header occurs at most once, has a bounded length, and is not listed as
+/// hop-by-hop: otherwise the server and the conductor could read one request differently.
 fn check_request_headers(headers: &HeaderMap) -> Result<(), InputError> {
     for (name, spelling) in REQUEST_HEADERS {
         let mut values = headers.get_all(name).iter();
@@ -182,38 +184,39 @@
     }
 }
 
-/// The text of a header.
+/// The value of a header as text.
 pub(super) fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name).and_then(|v| v.to_str().ok())
 }
 
-/// The customer, if the settings know the one that is named.
+/// The index of the tenant that the request names, if the settings define it.
 pub(super) fn tenant_index(headers: &HeaderMap, settings: &Settings) -> Option<usize> {
     settings.tenant(header_text(headers, "x-org")?)
 }
 
-/// Whether this is a repeat, and whether the client is back for the rest of a stream.
+/// Whether the request is a client's retry, and whether the client resumes a stream.
 pub(super) fn retry_flags(headers: &HeaderMap) -> (bool, bool) {
     let resent = header_text(headers, "x-resent");
     (resent == Some("1"), resent == Some("again"))
 }
 
-/// Ids travel in paths and headers, so they hold nothing that would need quoting there.
+/// Whether a text is a valid request id. Ids are sent in paths and headers, so they contain no characters
+/// that need escaping there.
 pub(super) fn is_valid_id(text: &str) -> bool {
-    let plain = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.' | b'~');
-    !text.is_empty() && text.len() <= MAX_ID_BYTES && text.bytes().all(plain)
+    let is_unreserved = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.' | b'~');
+    !text.is_empty() && text.len() <= MAX_ID_BYTES && text.bytes().all(is_unreserved)
 }
 
-/// What `Connection` names.
+/// The headers that `Connection` lists as hop-by-hop.
 fn connection_options(headers: &HeaderMap) -> impl Iterator<Item = HeaderName> + '_ {
     let values = headers.get_all(CONNECTION).iter().filter_map(|value| value.to_str().ok());
     values.flat_map(|value| value.split(',')).filter_map(|name| name.trim().parse().ok())
 }
 
-/// Takes out what belongs to one connection rather than to the request.
+/// Removes the headers that apply to one connection only.
 pub(super) fn remove_hop_by_hop_headers(headers: &mut HeaderMap) {
     let options: Vec<HeaderName> = connection_options(headers).collect();
-    let hop = [
+    let always = [
         CONNECTION,
         CONTENT_LENGTH,
         EXPECT,
@@ -225,12 +228,12 @@
         UPGRADE,
         HeaderName::from_static("keep-alive"),
     ];
-    for name in options.into_iter().chain(hop) {
+    for name in options.into_iter().chain(always) {
         headers.remove(name);
     }
 }
 
-/// What `X-Labels` says of a prompt; what it does not name is 0.
+/// The prompt labels in `X-Labels`; counts that it does not name are 0.
 #[derive(Debug, PartialEq)]
 pub(super) struct PromptLabels {
     pub(super) prefix: Option<Id>,
@@ -239,7 +242,7 @@
     pub(super) max_tokens: u64,
 }
 
-/// `name=value,name=value`.
+/// Parses labels of the form `name=value,name=value`.
 pub(super) fn parse_labels(text: &str) -> Result<PromptLabels, InputError> {
     const INVALID: InputError = InputError::InvalidHeader("X-Labels");
     let parts = text.split(',').map(str::trim).filter(|part| !part.is_empty());
@@ -255,9 +258,9 @@
     })
 }
 
-/// A number and its unit: `m` for milliseconds, `u` for microseconds.
+/// Parses a number with its unit: `m` for milliseconds, `u` for microseconds.
 pub(super) fn parse_duration(text: &str) -> Option<Micros> {
-    /// No client waits longer than a day; more would only overflow.
+    /// One day: no client waits longer, and larger values could overflow.
     const MAX_US: f64 = 86_400e6;
     let text = text.trim();
     let (number, micros) = match text.strip_suffix('m') {
--- a/daemon/src/front/listener.rs
+++ b/daemon/src/front/listener.rs
@@ -1,4 +1,4 @@
-//! Accepting clients: a bound on connections and on what each may take of time, and an orderly end.
+//! Accepts client connections, enforces their timeouts, and closes them gracefully at shutdown.
 
 use std::convert::Infallible;
 use std::future::{poll_fn, Future};
@@ -29,82 +29,87 @@
 use super::socket::ClientSocket;
 use crate::transient::{is_shortage, retry_at_start};
 
-/// Connections that the kernel holds until they are accepted.
+/// Connections that the kernel queues until they are accepted.
 const LISTEN_BACKLOG: u32 = 1_024;
+/// Size of the buffer for a request head, and thereby of the largest head.
 const MAX_HEAD_BYTES: usize = 16 << 10;
-/// Accepts that fail in a row, as when descriptors have run out, before there is a pause between them. It
-/// doubles up to the longest: what stands in the queue must not wait for a failure that passes at once.
+/// Consecutive failures to accept, as when file descriptors have run out, before the listener pauses between
+/// attempts. The first ones retry at once, since queued connections must not wait for a failure that passes
+/// immediately.
 const ACCEPT_FAILURES_BEFORE_PAUSE: u32 = 8;
+/// The first pause; it doubles with each further failure, up to `MAX_ACCEPT_PAUSE`.
 const MIN_ACCEPT_PAUSE: Duration = Duration::from_millis(1);
 const MAX_ACCEPT_PAUSE: Duration = Duration::from_millis(10);
-/// So often at most the log is told of them.
+/// Minimum time between log messages about failures to accept.
 const ACCEPT_WARNING_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Beyond the time in which a first request must come, so that it can be told that it was too slow.
+/// Time beyond the arrival timeout before a connection without a request is closed, so that a response can
+/// still say that the request was too slow.
 const NO_REQUEST_GRACE: Duration = Duration::from_millis(300);
 
 /// Why a client's connection is closed.
 #[derive(Debug, thiserror::Error)]
 enum CloseReason {
-    /// One side said so, between requests, or the idle time is over.
-    #[error("it is over")]
+    /// One side closed it between requests, or the idle timeout expired.
+    #[error("ended between requests")]
     Ended,
-    /// It broke, or what came is no request.
+    /// The connection failed, or the input was not a valid request.
     #[error("{0}")]
     Failed(hyper::Error),
-    /// The client has gone before its answer.
-    #[error("its client has gone")]
+    /// The client disconnected before its response was complete.
+    #[error("client disconnected")]
     ClientGone,
-    /// No whole request has come in time.
-    #[error("no request in time")]
+    /// No whole request arrived in time.
+    #[error("no request arrived in time")]
     NoRequest,
-    /// A head has come in part, and not in time.
-    #[error("half a head in time")]
+    /// A request head was still incomplete when its time was over.
+    #[error("request head incomplete after its timeout")]
     HeadTimeout,
-    /// Its place is wanted.
-    #[error("room for others")]
+    /// It was idle, and its slot was needed for another connection.
+    #[error("evicted to make room for another connection")]
     Evicted,
 }
 
-/// What answers requests.
+/// Responds to the requests of one front.
 pub trait Service: Send + Sync + 'static {
-    /// Answers' events.
+    /// The events of a streamed response.
     type Events: EventStream;
 
-    /// Answers one request. Dropped if its client goes.
+    /// Responds to one request. The future is dropped if the client disconnects.
     fn respond(&self, request: Request<Incoming>)
         -> impl Future<Output = ServiceResult<Self::Events>> + Send;
 
-    /// Turns down what is no request.
+    /// Creates the response to a request that is rejected.
     fn reject(&self, error: InputError) -> Response<ResponseBody<Self::Events>>;
 }
 
-/// How long clients may take.
+/// Time limits on clients.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientTimeouts {
-    /// A request must have come whole this long after its connection was accepted or, if it is not the
-    /// first there, after its head. A connection on which none has is closed a little later.
+    /// Time for a request to arrive in full: since its connection was accepted or, after the first response
+    /// there, since its head arrived. A connection without a whole request is closed a little later.
     pub request_arrival: Duration,
     /// A connection without an open request is closed after this time.
     pub idle: Duration,
-    /// A client that takes nothing of what is sent to it for this long has gone without a word.
+    /// A client that takes nothing of what is sent to it for this long counts as disconnected.
     pub write: Duration,
 }
 
-/// What the listeners have in common: the bound on connections, and how far they are open.
+/// State shared by all client listeners: the limit on connections and the stages of shutdown.
 #[derive(Clone)]
 pub struct ClientListeners {
     limiter: ConnectionLimiter,
     timeouts: ClientTimeouts,
-    /// Another process may listen at the same address.
+    /// Whether another process may listen on the same address (`SO_REUSEPORT`).
     share_address: bool,
-    /// An end is planned: clients are told with each answer to come back on another connection.
+    /// Cancelled once shutdown is planned: each response then carries `Connection: close`.
     keep_alive_ended: CancellationToken,
-    /// Another process accepts what waits in the queue.
+    /// Cancelled once another process accepts the queued connections.
     handed_over: CancellationToken,
-    /// Nothing more is accepted, and each connection ends once it has no request.
+    /// Cancelled at shutdown: no connection is accepted any more, and each closes once it has no open
+    /// request.
     closing: CancellationToken,
-    /// When that began.
+    /// When `closing` was cancelled.
     closed_at: Arc<OnceLock<Instant>>,
     accepting: TaskTracker,
     connections: TaskTracker,
@@ -112,7 +117,7 @@
 }
 
 impl ClientListeners {
-    /// Room for so many connections, on all listeners together.
+    /// Creates the state for at most `max_connections` connections on all listeners together.
     pub fn new(max_connections: usize, timeouts: ClientTimeouts, log: Logger) -> Self {
         ClientListeners {
             limiter: ConnectionLimiter::new(max_connections),
@@ -128,32 +133,32 @@
         }
     }
 
-    /// Lets another process of the same conductor listen at the same address.
+    /// Lets another process of the same conductor listen on the same address.
     pub fn sharing_address(self) -> Self {
         ClientListeners { share_address: true, ..self }
     }
 
-    /// Listens, and serves what comes; the address is the one bound.
+    /// Listens on an address and serves connections; returns the bound address.
     pub fn open<S: Service>(&self, address: SocketAddr, service: S) -> std::io::Result<SocketAddr> {
         self.serve_on(self.bind(address)?, service)
     }
 
-    /// Listens at an address and accepts nothing yet.
+    /// Listens on an address without accepting connections yet.
     pub fn bind(&self, address: SocketAddr) -> std::io::Result<std::net::TcpListener> {
         retry_at_start(is_shortage, || self.try_bind(address))
     }
 
     fn try_bind(&self, address: SocketAddr) -> std::io::Result<std::net::TcpListener> {
         let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
-        // A conductor that is started anew takes its address over from connections that linger.
+        // A restarted conductor can bind its address while old connections are in TIME_WAIT.
         socket.set_reuseaddr(true)?;
-        // The process that takes over listens while this one still serves.
+        // At an upgrade, the new process listens while this one still serves.
         socket.set_reuseport(self.share_address)?;
         socket.bind(address)?;
         socket.listen(LISTEN_BACKLOG)?.into_std()
     }
 
-    /// Serves what comes to a listener; the address is its own.
+    /// Serves the connections of a listener; returns its local address.
     pub fn serve_on<S: Service>(
         &self,
         listener: std::net::TcpListener,
@@ -167,17 +172,19 @@
         Ok(address)
     }
 
-    /// The end is near: everything is served, but no connection beyond its next answer.
+    /// Ends keep-alive ahead of shutdown: requests are still served, but each connection closes after its
+    /// next response.
     pub fn end_keep_alive(&self) {
         self.keep_alive_ended.cancel();
     }
 
-    /// Accepts nothing more: another process does, from the same queue.
+    /// Stops accepting connections, because another process accepts them from the same queue.
     pub fn stop_accepting(&self) {
         self.handed_over.cancel();
     }
 
-    /// Accepts nothing more; resolves once every request that has been taken is answered.
+    /// Stops accepting connections; resolves once every accepted request is answered and all connections are
+    /// closed.
     pub async fn close(&self) {
         self.closed_at.get_or_init(Instant::now);
         self.closing.cancel();
@@ -187,7 +194,7 @@
         }
     }
 
-    /// Connections that have not ended.
+    /// The number of open connections.
     pub fn connection_count(&self) -> usize {
         self.connections.len()
     }
@@ -199,7 +206,8 @@
                 biased;
                 () = self.handed_over.cancelled() => return,
                 accepted = listener.accept() => accepted,
-                // Only once none is left with the kernel: what is written to those counts as taken.
+                // Polled last, so that the kernel's queue is empty first: a request written to a queued
+                // connection counts as accepted.
                 () = self.closing.cancelled() => return,
             };
             match accepted {
@@ -216,7 +224,7 @@
                 Err(e) => {
                     failures += 1;
                     if Instant::now() >= warn_at {
-                        warn!(self.log, "accept"; "why" => %e, "in a row" => failures);
+                        warn!(self.log, "accepting a connection failed"; "why" => %e, "in a row" => failures);
                         warn_at = Instant::now() + ACCEPT_WARNING_INTERVAL;
                     }
                     pause_after(failures).await;
@@ -239,8 +247,8 @@
         self.connections.spawn(async move {
             let (eviction, slot, framing) =
                 (slot.eviction_token(), Arc::new(slot), Arc::new(FramingState::default()));
-            // Without it events would wait for the client's acknowledgement; it can only fail on a
-            // connection that is no more.
+            // Otherwise Nagle's algorithm delays events until the client acknowledges earlier ones. Fails
+            // only on a connection that is already closed.
             let _ = stream.set_nodelay(true);
             let peer = stream.peer_addr().ok();
             let socket = ClientSocket::new(stream, write);
@@ -262,7 +270,7 @@
                         true => service.reject(InputError::AmbiguousFraming),
                         false => service.respond(request).await?,
                     };
-                    // What is left of a body that was turned down must not be read as another request.
+                    // The rest of a rejected request's body must not be parsed as another request.
                     let is_client_error = response.status().is_client_error();
                     let is_refused = response.status() == StatusCode::TOO_MANY_REQUESTS;
                     let is_last = !has_slot
@@ -281,8 +289,8 @@
                 .max_headers(MAX_HEADERS)
                 .max_buf_size(MAX_HEAD_BYTES)
                 .serve_connection(TokioIo::new(stream), handler);
-            // Whichever way it ends, the library lets go of the connection first: with it go the request
-            // that is open, and its attempt.
+            // Whatever the reason, hyper's connection is dropped first, and with it the open request and its
+            // attempt.
             let reason = {
                 let mut connection = pin!(connection);
                 let mut first_request_timeout = pin!(async {
@@ -292,7 +300,7 @@
                     }
                 });
                 let mut partial_head_timeout = pin!(partial_head_timeout(&head_state, request_arrival));
-                // Up to a request's end and between requests the library looks for itself.
+                // Until a request has been read and between requests, hyper detects the disconnect itself.
                 let mut client_closed = pin!(poll_fn(|cx| match slot.is_awaiting_response() {
                     true => socket.poll_client_end(cx),
                     false => Poll::Pending,
@@ -309,11 +317,11 @@
                         () = first_request_timeout.as_mut() => break CloseReason::NoRequest,
                         () = partial_head_timeout.as_mut() => break CloseReason::HeadTimeout,
                         () = shutdown_requested(&closing, &eviction), if !is_shutting_down => {
-                            // What came too slowly to be a request yet has no claim to its place.
+                            // A request that has arrived only in part does not keep the slot.
                             if eviction.is_cancelled() && !slot.has_open_request() {
                                 break CloseReason::Evicted;
                             }
-                            // Ends it at once, or after the answer under way.
+                            // Closes the connection at once, or after the current response.
                             connection.as_mut().graceful_shutdown();
                             is_shutting_down = true;
                         }
@@ -323,15 +331,15 @@
             debug!(log, "connection closed"; "peer" => ?peer, "why" => %reason);
             tokio::select! {
                 () = socket.close() => {}
-                // Its place is wanted more.
+                // An evicted connection releases its slot without draining.
                 () = eviction.cancelled() => {}
             }
         });
     }
 }
 
-/// Resolves once a head has come in part for so long. The library counts its time from the last answer on,
-/// and a client may rest for longer than a bad one is given.
+/// Resolves once a request head has been incomplete for `within`. hyper's own timeout runs from the previous
+/// response and allows for the idle time, which is longer than an incomplete head may take.
 async fn partial_head_timeout(head_state: &FramingState, within: Duration) {
     let mut timer = pin!(sleep(within));
     let mut timed_since = None;
@@ -345,8 +353,8 @@
     .await
 }
 
-/// Resolves once either is cancelled and the runtime has heard what lies in the sockets by then: a request
-/// that has come must be read, not closed over.
+/// Resolves once either token is cancelled and the runtime has polled the sockets once more: a request that
+/// has arrived by then must be read before the connection is closed.
 async fn shutdown_requested(closing: &CancellationToken, eviction: &CancellationToken) {
     tokio::select! {
         () = closing.cancelled() => {}
@@ -355,7 +363,7 @@
     tokio::task::yield_now().await;
 }
 
-/// Between accepts that fail, so many in a row.
+/// Pauses after a failure to accept, by the number of consecutive failures.
 async fn pause_after(failures: u32) {
     match failures.checked_sub(ACCEPT_FAILURES_BEFORE_PAUSE) {
         None => yield_now().await,
--- a/daemon/src/front/mod.rs
+++ b/daemon/src/front/mod.rs
@@ -1,4 +1,5 @@
-//! Fronts: they translate a client's wire into requests for the core, and answers back.
+//! Fronts, which translate the protocols of clients into requests to the core, and its answers into
+//! responses.
 
 mod body;
 pub mod chat;
--- a/daemon/src/front/platform.rs
+++ b/daemon/src/front/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's front: headers to queries, answers to statuses.
+//! The front for the platform's protocol: maps headers to queries, and answers to status codes.
 
 use frosttrail::{Query, Settings};
 use frosttrail_core::{Answer, CallError, Conductor, Upstream};
@@ -16,13 +16,13 @@
 
 const TEXT_PLAIN: &str = "text/plain; charset=utf-8";
 
-/// Translates the platform's protocol.
+/// Serves the platform's protocol.
 pub struct PlatformFront<B> {
     conductor: Conductor<B>,
 }
 
 impl<B: Upstream<Call = Call>> PlatformFront<B> {
-    /// A front of this conductor.
+    /// Creates a front for this conductor.
     pub fn new(conductor: Conductor<B>) -> Self {
         PlatformFront { conductor }
     }
@@ -92,7 +92,7 @@
     }
 }
 
-/// What the headers say of a request.
+/// Reads a query from the headers of a request.
 fn parse_query(headers: &HeaderMap, settings: &Settings) -> Result<Query, InputError> {
     let id = header_text(headers, "x-txn")
         .filter(|id| is_valid_id(id))
--- a/daemon/src/front/socket.rs
+++ b/daemon/src/front/socket.rs
@@ -1,5 +1,7 @@
-//! A client's socket: read ahead while a request is open, so that a client that has gone is noticed whatever
-//! it left unread before its end, and closed in such an order that no answer on its way is destroyed.
+//! A client's socket, which detects a disconnect behind unread input and closes without losing a response.
+//!
+//! While a request is open, the socket reads ahead: a disconnect is noticed whatever the client sent before
+//! it. On close, it ends the write side first and drains the input, so that no response in flight is lost.
 
 use std::future::{poll_fn, Future};
 use std::io::{ErrorKind, IoSlice, Result};
@@ -16,41 +18,44 @@
 
 use crate::tcp::TcpConnection;
 
-/// So much is kept of what a client sends while its request is open. Clients send one request at a time, so
-/// whoever sends more is no such client: the rest is read, as its end may lie behind it, and dropped.
+/// Input kept while a request is open. Regular clients send one request at a time and stay below it; what
+/// comes beyond is read, since the client's disconnect may follow it, and dropped.
 const MAX_READ_AHEAD_BYTES: usize = 64 << 10;
-/// Read at once, and so often in one turn.
+/// Size of one read while reading ahead.
 const READ_CHUNK_BYTES: usize = 16 << 10;
+/// Reads in one poll, before other tasks get their turn.
 const MAX_READS_PER_POLL: usize = 8;
-/// After the write side has been closed, what the client still sends is read for so long: a close over unread
-/// bytes would reset the connection, and what was written last would go with it.
+/// How long input is drained after the write side has been closed. A close with unread input would reset the
+/// connection, and the end of the response would be lost.
 const CLOSE_DRAIN_TIMEOUT: Duration = Duration::from_millis(300);
-/// So much is read as fast as it comes that the library has not asked for. Who sends more is read on, as the
-/// end may lie behind it, one turn in each of these pauses: that empties a socket's memory well within 0.3 s
-/// and keeps the machine for others.
+/// Input that hyper has not asked for and that is read at full speed. Beyond it, reading goes on, since a
+/// disconnect may follow, with a pause of `READ_PAUSE` after each poll.
 const MAX_UNREQUESTED_BYTES: usize = 1 << 20;
+/// Short enough to empty a socket's receive buffer well within 0.3 s, and long enough to leave the CPU to
+/// other connections.
 const READ_PAUSE: Duration = Duration::from_millis(2);
 
-/// The library's half reads and writes; the connection's own task looks for the client's end.
+/// A handle to the socket. hyper reads and writes through one; the connection's task watches for the client's
+/// disconnect through another.
 #[derive(Clone)]
 pub(super) struct ClientSocket(Arc<Mutex<Inner>>);
 
 struct Inner {
     stream: Pin<Box<TimeoutStream<TcpConnection>>>,
-    /// Read, and not yet handed to the library.
+    /// Input that was read ahead and has not been handed to hyper.
     read_ahead: BytesMut,
-    /// How the client ended its sending.
+    /// How the input ended: `UnexpectedEof` at a regular end, otherwise the error.
     read_end: Option<ErrorKind>,
-    /// Read since the library last asked for more than it was given,
+    /// Bytes read ahead since hyper last read from the socket itself.
     unrequested_bytes: usize,
-    /// and the pause before more of it is read.
+    /// The pause before the next read, once `MAX_UNREQUESTED_BYTES` have been read.
     read_pause: Option<Pin<Box<Sleep>>>,
-    /// More came than is kept.
+    /// More input came than is kept, and the excess was dropped.
     has_dropped_bytes: bool,
 }
 
 impl ClientSocket {
-    /// A connection whose client may take nothing for so long.
+    /// Wraps a connection; writes fail once the client has taken nothing for `write_timeout`.
     pub(super) fn new(stream: TcpStream, write_timeout: Duration) -> Self {
         let mut stream = TimeoutStream::new(TcpConnection::new(stream));
         stream.set_write_timeout(Some(write_timeout));
@@ -70,14 +75,14 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Resolves once the client has ended its sending, well or not, however much it sent before.
+    /// Resolves once the client's input has ended, regularly or by an error, however much came before.
     async fn wait_for_client_end(&self) {
         poll_fn(|cx| self.poll_client_end(cx)).await
     }
 
-    /// Reads ahead; ready once the client has ended its sending. To be asked only in the task that also
-    /// drives the library, and after it, as a socket wakes one task; and only once the library has all of the
-    /// request, as what is read here may be dropped.
+    /// Reads ahead; ready once the client's input has ended. Must be polled in the task that drives hyper,
+    /// after hyper, because a socket wakes only one task; and only once hyper has the whole request, because
+    /// input read here may be dropped.
     pub(super) fn poll_client_end(&self, cx: &mut Context<'_>) -> Poll<()> {
         let inner = &mut *self.lock();
         for reads in 0..MAX_READS_PER_POLL {
@@ -93,7 +98,7 @@
             match inner.stream.as_mut().poll_read(cx, &mut read) {
                 Poll::Pending => {
                     if reads > 0 {
-                        // The library may want what has come.
+                        // hyper may want what has been read.
                         cx.waker().wake_by_ref();
                     }
                     return Poll::Pending;
@@ -116,23 +121,24 @@
         if inner.unrequested_bytes >= MAX_UNREQUESTED_BYTES {
             inner.read_pause = Some(Box::pin(sleep(READ_PAUSE)));
         }
-        // The library may want what has come, and there may be more.
+        // hyper may want what has been read, and there may be more input.
         cx.waker().wake_by_ref();
         Poll::Pending
     }
 
-    /// Whether more has come than is kept, so that nothing more can be read here.
+    /// Whether input was dropped, so that no further request can be read from this connection.
     pub(super) fn has_dropped_bytes(&self) -> bool {
         self.lock().has_dropped_bytes
     }
 
-    /// Closes the write side, reads what still comes within bounds, and closes the rest by its drop.
+    /// Closes the write side, drains the input for at most `CLOSE_DRAIN_TIMEOUT`, and closes the socket by
+    /// dropping it.
     pub(super) async fn close(mut self) {
         if self.lock().read_end.is_some() {
             return;
         }
         let drain = async {
-            // It can only fail on a connection that is no more.
+            // Fails only on a connection that is already closed.
             let _ = self.shutdown().await;
             self.wait_for_client_end().await;
         };
@@ -152,7 +158,7 @@
         match inner.read_end {
             Some(ErrorKind::UnexpectedEof) => Poll::Ready(Ok(())),
             Some(kind) => Poll::Ready(Err(kind.into())),
-            // What was dropped leaves a gap: nothing behind it can be read.
+            // Dropped input leaves a gap, so the rest can't be parsed: reports the end of the input.
             None if inner.has_dropped_bytes => Poll::Ready(Ok(())),
             None => {
                 inner.unrequested_bytes = 0;
