--- a/daemon/tests/chat.rs
+++ b/daemon/tests/chat.rs
@@ -9,43 +9,43 @@
 use support::*;
 use tokio::io::AsyncReadExt;
 
-const PATH: &str = "/v1/chat/completions";
+const COMPLETIONS_PATH: &str = "/v1/chat/completions";
 
-fn body(stream: bool) -> Value {
+fn chat_body(stream: bool) -> Value {
     json!({"model": "chat", "stream": stream, "messages": [
         {"role": "system", "content": "You book tables at restaurants."},
         {"role": "user", "content": "Two at eight."}]})
 }
 
-fn ask(headers: &str, stream: bool) -> String {
-    post(PATH, headers, &body(stream).to_string())
+fn chat_request(headers: &str, stream: bool) -> String {
+    post(COMPLETIONS_PATH, headers, &chat_body(stream).to_string())
 }
 
 #[tokio::test]
-async fn events_pass_unchanged_to_a_client_that_streams() {
+async fn events_are_forwarded_unchanged_to_a_streaming_client() {
     let site = Site::start().await;
-    let mut body = body(true);
+    let mut body = chat_body(true);
     body["stream_options"] = json!({"include_usage": true});
-    let answer = exchange(site.chat, &post(PATH, "x-txn: t-1\r\n", &body.to_string())).await;
+    let answer = exchange(site.chat, &post(COMPLETIONS_PATH, "x-txn: t-1\r\n", &body.to_string())).await;
     assert_eq!((answer.status, answer.whole), (200, true));
     assert_eq!(answer.body, [EVENT, LAST, USAGE, DONE].concat());
     assert_eq!(answer.header("x-request-id"), Some("t-1"));
-    let (read, wrote) = (site.reader.posts(), site.writer.posts());
-    assert_eq!((read.len(), wrote.len()), (1, 1));
-    assert_eq!(wrote[0].body, body.to_string(), "the body passes unchanged");
+    let (prefill_requests, decode_requests) = (site.reader.posts(), site.writer.posts());
+    assert_eq!((prefill_requests.len(), decode_requests.len()), (1, 1));
+    assert_eq!(decode_requests[0].body, body.to_string(), "the body passes unchanged");
 }
 
 #[tokio::test]
-async fn usage_is_left_out_where_it_was_not_asked_for() {
+async fn usage_is_omitted_unless_requested() {
     let site = Site::start().await;
-    let answer = exchange(site.chat, &ask("", true)).await;
+    let answer = exchange(site.chat, &chat_request("", true)).await;
     assert_eq!(answer.body, [EVENT, LAST, DONE].concat());
 }
 
 #[tokio::test]
-async fn a_client_that_does_not_stream_gets_one_object() {
+async fn a_non_streaming_client_gets_one_completion_object() {
     let site = Site::start().await;
-    let answer = exchange(site.chat, &ask("", false)).await;
+    let answer = exchange(site.chat, &chat_request("", false)).await;
     let object = answer.json();
     assert_eq!(answer.status, 200);
     assert_eq!(object["object"], "chat.completion");
@@ -57,10 +57,10 @@
 }
 
 #[tokio::test]
-async fn what_a_request_does_not_name_is_derived() {
+async fn fields_that_a_request_does_not_state_are_derived() {
     let site = Site::start().await;
-    exchange(site.chat, &ask("authorization: Bearer secret\r\n", true)).await;
-    exchange(site.chat, &ask("x-lane: ask\r\nx-remaining: 4000m\r\n", true)).await;
+    exchange(site.chat, &chat_request("authorization: Bearer secret\r\n", true)).await;
+    exchange(site.chat, &chat_request("x-lane: ask\r\nx-remaining: 4000m\r\n", true)).await;
     let got = site.reader.posts();
     let value = |n: usize, name: &str| {
         let line = got[n].head.lines().find_map(|l| l.strip_prefix(name)).unwrap();
@@ -79,10 +79,10 @@
 }
 
 #[tokio::test]
-async fn a_client_that_drops_while_a_book_is_written_ends_the_one_attempt() {
+async fn a_client_that_disconnects_during_a_book_response_cancels_its_only_attempt() {
     let mut site = Site::start().await;
     site.writer.next(Does::StallsAfter(&[EVENT]));
-    let mut client = send(site.chat, &ask("x-lane: book\r\n", true)).await;
+    let mut client = send(site.chat, &chat_request("x-lane: book\r\n", true)).await;
     let mut seen = Vec::new();
     while !String::from_utf8_lossy(&seen).contains("Table") {
         assert!(client.read_buf(&mut seen).await.unwrap() > 0);
@@ -90,16 +90,16 @@
     drop(client);
     site.writer.given_up.recv().await.unwrap();
     // The conductor is as able as before, and the book went to the writer once.
-    assert_eq!(exchange(site.chat, &ask("x-lane: ask\r\n", true)).await.status, 200);
+    assert_eq!(exchange(site.chat, &chat_request("x-lane: ask\r\n", true)).await.status, 200);
     let books = site.writer.posts().iter().filter(|g| g.head.contains("x-lane: book")).count();
     assert_eq!(books, 1);
 }
 
 #[tokio::test]
-async fn a_client_that_drops_before_the_answer_begins_lets_go_of_the_state() {
+async fn a_client_that_disconnects_before_the_response_begins_releases_the_kv_cache() {
     let mut site = Site::start().await;
     site.writer.next(Does::Silent);
-    let client = send(site.chat, &ask("x-lane: book\r\nx-txn: t-9\r\n", true)).await;
+    let client = send(site.chat, &chat_request("x-lane: book\r\nx-txn: t-9\r\n", true)).await;
     while site.writer.posts().is_empty() {
         tokio::task::yield_now().await;
     }
@@ -118,13 +118,13 @@
     for does in [Does::Streams(&[EVENT, LAST]), Does::BreaksAfter(&[EVENT])] {
         let site = Site::start().await;
         site.writer.next(does.clone());
-        let answer = exchange(site.chat, &ask("x-lane: book\r\n", true)).await;
+        let answer = exchange(site.chat, &chat_request("x-lane: book\r\n", true)).await;
         assert_eq!((answer.status, answer.whole), (200, false), "{does:?}");
         assert!(answer.body.starts_with(EVENT) && !answer.body.contains("[DONE]"));
         assert_eq!(site.writer.posts().len(), 1, "{does:?}");
 
         site.writer.next(does.clone());
-        let answer = exchange(site.chat, &ask("x-lane: book\r\n", false)).await;
+        let answer = exchange(site.chat, &chat_request("x-lane: book\r\n", false)).await;
         assert_eq!((answer.status, &answer.json()["error"]["type"]), (502, &json!("server_error")));
         assert_eq!(answer.header("x-should-retry"), Some("false"));
         assert_eq!(site.writer.posts().len(), 2, "{does:?}");
@@ -132,31 +132,31 @@
 }
 
 #[tokio::test]
-async fn a_book_that_may_have_run_fails_and_an_ask_is_tried_again() {
+async fn a_book_that_may_have_run_fails_and_an_ask_is_retried() {
     for does in [Does::Resets, Does::Says(500, false, "{}"), Does::Streams(&[])] {
         let site = Site::start().await;
         site.writer.next(does.clone());
-        let answer = exchange(site.chat, &ask("x-lane: book\r\n", true)).await;
+        let answer = exchange(site.chat, &chat_request("x-lane: book\r\n", true)).await;
         assert_eq!((answer.status, answer.header("retry-after")), (502, None), "{does:?}");
         assert_eq!(site.writer.posts().len(), 1, "{does:?}");
 
         site.writer.next(does.clone());
-        assert_eq!(exchange(site.chat, &ask("x-lane: ask\r\n", true)).await.status, 200, "{does:?}");
+        assert_eq!(exchange(site.chat, &chat_request("x-lane: ask\r\n", true)).await.status, 200, "{does:?}");
         assert_eq!(site.writer.posts().len(), 3, "{does:?}");
     }
 }
 
 #[tokio::test]
-async fn deadlines_bring_the_one_answer_that_the_class_allows() {
+async fn an_expired_deadline_gives_the_response_that_the_class_allows() {
     let mut site = Site::start().await;
     site.writer.next(Does::Silent);
-    let book = exchange(site.chat, &ask("x-lane: book\r\nx-remaining: 200m\r\n", true)).await;
+    let book = exchange(site.chat, &chat_request("x-lane: book\r\nx-remaining: 200m\r\n", true)).await;
     assert_eq!((book.status, &book.json()["error"]["code"]), (504, &json!("timeout")));
     assert_eq!(site.writer.posts().len(), 1);
     site.writer.given_up.recv().await.unwrap();
 
     site.reader.next(Does::Silent);
-    let ask = exchange(site.chat, &ask("x-lane: ask\r\nx-remaining: 200m\r\n", true)).await;
+    let ask = exchange(site.chat, &chat_request("x-lane: ask\r\nx-remaining: 200m\r\n", true)).await;
     assert_eq!((ask.status, &ask.json()["error"]["code"]), (429, &json!("rate_limit_exceeded")));
     // The advice of the decisions: at most 2 s by the settings; whole seconds are rounded up.
     let advice = |name| ask.header(name).unwrap().parse::<u64>().unwrap();
@@ -165,21 +165,21 @@
 }
 
 #[tokio::test]
-async fn a_request_that_was_turned_away_everywhere_is_refused_with_advice() {
+async fn a_request_rejected_by_every_server_is_refused_with_a_retry_delay() {
     let site = Site::start().await;
     for _ in 0..4 {
         site.writer.next(Does::Says(503, true, ""));
     }
-    let answer = exchange(site.chat, &ask("x-lane: book\r\n", true)).await;
+    let answer = exchange(site.chat, &chat_request("x-lane: book\r\n", true)).await;
     assert_eq!((answer.status, answer.header("x-should-retry")), (429, Some("true")));
     assert!(answer.header("retry-after").is_some());
 }
 
 #[tokio::test]
-async fn refusals_tell_a_fleet_out_of_reach_from_a_full_one() {
+async fn refusals_distinguish_unreachable_servers_from_full_ones() {
     let mut site = Site::start().await;
     site.reader.refuse_all().await;
-    let answer = exchange(site.chat, &ask("x-remaining: 200m\r\n", true)).await;
+    let answer = exchange(site.chat, &chat_request("x-remaining: 200m\r\n", true)).await;
     assert_eq!((answer.status, &answer.json()["error"]["code"]), (503, &json!("service_unavailable")));
     assert!(answer.header("retry-after").is_some());
 }
@@ -188,21 +188,25 @@
 async fn bad_input_gets_the_apis_error_object() {
     let site = Site::start().await;
     let with = |key: &str, value: Value| {
-        let mut body = body(true);
+        let mut body = chat_body(true);
         body[key] = value;
-        post(PATH, "", &body.to_string())
+        post(COMPLETIONS_PATH, "", &body.to_string())
     };
     let large = "x".repeat(300 << 10);
     let cases = [
-        (post(PATH, "", "not json"), 400, Value::Null),
+        (post(COMPLETIONS_PATH, "", "not json"), 400, Value::Null),
         (with("messages", json!([])), 400, json!("messages")),
         (with("max_tokens", json!(0)), 400, json!("max_tokens")),
         (with("model", json!("other")), 404, json!("model")),
-        (post(PATH, "x-lane: nobody\r\n", &body(true).to_string()), 400, Value::Null),
-        (post(PATH, "x-txn: a/b\r\n", &body(true).to_string()), 400, Value::Null),
-        (post(PATH, "x-remaining: soon\r\n", &body(true).to_string()), 400, Value::Null),
+        (post(COMPLETIONS_PATH, "x-lane: nobody\r\n", &chat_body(true).to_string()), 400, Value::Null),
+        (post(COMPLETIONS_PATH, "x-txn: a/b\r\n", &chat_body(true).to_string()), 400, Value::Null),
+        (post(COMPLETIONS_PATH, "x-remaining: soon\r\n", &chat_body(true).to_string()), 400, Value::Null),
         (post("/v1/other", "", "{}"), 404, Value::Null),
-        (format!("GET {PATH} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n"), 405, Value::Null),
+        (
+            format!("GET {COMPLETIONS_PATH} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n"),
+            405,
+            Value::Null,
+        ),
         (with("user", json!(large)), 413, Value::Null),
     ];
     for (text, status, param) in cases {
--- a/daemon/tests/closes.rs
+++ b/daemon/tests/closes.rs
@@ -13,23 +13,23 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout};
 
-const READY: &str = "GET /_health HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
-const LATEST: Duration = Duration::from_secs(20);
+const HEALTH_REQUEST: &str = "GET /_health HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn request(id: &str) -> String {
     kept(&chat(id, "ask", 7_000))
 }
 
 /// Reads all there is; an error is a reset, which may have destroyed what came before it.
-async fn rest(stream: &mut TcpStream) -> std::io::Result<String> {
+async fn read_to_end(stream: &mut TcpStream) -> std::io::Result<String> {
     let mut seen = Vec::new();
-    timeout(LATEST, stream.read_to_end(&mut seen)).await.expect("it is closed in time")?;
+    timeout(TEST_TIMEOUT, stream.read_to_end(&mut seen)).await.expect("it is closed in time")?;
     Ok(String::from_utf8(seen).unwrap())
 }
 
 /// Turned down before all of it had come: the client goes on sending, and reads the answer afterwards.
 #[tokio::test]
-async fn an_answer_outlives_what_its_client_still_sends() {
+async fn a_response_survives_input_that_its_client_still_sends() {
     let site = Site::start().await;
     for (head, status) in [
         (request("large").replace("content-length: 2\r\n", "content-length: 400000\r\n"), "413"),
@@ -38,7 +38,7 @@
             "400",
         ),
         (request("none").replace("x-lane: ask\r\n", ""), "400"),
-        (READY.into(), "200"),
+        (HEALTH_REQUEST.into(), "200"),
     ] {
         let mut client = send(site.platform, &head).await;
         // A reset shows in the writes as well; each error is told once.
@@ -47,24 +47,24 @@
             sent.unwrap_or_else(|e| panic!("{status}: reset: {e}"));
             tokio::task::yield_now().await;
         }
-        let answer = rest(&mut client).await.unwrap_or_else(|e| panic!("{status}: destroyed: {e}"));
+        let answer = read_to_end(&mut client).await.unwrap_or_else(|e| panic!("{status}: destroyed: {e}"));
         assert!(answer.starts_with(&format!("HTTP/1.1 {status}")), "{status}: {answer:?}");
     }
 }
 
 /// An answer, or a clean end with nothing.
-async fn asks_at_the_end(mut client: TcpStream, id: String, after: Duration) -> bool {
-    sleep(after).await;
+async fn is_answered_after(mut client: TcpStream, id: String, delay: Duration) -> bool {
+    sleep(delay).await;
     if client.write_all(request(&id).as_bytes()).await.is_err() {
         return false;
     }
-    let answer = rest(&mut client).await.unwrap_or_default();
+    let answer = read_to_end(&mut client).await.unwrap_or_default();
     assert!(answer.is_empty() || answer.contains("data: [DONE]"), "{id}: half an answer: {answer:?}");
     !answer.is_empty()
 }
 
-async fn resting(to: SocketAddr) -> TcpStream {
-    let mut client = send(to, &kept(READY)).await;
+async fn idle_connection(to: SocketAddr) -> TcpStream {
+    let mut client = send(to, &kept(HEALTH_REQUEST)).await;
     let mut seen = Vec::new();
     while !seen.ends_with(b"ready\n") {
         assert!(client.read_buf(&mut seen).await.unwrap() > 0);
@@ -75,34 +75,34 @@
 #[tokio::test]
 async fn a_request_that_meets_the_end_of_its_connection_is_answered_or_never_sent_on() {
     // Ended by the idle time, and by the end of the conductor.
-    for closes in [false, true] {
-        let (mut answered, mut sent_on) = (0, 0);
+    for is_shutdown in [false, true] {
+        let (mut answered, mut forwarded) = (0, 0);
         for round in 0..12 {
-            let idle = if closes { LATEST } else { Duration::from_millis(40) };
+            let idle = if is_shutdown { TEST_TIMEOUT } else { Duration::from_millis(40) };
             let site = Site::with(ClientTimeouts { idle, ..CLIENT_TIMEOUTS }).await;
-            let mut asks = JoinSet::new();
+            let mut requests = JoinSet::new();
             for n in 0..7 {
-                let client = resting(site.platform).await;
-                let after = Duration::from_micros(if closes { 300 * n } else { 39_000 + 300 * n });
-                asks.spawn(asks_at_the_end(client, format!("{round}-{n}"), after));
+                let client = idle_connection(site.platform).await;
+                let delay = Duration::from_micros(if is_shutdown { 300 * n } else { 39_000 + 300 * n });
+                requests.spawn(is_answered_after(client, format!("{round}-{n}"), delay));
             }
-            if closes {
+            if is_shutdown {
                 sleep(Duration::from_micros(900)).await;
-                timeout(LATEST, site.doors.close()).await.expect("the end in time");
+                timeout(TEST_TIMEOUT, site.doors.close()).await.expect("the end in time");
             }
-            answered += asks.join_all().await.into_iter().filter(|answered| *answered).count();
-            sent_on += site.writer.posts().len();
+            answered += requests.join_all().await.into_iter().filter(|answered| *answered).count();
+            forwarded += site.writer.posts().len();
         }
         assert_eq!(
-            answered, sent_on,
-            "closes: {closes}: sent on, and its connection ended without the answer"
+            answered, forwarded,
+            "is_shutdown: {is_shutdown}: sent on, and its connection ended without the answer"
         );
     }
 }
 
 /// No small write is held back: half of the events arrive within a few milliseconds.
 #[tokio::test]
-async fn small_events_pass_as_they_come() {
+async fn small_events_are_forwarded_without_delay() {
     let site = Site::start().await;
     site.writer.next(Does::Ticks(80, 5));
     let mut client = send(site.platform, &request("ticks")).await;
@@ -111,7 +111,7 @@
         let mut bytes = [0; 4096];
         // As where acknowledgements take their time, which is what writes that are held back wait for.
         socket2::SockRef::from(&client).set_tcp_quickack(false).unwrap();
-        let read = timeout(LATEST, client.read(&mut bytes)).await.expect("events").unwrap();
+        let read = timeout(TEST_TIMEOUT, client.read(&mut bytes)).await.expect("events").unwrap();
         assert!(read > 0, "{seen:?}");
         seen.push_str(std::str::from_utf8(&bytes[..read]).unwrap());
         let now = micros();
@@ -129,36 +129,40 @@
 /// request comes: answered, or never sent on.
 #[tokio::test]
 async fn a_request_that_meets_a_time_out_or_an_eviction_is_answered_or_never_sent_on() {
-    for evicts in [false, true] {
-        let (mut answered, mut sent_on, mut ended) = (0, 0, 0);
+    for is_eviction in [false, true] {
+        let (mut answered, mut forwarded, mut ended) = (0, 0, 0);
         for round in 0..6u64 {
             let site = Site::with(ClientTimeouts { idle: Duration::from_secs(1), ..CLIENT_TIMEOUTS }).await;
-            let mut asks = JoinSet::new();
+            let mut requests = JoinSet::new();
             for n in 0..7u64 {
-                let id = format!("{evicts}-{round}-{n}");
+                let id = format!("{is_eviction}-{round}-{n}");
                 // All places but one are taken by such as rest after an answer, or have never asked.
-                let client =
-                    if evicts { resting(site.platform).await } else { send(site.platform, "").await };
-                let at = if evicts { 30_000 + 300 * n } else { 598_000 + 500 * n };
-                asks.spawn(asks_at_the_end(client, id, Duration::from_micros(at)));
+                let client = if is_eviction {
+                    idle_connection(site.platform).await
+                } else {
+                    send(site.platform, "").await
+                };
+                let at = if is_eviction { 30_000 + 300 * n } else { 598_000 + 500 * n };
+                requests.spawn(is_answered_after(client, id, Duration::from_micros(at)));
             }
-            if evicts {
+            if is_eviction {
                 sleep(Duration::from_micros(29_500 + 100 * round)).await;
-                let newcomers = (0..4).map(|_| resting(site.platform));
-                let mut held = Vec::new();
-                for newcomer in newcomers {
-                    held.push(timeout(LATEST, newcomer).await.expect("there is room in time"));
+                let new_clients = (0..4).map(|_| idle_connection(site.platform));
+                let mut open_clients = Vec::new();
+                for new_client in new_clients {
+                    open_clients
+                        .push(timeout(TEST_TIMEOUT, new_client).await.expect("there is room in time"));
                 }
             }
-            let all = asks.join_all().await;
+            let all = requests.join_all().await;
             ended += all.iter().filter(|answered| !**answered).count();
             answered += all.iter().filter(|answered| **answered).count();
-            sent_on += site.writer.posts().len();
+            forwarded += site.writer.posts().len();
         }
-        assert_eq!(answered, sent_on, "evicts: {evicts}: sent on, and ended without the answer");
+        assert_eq!(answered, forwarded, "is_eviction: {is_eviction}: sent on, and ended without the answer");
         assert!(
             answered > 0 && ended > 0,
-            "evicts: {evicts}: {answered} answered, {ended} ended: none has crossed"
+            "is_eviction: {is_eviction}: {answered} answered, {ended} ended: none has crossed"
         );
     }
 }
@@ -166,9 +170,9 @@
 /// A client that has been answered sends a part of its next head, and stays: it is ended in the time that bad
 /// clients are owed, as one is that has just connected.
 #[tokio::test]
-async fn half_a_head_on_a_used_connection_is_ended_in_time() {
+async fn an_incomplete_head_on_a_used_connection_times_out() {
     let site = Site::start().await;
-    let mut client = resting(site.platform).await;
+    let mut client = idle_connection(site.platform).await;
     client.write_all(b"POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\n").await.unwrap();
     let within = CLIENT_TIMEOUTS.request_arrival + Duration::from_millis(700);
     let ended = timeout(within, client.read_to_end(&mut Vec::new())).await;
--- a/daemon/tests/crowds.rs
+++ b/daemon/tests/crowds.rs
@@ -10,17 +10,17 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-const LATEST: Duration = Duration::from_secs(20);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 /// What discovery has counts as told so long after it could be reached.
-const TOLD: Duration = Duration::from_secs(6);
+const DISCOVERY_TIMEOUT: Duration = Duration::from_secs(6);
 /// The program takes no fewer.
-const DESCRIPTORS: usize = 64;
-const READY: &str = "GET /_health HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
-const NOBODY: &str = "{\"rev\":9,\"all\":true,\"targets\":[]}\n";
+const DESCRIPTOR_LIMIT: usize = 64;
+const HEALTH_REQUEST: &str = "GET /_health HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
+const EMPTY_MEMBER_LIST: &str = "{\"rev\":9,\"all\":true,\"targets\":[]}\n";
 
 fn config(name: &str, discovery: &str, servers: &[(&str, &str, &StandIn)]) -> String {
     let servers: Vec<_> = servers.iter().map(|(uid, kind, at)| (*uid, *kind, at.address)).collect();
-    config_of(name, discovery, DESCRIPTORS, &servers, &setup())
+    config_of(name, discovery, DESCRIPTOR_LIMIT, &servers, &setup())
 }
 
 fn request(id: &str) -> String {
@@ -28,33 +28,35 @@
 }
 
 /// Idle clients: some have never asked, some once, some sent half a request.
-async fn idle(to: std::net::SocketAddr, n: usize) -> TcpStream {
-    let asked = kept(READY);
-    send(to, ["", &asked, "POST /v1/ch"][n % 3]).await
+async fn idle_client(to: std::net::SocketAddr, n: usize) -> TcpStream {
+    let kept_request = kept(HEALTH_REQUEST);
+    send(to, ["", &kept_request, "POST /v1/ch"][n % 3]).await
 }
 
 #[tokio::test]
-async fn idle_clients_that_take_every_descriptor_keep_nobody_from_his_own() {
+async fn idle_clients_that_use_every_descriptor_do_not_block_others() {
     let (mut prefill, mut decode) = (StandIn::start(READ).await, StandIn::start(WHOLE).await);
-    let agent = StandIn::start(Does::StallsAfter(&[NOBODY])).await;
+    let agent = StandIn::start(Does::StallsAfter(&[EMPTY_MEMBER_LIST])).await;
     // It falls silent: the first watch brings nothing, and what hangs is never answered.
     (0..3).for_each(|_| agent.next(Does::Silent));
     let servers = [("p", "prefill", &prefill), ("d", "decode", &decode)];
     let config = config("n1", &agent.address.to_string(), &servers);
-    let running = Running::start(program_with(DESCRIPTORS, "crowds", &config));
-    let mut crowd = Vec::new();
-    for n in 0..3 * DESCRIPTORS {
-        crowd.push(idle(running.listen, n).await);
+    let running = Running::start(program_with(DESCRIPTOR_LIMIT, "crowds", &config));
+    let mut idle_clients = Vec::new();
+    for n in 0..3 * DESCRIPTOR_LIMIT {
+        idle_clients.push(idle_client(running.listen, n).await);
     }
     // Attempts and new clients get theirs, and what is let go of finds its way while others ask.
     for round in 0..6 {
         decode.next(Does::Says(500, false, ""));
         let book = chat(&format!("book-{round}"), "book", 7_000);
-        let failed = timeout(LATEST, exchange(running.listen, &book)).await.expect("an answer in time");
+        let failed = timeout(TEST_TIMEOUT, exchange(running.listen, &book)).await.expect("an answer in time");
         assert_eq!(failed.status, 502, "it may have run");
         let asks = (0..4).map(|n| {
             let (to, text) = (running.listen, request(&format!("{round}-{n}")));
-            tokio::spawn(async move { timeout(LATEST, exchange(to, &text)).await.expect("an answer").status })
+            tokio::spawn(async move {
+                timeout(TEST_TIMEOUT, exchange(to, &text)).await.expect("an answer").status
+            })
         });
         for ask in asks.collect::<Vec<_>>() {
             assert_eq!(ask.await.unwrap(), 200, "round {round}");
@@ -65,18 +67,21 @@
                 _ = decode.released.recv() => {}
             }
         };
-        timeout(LATEST, released).await.expect("what a failed attempt left is let go");
+        timeout(TEST_TIMEOUT, released).await.expect("what a failed attempt left is let go");
         for n in 0..20 {
-            crowd.push(idle(running.listen, n).await);
+            idle_clients.push(idle_client(running.listen, n).await);
         }
     }
     // Discovery is heard in time as it comes back, with the crowd still there.
     while agent.got.lock().unwrap().len() < 4 {
         sleep(Duration::from_millis(5)).await;
     }
-    let back = Instant::now();
-    while exchange(running.listen, READY).await.status == 200 {
-        assert!(back.elapsed() < TOLD, "the list of the agent that is back has not been heard");
+    let reachable_since = Instant::now();
+    while exchange(running.listen, HEALTH_REQUEST).await.status == 200 {
+        assert!(
+            reachable_since.elapsed() < DISCOVERY_TIMEOUT,
+            "the list of the agent that is back has not been heard"
+        );
         sleep(Duration::from_millis(20)).await;
     }
     running.signal("-TERM");
@@ -95,15 +100,16 @@
         let servers = [("p", "prefill", &prefill), ("d", "decode", &decode)];
         let config = config(&format!("n{n}"), &agents[n % 3], &servers);
         starting.spawn_blocking(move || {
-            Running::start(program_with(DESCRIPTORS, &format!("together-{n}"), &config))
+            Running::start(program_with(DESCRIPTOR_LIMIT, &format!("together-{n}"), &config))
         });
     }
     let mut all = Vec::new();
     while let Some(running) = starting.join_next().await {
         let running = running.unwrap();
-        assert_eq!(exchange(running.listen, READY).await.status, 200);
+        assert_eq!(exchange(running.listen, HEALTH_REQUEST).await.status, 200);
         // Ready means that it serves.
-        let status = timeout(LATEST, exchange(running.listen, &request(&format!("r{}", all.len())))).await;
+        let status =
+            timeout(TEST_TIMEOUT, exchange(running.listen, &request(&format!("r{}", all.len())))).await;
         assert_eq!(status.expect("an answer in time").status, 200);
         all.push(running);
     }
@@ -116,32 +122,29 @@
 
 /// Where its connection ends without an answer, as one that makes room for others may before its request has
 /// been read, a client sends the request once more on a new one.
-async fn asks_as_the_protocol_says(
-    to: std::net::SocketAddr,
-    text: &str,
-    was_read: impl Fn() -> bool,
-) -> Answer {
+async fn exchange_with_retry(to: std::net::SocketAddr, text: &str, is_received: impl Fn() -> bool) -> Answer {
     loop {
         if let Some(answer) = answer_on(send(to, text).await).await {
             return answer;
         }
-        assert!(!was_read(), "a request that had been read was closed without an answer");
+        assert!(!is_received(), "a request that had been read was closed without an answer");
     }
 }
 
 /// Clients that send much at once and go, and such that never read what they asked for: others are served,
 /// and memory does not grow with what was sent.
 #[tokio::test]
-async fn floods_leave_others_served_and_memory_bounded() {
+async fn floods_block_no_other_client_and_use_bounded_memory() {
     let (prefill, decode) = (StandIn::start(READ).await, StandIn::start(WHOLE).await);
     let servers = [("p", "prefill", &prefill), ("d", "decode", &decode)];
-    let running = Running::start(program_with(DESCRIPTORS, "floods", &config("n1", "127.0.0.1:9", &servers)));
+    let running =
+        Running::start(program_with(DESCRIPTOR_LIMIT, "floods", &config("n1", "127.0.0.1:9", &servers)));
     let before = running.memory_kb();
     for round in 0..6 {
-        let mut bad = Vec::new();
+        let mut floods = Vec::new();
         for n in 0..12 {
             let (to, id) = (running.listen, format!("flood-{round}-{n}"));
-            bad.push(tokio::spawn(async move {
+            floods.push(tokio::spawn(async move {
                 let mut client = send(to, "").await;
                 let many = kept(&request(&id)).repeat(400);
                 let text = if n % 2 == 0 { many } else { "x".repeat(1 << 20) };
@@ -154,11 +157,11 @@
             }));
         }
         let id = format!("good-{round}");
-        let was_read = || prefill.posts().iter().any(|got| got.head.contains(&format!("x-txn: {id}\r\n")));
+        let is_received = || prefill.posts().iter().any(|got| got.head.contains(&format!("x-txn: {id}\r\n")));
         let text = request(&id);
-        let asked = timeout(LATEST, asks_as_the_protocol_says(running.listen, &text, was_read)).await;
-        assert_eq!(asked.expect("an answer in time").status, 200);
-        for flood in bad {
+        let response = timeout(TEST_TIMEOUT, exchange_with_retry(running.listen, &text, is_received)).await;
+        assert_eq!(response.expect("an answer in time").status, 200);
+        for flood in floods {
             flood.await.unwrap();
         }
     }
@@ -171,12 +174,13 @@
 /// Every place for clients is taken by an answer that runs: whoever comes then is told so in his time. What
 /// is written to a connection that this machine has accepted is owed an answer.
 #[tokio::test]
-async fn a_request_beside_answers_that_take_every_place_gets_its_own() {
+async fn a_request_beyond_the_connection_limit_is_refused_in_time() {
     let (prefill, decode) = (StandIn::start(READ).await, StandIn::start(Does::StreamsOn).await);
     let servers = [("p", "prefill", &prefill), ("d", "decode", &decode)];
-    let running = Running::start(program_with(DESCRIPTORS, "places", &config("n1", "127.0.0.1:9", &servers)));
+    let running =
+        Running::start(program_with(DESCRIPTOR_LIMIT, "places", &config("n1", "127.0.0.1:9", &servers)));
     let mut streams = Vec::new();
-    for n in 0..(DESCRIPTORS - 48) / 2 {
+    for n in 0..(DESCRIPTOR_LIMIT - 48) / 2 {
         let mut client = send(running.listen, &request(&format!("stream-{n}"))).await;
         assert!(client.read(&mut [0; 64]).await.unwrap() > 0, "stream {n} runs");
         streams.push(client);
--- a/daemon/tests/interleavings.rs
+++ b/daemon/tests/interleavings.rs
@@ -16,13 +16,13 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout};
 
-const LATEST: Duration = Duration::from_secs(30);
-const REQUESTS: usize = 120;
-const AT_ONCE: usize = 6;
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
+const REQUEST_COUNT: usize = 120;
+const MAX_CONCURRENT_REQUESTS: usize = 6;
 
 /// Mostly well; the rest in every way.
-fn prefill_does(draws: &mut SmallRng) -> Does {
-    match draws.random_range(0..20) {
+fn draw_prefill_behavior(rng: &mut SmallRng) -> Does {
+    match rng.random_range(0..20) {
         0 => Does::Says(503, true, ""),
         1 => Does::Says(500, false, "{}"),
         2 => Does::Resets,
@@ -32,8 +32,8 @@
     }
 }
 
-fn decode_does(draws: &mut SmallRng) -> Does {
-    match draws.random_range(0..20) {
+fn draw_decode_behavior(rng: &mut SmallRng) -> Does {
+    match rng.random_range(0..20) {
         0 | 1 => Does::Says(503, true, ""),
         2 => Does::Says(410, true, "gone"),
         3 => Does::Says(500, false, "{}"),
@@ -47,58 +47,60 @@
 }
 
 /// Proof that an attempt never ran.
-fn never_ran(does: &Does) -> bool {
+fn has_never_run(does: &Does) -> bool {
     matches!(does, Does::Says(503 | 504 | 410, true, _))
 }
 
 /// How a client ends its connection, and after so long.
 #[derive(Clone, Copy, Debug)]
-enum Leaves {
-    Stays,
+enum ClientExit {
+    WaitsForResponse,
     Closes(u64),
     HalfCloses(u64),
     Resets(u64),
-    Behind(u64, usize),
+    ClosesAfterInput(u64, usize),
 }
 
-impl Leaves {
-    fn draw(draws: &mut SmallRng) -> Self {
-        let after = draws.random_range(0..12);
-        match draws.random_range(0..12) {
-            0 => Leaves::Closes(after),
-            1 => Leaves::HalfCloses(after),
-            2 => Leaves::Resets(after),
-            3 => Leaves::Behind(after, draws.random_range(1..200_000)),
-            _ => Leaves::Stays,
+impl ClientExit {
+    fn draw(rng: &mut SmallRng) -> Self {
+        let after = rng.random_range(0..12);
+        match rng.random_range(0..12) {
+            0 => ClientExit::Closes(after),
+            1 => ClientExit::HalfCloses(after),
+            2 => ClientExit::Resets(after),
+            3 => ClientExit::ClosesAfterInput(after, rng.random_range(1..200_000)),
+            _ => ClientExit::WaitsForResponse,
         }
     }
 }
 
 /// What it got, if it stayed.
-async fn client(to: std::net::SocketAddr, text: String, leaves: Leaves) -> Option<Answer> {
+async fn client(to: std::net::SocketAddr, text: String, exit: ClientExit) -> Option<Answer> {
     let mut stream = send(to, &text).await;
-    match leaves {
-        Leaves::Stays => return Some(timeout(LATEST, exchange_on(stream)).await.expect("an answer in time")),
-        Leaves::Closes(after) => sleep(Duration::from_millis(after)).await,
-        Leaves::Resets(after) => {
+    match exit {
+        ClientExit::WaitsForResponse => {
+            return Some(timeout(TEST_TIMEOUT, exchange_on(stream)).await.expect("an answer in time"))
+        }
+        ClientExit::Closes(after) => sleep(Duration::from_millis(after)).await,
+        ClientExit::Resets(after) => {
             sleep(Duration::from_millis(after)).await;
             socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap();
         }
-        Leaves::Behind(after, bytes) => {
+        ClientExit::ClosesAfterInput(after, bytes) => {
             sleep(Duration::from_millis(after)).await;
             let _ = stream.write_all("x".repeat(bytes).as_bytes()).await;
         }
-        Leaves::HalfCloses(after) => {
+        ClientExit::HalfCloses(after) => {
             sleep(Duration::from_millis(after)).await;
             let _ = stream.shutdown().await;
-            let _ = timeout(LATEST, stream.read_to_end(&mut Vec::new())).await.expect("it is ended");
+            let _ = timeout(TEST_TIMEOUT, stream.read_to_end(&mut Vec::new())).await.expect("it is ended");
         }
     }
     None
 }
 
-async fn day(seed: u64) {
-    let mut draws = SmallRng::seed_from_u64(seed);
+async fn run_seed(seed: u64) {
+    let mut rng = SmallRng::seed_from_u64(seed);
     let prefill = [StandIn::start(READ).await, StandIn::start(READ).await];
     let decode = [StandIn::start(WHOLE).await, StandIn::start(WHOLE).await];
     let servers = [
@@ -110,15 +112,15 @@
     let site = Open::before(&servers, CLIENT_TIMEOUTS);
     let mut clients = JoinSet::new();
     let mut answers = BTreeMap::new();
-    for n in 0..REQUESTS {
-        if clients.len() == AT_ONCE {
+    for n in 0..REQUEST_COUNT {
+        if clients.len() == MAX_CONCURRENT_REQUESTS {
             let (id, answer): (String, Option<Answer>) = clients.join_next().await.unwrap().unwrap();
             answers.insert(id, answer);
         }
-        prefill[draws.random_range(0..2)].next(prefill_does(&mut draws));
-        decode[draws.random_range(0..2)].next(decode_does(&mut draws));
-        if draws.random_range(0..15) == 0 {
-            let (name, kind, _) = servers[draws.random_range(0..4)];
+        prefill[rng.random_range(0..2)].next(draw_prefill_behavior(&mut rng));
+        decode[rng.random_range(0..2)].next(draw_decode_behavior(&mut rng));
+        if rng.random_range(0..15) == 0 {
+            let (name, kind, _) = servers[rng.random_range(0..4)];
             for health in [Health::Draining, Health::Up] {
                 let news = MembershipUpdate {
                     kind: ListUpdateKind::Changes,
@@ -128,56 +130,60 @@
                 tokio::task::yield_now().await;
             }
         }
-        let (class, leaves) = (["ask", "book"][draws.random_range(0..2)], Leaves::draw(&mut draws));
+        let (class, exit) = (["ask", "book"][rng.random_range(0..2)], ClientExit::draw(&mut rng));
         let (id, to) = (format!("{class}-{seed}-{n}"), site.platform);
         let text = chat(&id, class, 3_000);
-        clients.spawn(async move { (id, client(to, text, leaves).await) });
-        sleep(Duration::from_micros(draws.random_range(0..4_000))).await;
+        clients.spawn(async move { (id, client(to, text, exit).await) });
+        sleep(Duration::from_micros(rng.random_range(0..4_000))).await;
     }
     answers.extend(clients.join_all().await);
-    timeout(LATEST, site.conductor.wait_for_releases()).await.expect("what is held is let go");
+    timeout(TEST_TIMEOUT, site.conductor.wait_for_releases()).await.expect("what is held is let go");
     sleep(Duration::from_millis(50)).await;
     let all = |of: &[StandIn]| of.iter().flat_map(|s| s.did.lock().unwrap().clone()).collect::<Vec<Did>>();
-    let (read, written) = (all(&prefill), all(&decode));
+    let (read, all_decode) = (all(&prefill), all(&decode));
     for (id, answer) in &answers {
         let of = |did: &[Did]| {
             let mut of: Vec<Did> = did.iter().filter(|d| d.id == *id).cloned().collect();
             of.sort_by_key(|d| d.nth);
             of
         };
-        let (reads, writes) = (of(&read), of(&written));
-        let attempts: Vec<&Did> = writes.iter().filter(|d| d.does.is_some()).collect();
-        let ran = attempts.iter().position(|d| !never_ran(d.does.as_ref().unwrap()));
-        let story = format!("seed {seed}, {id}: {answer:?}, read {reads:?}, written {writes:?}");
+        let (prefill_records, decode_records) = (of(&read), of(&all_decode));
+        let attempts: Vec<&Did> = decode_records.iter().filter(|d| d.does.is_some()).collect();
+        let ran = attempts.iter().position(|d| !has_never_run(d.does.as_ref().unwrap()));
+        let context =
+            format!("seed {seed}, {id}: {answer:?}, read {prefill_records:?}, written {decode_records:?}");
         assert!(
             !id.starts_with("book") || ran.is_none_or(|nth| nth + 1 == attempts.len()),
-            "repeated: {story}"
+            "repeated: {context}"
         );
-        let last_read = reads.iter().rev().find(|d| matches!(d.does, Some(Does::Says(202, ..))));
-        if let Some(last_read) = last_read {
-            let taken = attempts.iter().any(|d| d.nth > last_read.nth);
-            let released = reads.iter().chain(&writes).any(|d| d.does.is_none() && d.nth > last_read.nth);
-            assert!(taken || released, "left behind: {story}");
+        let last_prefill = prefill_records.iter().rev().find(|d| matches!(d.does, Some(Does::Says(202, ..))));
+        if let Some(last_prefill) = last_prefill {
+            let taken = attempts.iter().any(|d| d.nth > last_prefill.nth);
+            let released = prefill_records
+                .iter()
+                .chain(&decode_records)
+                .any(|d| d.does.is_none() && d.nth > last_prefill.nth);
+            assert!(taken || released, "left behind: {context}");
         }
         let Some(answer) = answer else { continue };
-        assert_eq!(answer.answers, 1, "{story}");
+        assert_eq!(answer.answers, 1, "{context}");
         match answer.status {
-            200 => assert!(ran.is_some(), "{story}"),
-            503 => assert!(!id.starts_with("book") || ran.is_none(), "refused: {story}"),
-            502 => assert!(id.starts_with("book") && ran.is_some(), "failed: {story}"),
-            other => panic!("{other}: {story}"),
+            200 => assert!(ran.is_some(), "{context}"),
+            503 => assert!(!id.starts_with("book") || ran.is_none(), "refused: {context}"),
+            502 => assert!(id.starts_with("book") && ran.is_some(), "failed: {context}"),
+            other => panic!("{other}: {context}"),
         }
         // A cut stream was broken by its server; a whole one was whole there.
         let broke = attempts.last().is_some_and(|d| matches!(d.does, Some(Does::BreaksAfter(_))));
-        assert!(answer.status != 200 || answer.whole != broke, "{story}");
+        assert!(answer.status != 200 || answer.whole != broke, "{context}");
     }
     let served = answers.values().flatten().filter(|a| a.status == 200 && a.whole).count();
-    assert!(served * 3 > REQUESTS, "seed {seed}: {served} served");
+    assert!(served * 3 > REQUEST_COUNT, "seed {seed}: {served} served");
 }
 
 #[tokio::test]
-async fn ends_that_cross_in_any_order_break_no_rule() {
+async fn races_between_ends_of_requests_break_no_guarantee() {
     for seed in [41, 42, 43, 44] {
-        day(seed).await;
+        run_seed(seed).await;
     }
 }
--- a/daemon/tests/on_time.rs
+++ b/daemon/tests/on_time.rs
@@ -12,17 +12,17 @@
 use tokio::time::{sleep, timeout};
 
 /// No event may take longer.
-const LATE: u64 = 300_000;
-const STREAMS: usize = 500;
-const BACKLOG: usize = 1_000;
-const LATEST: Duration = Duration::from_secs(60);
+const MAX_LAG_US: u64 = 300_000;
+const STREAM_COUNT: usize = 500;
+const BACKLOG_REQUEST_COUNT: usize = 1_000;
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Asks, and gives how late each event of the answer was, or nothing where it was refused.
-async fn lags(to: SocketAddr, id: String) -> Option<Vec<u64>> {
+async fn event_lags(to: SocketAddr, id: String) -> Option<Vec<u64>> {
     let mut client = send(to, &chat(&id, "ask", 7_000)).await;
     let (mut seen, mut lags, mut bytes) = (String::new(), Vec::new(), [0; 8 << 10]);
     loop {
-        let read = timeout(LATEST, client.read(&mut bytes)).await.expect("events").unwrap_or(0);
+        let read = timeout(TEST_TIMEOUT, client.read(&mut bytes)).await.expect("events").unwrap_or(0);
         if read == 0 {
             break;
         }
@@ -55,23 +55,23 @@
     let config = config_of("n1", "127.0.0.1:9", 8_192, &servers, &setup());
     let running = Running::start(program("on-time", &config));
     let mut clients = JoinSet::new();
-    for n in 0..STREAMS {
-        clients.spawn(lags(running.listen, format!("stream-{n}")));
+    for n in 0..STREAM_COUNT {
+        clients.spawn(event_lags(running.listen, format!("stream-{n}")));
         // All are in time for an answer.
         sleep(Duration::from_millis(4)).await;
     }
-    for n in 0..BACKLOG {
-        clients.spawn(lags(running.listen, format!("backlog-{n}")));
+    for n in 0..BACKLOG_REQUEST_COUNT {
+        clients.spawn(event_lags(running.listen, format!("backlog-{n}")));
     }
     let answers = clients.join_all().await;
     let served = answers.iter().flatten().count();
-    assert!(served >= STREAMS, "{served} served");
+    assert!(served >= STREAM_COUNT, "{served} served");
     let mut all: Vec<u64> = answers.into_iter().flatten().flatten().collect();
     all.sort_unstable();
-    let late = all.iter().filter(|lag| **lag > LATE).count();
+    let late = all.iter().filter(|lag| **lag > MAX_LAG_US).count();
     let longest = all[all.len() - 1];
     assert!(
-        late * 100 <= all.len() && longest < 3 * LATE,
+        late * 100 <= all.len() && longest < 3 * MAX_LAG_US,
         "{late} of {} late, up to {longest} us",
         all.len()
     );
@@ -81,7 +81,7 @@
 
 /// A slow client holds up nobody else's events.
 #[tokio::test]
-async fn events_are_on_time_beside_clients_that_take_nothing() {
+async fn events_are_on_time_beside_clients_that_read_nothing() {
     let site = Site::start().await;
     let mut slow = Vec::new();
     for n in 0..3 {
@@ -92,13 +92,13 @@
         }
     }
     site.writer.next(Does::Ticks(60, 5));
-    let lags = lags(site.platform, "quick".into()).await.expect("it is served");
+    let lags = event_lags(site.platform, "quick".into()).await.expect("it is served");
     assert_eq!(lags.len(), 60);
-    assert!(lags.iter().all(|lag| *lag < LATE), "{lags:?}");
+    assert!(lags.iter().all(|lag| *lag < MAX_LAG_US), "{lags:?}");
 }
 
 /// What the client has got of the body so far, chunk by chunk.
-async fn chunks_of(client: &mut TcpStream, seen: &mut Vec<u8>, most: usize) -> Vec<String> {
+async fn read_chunks(client: &mut TcpStream, seen: &mut Vec<u8>, min_count: usize) -> Vec<String> {
     loop {
         let text = String::from_utf8(seen.clone()).unwrap();
         let mut rest = text.split_once("\r\n\r\n").map_or("", |(_, rest)| rest);
@@ -109,12 +109,12 @@
             chunks.push(chunk[..size].to_string());
             rest = &more[size + 2..];
         }
-        if chunks.len() >= most {
+        if chunks.len() >= min_count {
             return chunks;
         }
         // Nothing more may come for now.
         match timeout(
-            Duration::from_millis(if most == usize::MAX { 50 } else { 20_000 }),
+            Duration::from_millis(if min_count == usize::MAX { 50 } else { 20_000 }),
             client.read_buf(seen),
         )
         .await
@@ -127,7 +127,7 @@
 
 /// In pieces, or several at once: each event leaves on its own as soon as it is whole, and not before.
 #[tokio::test]
-async fn each_event_leaves_whole_and_alone_however_it_came() {
+async fn each_event_is_forwarded_whole_and_alone_however_it_arrives() {
     let site = Site::start().await;
     let told = site.writer.told.clone();
     site.writer.next(Does::Told);
@@ -139,20 +139,20 @@
     let none: [&str; 0] = [];
     // Half an event, in a chunk of its own: nothing has begun.
     told.send(format!("{head}{}", chunk(first))).unwrap();
-    assert_eq!(chunks_of(&mut client, &mut seen, usize::MAX).await, none);
+    assert_eq!(read_chunks(&mut client, &mut seen, usize::MAX).await, none);
     assert!(seen.is_empty(), "the answer has begun without an event");
     // The rest, and half of a chunk that holds half of the next.
     let half = chunk(&LAST[..30]);
     let (start, end) = half.split_at(9);
     told.send(format!("{}{start}", chunk(second))).unwrap();
-    assert_eq!(chunks_of(&mut client, &mut seen, 1).await, [EVENT]);
-    assert_eq!(chunks_of(&mut client, &mut seen, usize::MAX).await, [EVENT]);
+    assert_eq!(read_chunks(&mut client, &mut seen, 1).await, [EVENT]);
+    assert_eq!(read_chunks(&mut client, &mut seen, usize::MAX).await, [EVENT]);
     // Its end, and three events in one chunk behind it.
     told.send(end.into()).unwrap();
-    assert_eq!(chunks_of(&mut client, &mut seen, usize::MAX).await, [EVENT]);
+    assert_eq!(read_chunks(&mut client, &mut seen, usize::MAX).await, [EVENT]);
     told.send(chunk(&format!("{}{USAGE}{EVENT}{DONE}", &LAST[30..]))).unwrap();
-    assert_eq!(chunks_of(&mut client, &mut seen, 5).await, [EVENT, LAST, USAGE, EVENT, DONE]);
+    assert_eq!(read_chunks(&mut client, &mut seen, 5).await, [EVENT, LAST, USAGE, EVENT, DONE]);
     // The last chunk is passed on as it comes.
     told.send("0\r\n\r\n".into()).unwrap();
-    assert_eq!(chunks_of(&mut client, &mut seen, 6).await, [EVENT, LAST, USAGE, EVENT, DONE, ""]);
+    assert_eq!(read_chunks(&mut client, &mut seen, 6).await, [EVENT, LAST, USAGE, EVENT, DONE, ""]);
 }
