--- a/daemon/tests/chat.rs
+++ b/daemon/tests/chat.rs
@@ -1,5 +1,5 @@
-//! The chat front on loopback, between stand-in clients and servers of our own: every request gets exactly
-//! one final answer, and no `book` runs twice.
+//! Tests the chat front on loopback between test clients and test servers: every request gets exactly one
+//! final response, and no `book` request runs twice.
 
 mod support;
 
@@ -32,7 +32,7 @@
     assert_eq!(answer.header("x-request-id"), Some("t-1"));
     let (prefill_requests, decode_requests) = (site.reader.posts(), site.writer.posts());
     assert_eq!((prefill_requests.len(), decode_requests.len()), (1, 1));
-    assert_eq!(decode_requests[0].body, body.to_string(), "the body passes unchanged");
+    assert_eq!(decode_requests[0].body, body.to_string(), "the body was changed on the way to the server");
 }
 
 #[tokio::test]
@@ -67,15 +67,19 @@
         line.trim_start_matches(": ").to_string()
     };
     assert_eq!((value(0, "x-lane"), value(1, "x-lane")), ("book".into(), "ask".into()));
-    assert_eq!(value(0, "x-entity"), value(1, "x-entity"), "the same opening is the same session");
+    assert_eq!(
+        value(0, "x-entity"),
+        value(1, "x-entity"),
+        "requests with the same first messages got different sessions"
+    );
     assert_ne!(value(0, "x-txn"), value(1, "x-txn"));
-    // 31 and 13 characters make 11 tokens, 7 of them in the system's message.
+    // 31 and 13 characters make 11 tokens, 7 of them in the system message.
     assert!(
         value(0, "x-labels").ends_with(",prompt_len=11,prefix_len=7,max_out=400"),
         "{}",
         value(0, "x-labels")
     );
-    assert!(!got[0].head.contains("secret"), "credentials end at the front");
+    assert!(!got[0].head.contains("secret"), "the client's credentials were forwarded");
 }
 
 #[tokio::test]
@@ -89,7 +93,7 @@
     }
     drop(client);
     site.writer.given_up.recv().await.unwrap();
-    // The conductor is as able as before, and the book went to the writer once.
+    // The conductor still serves, and the book request reached the decode server once.
     assert_eq!(exchange(site.chat, &chat_request("x-lane: ask\r\n", true)).await.status, 200);
     let books = site.writer.posts().iter().filter(|g| g.head.contains("x-lane: book")).count();
     assert_eq!(books, 1);
@@ -105,7 +109,8 @@
     }
     drop(client);
     site.writer.given_up.recv().await.unwrap();
-    // The reader was heard last, so it is asked first; any server lets go of state wherever it is.
+    // The prefill server responded last, so the release goes there first; any server releases a KV cache,
+    // wherever it is.
     let released = tokio::time::timeout(Duration::from_secs(30), site.reader.released.recv()).await;
     assert!(released.unwrap().is_some());
     let deletes = |g: &Got| g.line == "DELETE /state/t-9 HTTP/1.1";
@@ -158,7 +163,7 @@
     site.reader.next(Does::Silent);
     let ask = exchange(site.chat, &chat_request("x-lane: ask\r\nx-remaining: 200m\r\n", true)).await;
     assert_eq!((ask.status, &ask.json()["error"]["code"]), (429, &json!("rate_limit_exceeded")));
-    // The advice of the decisions: at most 2 s by the settings; whole seconds are rounded up.
+    // The retry delay is at most 2 s by the settings; whole seconds are rounded up.
     let advice = |name| ask.header(name).unwrap().parse::<u64>().unwrap();
     let (seconds, ms) = (advice("retry-after"), advice("retry-after-ms"));
     assert!(ms > 0 && ms <= 2_000 && seconds == ms.div_ceil(1_000), "{ask:?}");
@@ -216,5 +221,5 @@
         assert_eq!(error["type"], "invalid_request_error");
         assert!(!error["message"].as_str().unwrap().is_empty());
     }
-    assert!(site.reader.posts().is_empty(), "nothing of this reaches a box");
+    assert!(site.reader.posts().is_empty(), "invalid input reached a server");
 }
--- a/daemon/tests/closes.rs
+++ b/daemon/tests/closes.rs
@@ -1,5 +1,5 @@
-//! Ends of clients' connections, and what crosses them: no answer is destroyed by what its client still
-//! sends, and a request that meets the end is answered or was never sent on.
+//! Tests the end of client connections: no response is lost to input that the client still sends, and a
+//! request that arrives while its connection closes is answered or was never forwarded.
 
 mod support;
 
@@ -20,14 +20,17 @@
     kept(&chat(id, "ask", 7_000))
 }
 
-/// Reads all there is; an error is a reset, which may have destroyed what came before it.
+/// Reads until the connection ends. An error is a reset, which may have discarded data sent before it.
 async fn read_to_end(stream: &mut TcpStream) -> std::io::Result<String> {
     let mut seen = Vec::new();
-    timeout(TEST_TIMEOUT, stream.read_to_end(&mut seen)).await.expect("it is closed in time")?;
+    timeout(TEST_TIMEOUT, stream.read_to_end(&mut seen))
+        .await
+        .expect("the connection was not closed in time")?;
     Ok(String::from_utf8(seen).unwrap())
 }
 
-/// Turned down before all of it had come: the client goes on sending, and reads the answer afterwards.
+/// A request is answered before all of it has arrived; the client keeps sending and reads the response later.
+/// Closing over the unread input would reset the connection and discard the response.
 #[tokio::test]
 async fn a_response_survives_input_that_its_client_still_sends() {
     let site = Site::start().await;
@@ -41,28 +44,31 @@
         (HEALTH_REQUEST.into(), "200"),
     ] {
         let mut client = send(site.platform, &head).await;
-        // A reset shows in the writes as well; each error is told once.
+        // A reset shows in the writes as well; the socket reports each error only once.
         for _ in 0..6 {
             let sent = client.write_all("x".repeat(64 << 10).as_bytes()).await;
-            sent.unwrap_or_else(|e| panic!("{status}: reset: {e}"));
+            sent.unwrap_or_else(|e| panic!("{status}: the connection was reset: {e}"));
             tokio::task::yield_now().await;
         }
-        let answer = read_to_end(&mut client).await.unwrap_or_else(|e| panic!("{status}: destroyed: {e}"));
+        let answer =
+            read_to_end(&mut client).await.unwrap_or_else(|e| panic!("{status}: the response was lost: {e}"));
         assert!(answer.starts_with(&format!("HTTP/1.1 {status}")), "{status}: {answer:?}");
     }
 }
 
-/// An answer, or a clean end with nothing.
+/// Sends a request after a delay. Returns whether it was answered; checks that the response is whole or
+/// empty.
 async fn is_answered_after(mut client: TcpStream, id: String, delay: Duration) -> bool {
     sleep(delay).await;
     if client.write_all(request(&id).as_bytes()).await.is_err() {
         return false;
     }
     let answer = read_to_end(&mut client).await.unwrap_or_default();
-    assert!(answer.is_empty() || answer.contains("data: [DONE]"), "{id}: half an answer: {answer:?}");
+    assert!(answer.is_empty() || answer.contains("data: [DONE]"), "{id}: incomplete response: {answer:?}");
     !answer.is_empty()
 }
 
+/// Opens a connection that stays idle after its first response.
 async fn idle_connection(to: SocketAddr) -> TcpStream {
     let mut client = send(to, &kept(HEALTH_REQUEST)).await;
     let mut seen = Vec::new();
@@ -74,7 +80,7 @@
 
 #[tokio::test]
 async fn a_request_that_meets_the_end_of_its_connection_is_answered_or_never_sent_on() {
-    // Ended by the idle time, and by the end of the conductor.
+    // Closed by the idle timeout, and by the conductor's shutdown.
     for is_shutdown in [false, true] {
         let (mut answered, mut forwarded) = (0, 0);
         for round in 0..12 {
@@ -88,19 +94,20 @@
             }
             if is_shutdown {
                 sleep(Duration::from_micros(900)).await;
-                timeout(TEST_TIMEOUT, site.doors.close()).await.expect("the end in time");
+                timeout(TEST_TIMEOUT, site.doors.close()).await.expect("the listeners did not close in time");
             }
             answered += requests.join_all().await.into_iter().filter(|answered| *answered).count();
             forwarded += site.writer.posts().len();
         }
         assert_eq!(
             answered, forwarded,
-            "is_shutdown: {is_shutdown}: sent on, and its connection ended without the answer"
+            "shutdown: {is_shutdown}: a request was forwarded, but its connection closed without a response"
         );
     }
 }
 
-/// No small write is held back: half of the events arrive within a few milliseconds.
+/// Guards against Nagle's algorithm, which holds small writes back until the client acknowledges earlier
+/// ones: half of the events must arrive within a few milliseconds.
 #[tokio::test]
 async fn small_events_are_forwarded_without_delay() {
     let site = Site::start().await;
@@ -109,9 +116,10 @@
     let (mut seen, mut lags) = (String::new(), Vec::new());
     while !seen.contains("[DONE]") {
         let mut bytes = [0; 4096];
-        // As where acknowledgements take their time, which is what writes that are held back wait for.
+        // Delays acknowledgements, for which writes that are held back would wait.
         socket2::SockRef::from(&client).set_tcp_quickack(false).unwrap();
-        let read = timeout(TEST_TIMEOUT, client.read(&mut bytes)).await.expect("events").unwrap();
+        let read =
+            timeout(TEST_TIMEOUT, client.read(&mut bytes)).await.expect("no event arrived in time").unwrap();
         assert!(read > 0, "{seen:?}");
         seen.push_str(std::str::from_utf8(&bytes[..read]).unwrap());
         let now = micros();
@@ -125,8 +133,8 @@
     assert!(late.len() == 40 && late[20] < 15_000, "{late:?}");
 }
 
-/// The time for a first request runs out, or the connection has to make room, in the moment in which its
-/// request comes: answered, or never sent on.
+/// A request arrives at the moment at which its connection is closed, because the time for a first request
+/// has expired or because the connection is evicted: it is answered, or was never forwarded.
 #[tokio::test]
 async fn a_request_that_meets_a_time_out_or_an_eviction_is_answered_or_never_sent_on() {
     for is_eviction in [false, true] {
@@ -136,7 +144,8 @@
             let mut requests = JoinSet::new();
             for n in 0..7u64 {
                 let id = format!("{is_eviction}-{round}-{n}");
-                // All places but one are taken by such as rest after an answer, or have never asked.
+                // All slots but one are taken by connections that are idle after a response, or that have not
+                // sent a request.
                 let client = if is_eviction {
                     idle_connection(site.platform).await
                 } else {
@@ -151,7 +160,7 @@
                 let mut open_clients = Vec::new();
                 for new_client in new_clients {
                     open_clients
-                        .push(timeout(TEST_TIMEOUT, new_client).await.expect("there is room in time"));
+                        .push(timeout(TEST_TIMEOUT, new_client).await.expect("no slot was freed in time"));
                 }
             }
             let all = requests.join_all().await;
@@ -159,16 +168,19 @@
             answered += all.iter().filter(|answered| **answered).count();
             forwarded += site.writer.posts().len();
         }
-        assert_eq!(answered, forwarded, "is_eviction: {is_eviction}: sent on, and ended without the answer");
+        assert_eq!(
+            answered, forwarded,
+            "eviction: {is_eviction}: a request was forwarded, but got no response"
+        );
         assert!(
             answered > 0 && ended > 0,
-            "is_eviction: {is_eviction}: {answered} answered, {ended} ended: none has crossed"
+            "eviction: {is_eviction}: {answered} answered, {ended} ended: none met the close"
         );
     }
 }
 
-/// A client that has been answered sends a part of its next head, and stays: it is ended in the time that bad
-/// clients are owed, as one is that has just connected.
+/// A client that has had a response sends a part of its next head and stays connected. Its connection must
+/// time out as soon as that of a new client, not only after the longer idle timeout.
 #[tokio::test]
 async fn an_incomplete_head_on_a_used_connection_times_out() {
     let site = Site::start().await;
@@ -176,5 +188,5 @@
     client.write_all(b"POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\n").await.unwrap();
     let within = CLIENT_TIMEOUTS.request_arrival + Duration::from_millis(700);
     let ended = timeout(within, client.read_to_end(&mut Vec::new())).await;
-    assert!(ended.is_ok(), "nothing after {within:?}");
+    assert!(ended.is_ok(), "the connection is still open after {within:?}");
 }
--- a/daemon/tests/crowds.rs
+++ b/daemon/tests/crowds.rs
@@ -1,5 +1,5 @@
-//! Processes whose surroundings use up what they have: idle clients that take every descriptor while
-//! discovery is silent, many that start together while discovery is down or slow.
+//! Tests processes under resource exhaustion: idle clients that use every file descriptor while discovery is
+//! silent, and many processes that start at once while discovery is down or slow.
 
 mod support;
 
@@ -11,9 +11,9 @@
 use tokio::time::{sleep, timeout};
 
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
-/// What discovery has counts as told so long after it could be reached.
+/// Time within which the conductor has the list from discovery, once discovery can be reached.
 const DISCOVERY_TIMEOUT: Duration = Duration::from_secs(6);
-/// The program takes no fewer.
+/// Limit on file descriptors; the program accepts no lower one.
 const DESCRIPTOR_LIMIT: usize = 64;
 const HEALTH_REQUEST: &str = "GET /_health HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
 const EMPTY_MEMBER_LIST: &str = "{\"rev\":9,\"all\":true,\"targets\":[]}\n";
@@ -27,7 +27,7 @@
     chat(id, "ask", 7_000)
 }
 
-/// Idle clients: some have never asked, some once, some sent half a request.
+/// Opens an idle client: one that sends nothing, one complete request, or a part of a request head.
 async fn idle_client(to: std::net::SocketAddr, n: usize) -> TcpStream {
     let kept_request = kept(HEALTH_REQUEST);
     send(to, ["", &kept_request, "POST /v1/ch"][n % 3]).await
@@ -37,7 +37,7 @@
 async fn idle_clients_that_use_every_descriptor_do_not_block_others() {
     let (mut prefill, mut decode) = (StandIn::start(READ).await, StandIn::start(WHOLE).await);
     let agent = StandIn::start(Does::StallsAfter(&[EMPTY_MEMBER_LIST])).await;
-    // It falls silent: the first watch brings nothing, and what hangs is never answered.
+    // Discovery falls silent: the first watch brings nothing, and hanging requests are never answered.
     (0..3).for_each(|_| agent.next(Does::Silent));
     let servers = [("p", "prefill", &prefill), ("d", "decode", &decode)];
     let config = config("n1", &agent.address.to_string(), &servers);
@@ -46,16 +46,17 @@
     for n in 0..3 * DESCRIPTOR_LIMIT {
         idle_clients.push(idle_client(running.listen, n).await);
     }
-    // Attempts and new clients get theirs, and what is let go of finds its way while others ask.
+    // Attempts and new clients get descriptors, and releases are sent while other requests run.
     for round in 0..6 {
         decode.next(Does::Says(500, false, ""));
         let book = chat(&format!("book-{round}"), "book", 7_000);
-        let failed = timeout(TEST_TIMEOUT, exchange(running.listen, &book)).await.expect("an answer in time");
-        assert_eq!(failed.status, 502, "it may have run");
+        let failed =
+            timeout(TEST_TIMEOUT, exchange(running.listen, &book)).await.expect("no response in time");
+        assert_eq!(failed.status, 502, "a book request that may have run must fail");
         let asks = (0..4).map(|n| {
             let (to, text) = (running.listen, request(&format!("{round}-{n}")));
             tokio::spawn(async move {
-                timeout(TEST_TIMEOUT, exchange(to, &text)).await.expect("an answer").status
+                timeout(TEST_TIMEOUT, exchange(to, &text)).await.expect("no response in time").status
             })
         });
         for ask in asks.collect::<Vec<_>>() {
@@ -67,12 +68,12 @@
                 _ = decode.released.recv() => {}
             }
         };
-        timeout(TEST_TIMEOUT, released).await.expect("what a failed attempt left is let go");
+        timeout(TEST_TIMEOUT, released).await.expect("the KV cache of a failed attempt was not released");
         for n in 0..20 {
             idle_clients.push(idle_client(running.listen, n).await);
         }
     }
-    // Discovery is heard in time as it comes back, with the crowd still there.
+    // The conductor hears from discovery in time once it is back, with the idle clients still connected.
     while agent.got.lock().unwrap().len() < 4 {
         sleep(Duration::from_millis(5)).await;
     }
@@ -80,7 +81,7 @@
     while exchange(running.listen, HEALTH_REQUEST).await.status == 200 {
         assert!(
             reachable_since.elapsed() < DISCOVERY_TIMEOUT,
-            "the list of the agent that is back has not been heard"
+            "the list from the recovered agent did not arrive"
         );
         sleep(Duration::from_millis(20)).await;
     }
@@ -88,7 +89,7 @@
     running.ends_well().await;
 }
 
-/// An agent that refuses, one that hangs, one that is there late: who starts knows the list it had.
+/// Agents that refuse connections, hang or reset them: each process starts from its last known list.
 #[tokio::test]
 async fn processes_that_start_together_are_ready_in_time_whatever_discovery_does() {
     let (prefill, decode) = (StandIn::start(READ).await, StandIn::start(WHOLE).await);
@@ -107,10 +108,10 @@
     while let Some(running) = starting.join_next().await {
         let running = running.unwrap();
         assert_eq!(exchange(running.listen, HEALTH_REQUEST).await.status, 200);
-        // Ready means that it serves.
+        // A process that is ready serves requests.
         let status =
             timeout(TEST_TIMEOUT, exchange(running.listen, &request(&format!("r{}", all.len())))).await;
-        assert_eq!(status.expect("an answer in time").status, 200);
+        assert_eq!(status.expect("no response in time").status, 200);
         all.push(running);
     }
     assert!(begin.elapsed() < Duration::from_secs(10), "{:?}", begin.elapsed());
@@ -120,19 +121,19 @@
     }
 }
 
-/// Where its connection ends without an answer, as one that makes room for others may before its request has
-/// been read, a client sends the request once more on a new one.
+/// Sends a request, and repeats it on a new connection if the connection closes without a response, as an
+/// evicted connection may before its request has been read.
 async fn exchange_with_retry(to: std::net::SocketAddr, text: &str, is_received: impl Fn() -> bool) -> Answer {
     loop {
         if let Some(answer) = answer_on(send(to, text).await).await {
             return answer;
         }
-        assert!(!is_received(), "a request that had been read was closed without an answer");
+        assert!(!is_received(), "a connection was closed without a response to a request that had been read");
     }
 }
 
-/// Clients that send much at once and go, and such that never read what they asked for: others are served,
-/// and memory does not grow with what was sent.
+/// Clients that send much at once and disconnect, or never read their responses: others are served, and
+/// memory does not grow with the input.
 #[tokio::test]
 async fn floods_block_no_other_client_and_use_bounded_memory() {
     let (prefill, decode) = (StandIn::start(READ).await, StandIn::start(WHOLE).await);
@@ -160,7 +161,7 @@
         let is_received = || prefill.posts().iter().any(|got| got.head.contains(&format!("x-txn: {id}\r\n")));
         let text = request(&id);
         let response = timeout(TEST_TIMEOUT, exchange_with_retry(running.listen, &text, is_received)).await;
-        assert_eq!(response.expect("an answer in time").status, 200);
+        assert_eq!(response.expect("no response in time").status, 200);
         for flood in floods {
             flood.await.unwrap();
         }
@@ -171,8 +172,8 @@
     running.ends_well().await;
 }
 
-/// Every place for clients is taken by an answer that runs: whoever comes then is told so in his time. What
-/// is written to a connection that this machine has accepted is owed an answer.
+/// Running responses hold every connection slot: further requests are refused in time. A request on
+/// a connection that the kernel has accepted must get a response.
 #[tokio::test]
 async fn a_request_beyond_the_connection_limit_is_refused_in_time() {
     let (prefill, decode) = (StandIn::start(READ).await, StandIn::start(Does::StreamsOn).await);
@@ -182,16 +183,19 @@
     let mut streams = Vec::new();
     for n in 0..(DESCRIPTOR_LIMIT - 48) / 2 {
         let mut client = send(running.listen, &request(&format!("stream-{n}"))).await;
-        assert!(client.read(&mut [0; 64]).await.unwrap() > 0, "stream {n} runs");
+        assert!(client.read(&mut [0; 64]).await.unwrap() > 0, "stream {n} did not start");
         streams.push(client);
     }
     for n in 0..3 {
         let text = chat(&format!("beside-{n}"), "ask", 1_000);
-        let asked = timeout(Duration::from_millis(1_500), exchange(running.listen, &text));
-        let answer = asked.await.expect("an answer in its time");
+        let response = timeout(Duration::from_millis(1_500), exchange(running.listen, &text));
+        let answer = response.await.expect("no response within 1.5 s");
         assert_eq!(answer.status, 503);
     }
-    assert!(prefill.posts().iter().all(|got| !got.head.contains("x-txn: beside")), "sent on");
+    assert!(
+        prefill.posts().iter().all(|got| !got.head.contains("x-txn: beside")),
+        "a refused request was forwarded"
+    );
     drop(streams);
     running.signal("-TERM");
     running.ends_well().await;
--- a/daemon/tests/gone.rs
+++ b/daemon/tests/gone.rs
@@ -1,5 +1,5 @@
-//! Clients that go, whatever they leave unread before their end: wherever their request is, no attempt for it
-//! begins after that, and one that is out ends.
+//! Tests clients that disconnect, whatever input they leave unread: at any stage of their request, no further
+//! attempt starts, and a running attempt is cancelled.
 
 mod support;
 
@@ -13,7 +13,7 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// A client has gone at once; a wait that is not cut short by that takes 0.7 s at least.
+/// Time for a disconnect to take effect. A wait that the disconnect does not cut short takes at least 0.7 s.
 const CANCEL_TIMEOUT: Duration = Duration::from_millis(500);
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
@@ -21,8 +21,8 @@
     kept(&chat(id, "ask", 7_000))
 }
 
-/// What lies before the end: nothing, half a line, a whole request, many of them, more than is ever kept,
-/// more than is read as fast as it comes.
+/// Input before the disconnect: nothing, half a line, a whole request, many of them, more than is ever kept,
+/// and more than is read at full speed.
 fn unread_inputs() -> [(&'static str, String); 6] {
     let many = (0..40).map(|n| request(&format!("second-{n}"))).collect();
     let flood = "x".repeat(300 << 10);
@@ -37,12 +37,16 @@
     ]
 }
 
+/// Sends input and disconnects.
 async fn disconnect(mut client: TcpStream, unread: &str) {
-    timeout(TEST_TIMEOUT, client.write_all(unread.as_bytes())).await.expect("it is read").unwrap();
+    timeout(TEST_TIMEOUT, client.write_all(unread.as_bytes()))
+        .await
+        .expect("the input was not read in time")
+        .unwrap();
     drop(client);
 }
 
-/// Attempts for the request that was given up, or for what its client had sent behind it.
+/// The number of attempts for the abandoned request, or for requests that its client sent after it.
 fn attempt_count(of: &StandIn) -> usize {
     of.posts().iter().filter(|got| !got.head.contains("stays")).count()
 }
@@ -50,12 +54,12 @@
 async fn wait_until(condition: impl Fn() -> bool) {
     let begin = Instant::now();
     while !condition() {
-        assert!(begin.elapsed() < TEST_TIMEOUT, "it does not come");
+        assert!(begin.elapsed() < TEST_TIMEOUT, "the condition was not met in time");
         sleep(Duration::from_millis(2)).await;
     }
 }
 
-/// No prefill server is known until some time after the client has gone; another, who stays, is served.
+/// No prefill server is known until some time after the disconnect; a client that stays is served.
 #[tokio::test]
 async fn a_disconnect_while_no_server_is_known_starts_no_attempt() {
     for (name, unread) in unread_inputs() {
@@ -70,17 +74,17 @@
         site.book.set("prefill".into(), prefill.address);
         let entries = vec![entry("prefill", 0, Health::Up)];
         site.news.send(MembershipUpdate { kind: ListUpdateKind::Changes, entries }).unwrap();
-        assert_eq!(stays.await.unwrap().status, 200, "{name}: who stays is served");
+        assert_eq!(stays.await.unwrap().status, 200, "{name}: the client that stayed was not served");
         sleep(Duration::from_millis(50)).await;
         assert_eq!((attempt_count(&prefill), attempt_count(&decode)), (0, 0), "{name}");
     }
 }
 
-/// The client ends its connection and a server turns up within one turn of the busy thread: whichever the
-/// thread hears of first, no attempt begins.
+/// The client disconnects and a server becomes known while the thread is busy, so that the thread sees both
+/// in one turn: whichever it sees first, no attempt starts.
 #[tokio::test]
 async fn a_disconnect_in_the_turn_of_a_membership_update_starts_no_attempt() {
-    // More than a socket's window holds can't arrive in one turn.
+    // Input larger than a socket's window can't arrive in one turn.
     for (name, unread) in unread_inputs().into_iter().filter(|(_, unread)| unread.len() < 32 << 10) {
         for has_connection in [false, true] {
             let (prefill, decode) = (StandIn::start(READ).await, StandIn::start(WHOLE).await);
@@ -91,7 +95,7 @@
             };
             site.book.set("prefill".into(), prefill.address);
             if has_connection {
-                // A connection to it is kept, so that an attempt could begin at once.
+                // Leaves an idle connection to the server, so that an attempt could start at once.
                 set_health(Health::Up);
                 assert_eq!(exchange(site.platform, &chat("stays", "ask", 7_000)).await.status, 200);
                 set_health(Health::Gone);
@@ -101,7 +105,7 @@
             let client = send(site.platform, &request("goes")).await;
             wait_until(|| site.conductor.call_count() > before).await;
             sleep(Duration::from_millis(20)).await;
-            // No await between these: the thread is busy meanwhile.
+            // No await between these steps, so that the thread is busy meanwhile.
             let mut client = client.into_std().unwrap();
             std::io::Write::write_all(&mut client, unread.as_bytes()).unwrap();
             drop(client);
@@ -116,7 +120,7 @@
     }
 }
 
-/// The attempt that is out ends, and none follows.
+/// The request is in prefill, waits for its response or streams it: its attempt ends, and no other starts.
 #[tokio::test]
 async fn a_disconnect_during_prefill_or_decode_ends_the_attempt() {
     for (name, unread) in unread_inputs() {
@@ -130,7 +134,7 @@
             wait_until(|| attempt_count(at) == 1).await;
             disconnect(client, &unread).await;
             let gave_up = timeout(CANCEL_TIMEOUT, at.given_up.recv()).await;
-            assert!(gave_up.is_ok(), "{name}, {reads:?}, {writes:?}: the attempt goes on");
+            assert!(gave_up.is_ok(), "{name}, {reads:?}, {writes:?}: the attempt was not cancelled");
             sleep(Duration::from_millis(50)).await;
             let expected = (1, usize::from(!silent));
             assert_eq!((attempt_count(&site.reader), attempt_count(&site.writer)), expected, "{name}");
@@ -140,7 +144,7 @@
 
 const STARTS_A_STREAM: Does = Does::StallsAfter(&[EVENT]);
 
-/// What was read is let go, and nothing is sent on the connection that comes up after all.
+/// The KV cache is released, and nothing is sent once the connection is established after all.
 #[tokio::test]
 async fn a_disconnect_while_connecting_to_a_decode_server_releases_the_kv_cache() {
     for (name, unread) in unread_inputs() {
@@ -153,12 +157,13 @@
         sleep(Duration::from_millis(30)).await;
         disconnect(client, &unread).await;
         let released = timeout(CANCEL_TIMEOUT, prefill.released.recv()).await;
-        assert!(released.is_ok(), "{name}: what was read is held on");
-        assert_eq!(shut.opened_and_sent().await, 0, "{name}: something was sent");
+        assert!(released.is_ok(), "{name}: the KV cache was not released");
+        assert_eq!(shut.opened_and_sent().await, 0, "{name}: bytes were sent after the disconnect");
     }
 }
 
-/// Who sends without end and reads nothing keeps nobody else from being served, and is closed in the end.
+/// Clients that send without end and read nothing don't keep others from being served, and are disconnected
+/// eventually.
 #[tokio::test]
 async fn floods_after_a_request_do_not_block_other_clients() {
     let site = Site::start().await;
@@ -175,14 +180,15 @@
     for n in 0..20 {
         let answer =
             timeout(TEST_TIMEOUT, exchange(site.platform, &chat(&format!("stays-{n}"), "ask", 7_000))).await;
-        assert_eq!(answer.expect("an answer in time").status, 200);
+        assert_eq!(answer.expect("no response in time").status, 200);
     }
     for flood in floods {
-        timeout(TEST_TIMEOUT, flood).await.expect("it is closed in the end").unwrap();
+        timeout(TEST_TIMEOUT, flood).await.expect("the flooding client was not disconnected").unwrap();
     }
 }
 
-/// What comes behind the head of a chunked request is the request, however much of it comes at once.
+/// Guards against treating the body of a chunked request as input after the request, most of which would be
+/// dropped when much of it arrives at once.
 #[tokio::test]
 async fn a_chunked_body_that_arrives_at_once_is_forwarded_complete() {
     let site = Site::start().await;
@@ -196,5 +202,5 @@
         .collect();
     let answer = exchange(site.platform, &format!("{head}{chunks}0\r\n\r\n")).await;
     assert_eq!(answer.status, 200, "{answer:?}");
-    assert!(site.writer.posts()[0].body == body, "it was not handed on as it came");
+    assert!(site.writer.posts()[0].body == body, "the body was changed on the way to the server");
 }
--- a/daemon/tests/interleavings.rs
+++ b/daemon/tests/interleavings.rs
@@ -1,6 +1,6 @@
-//! Ends that cross each other, drawn by a seed: clients that leave in every way, servers that answer, refuse,
-//! break and spoil, members that drain and come back. What the protocol owes is counted at the servers and at
-//! the clients.
+//! Tests races between the ends of requests, drawn from a seed: clients that disconnect in every way, servers
+//! that respond, refuse, break connections and send garbage, members that drain and return. The protocol's
+//! guarantees are checked against the records of the servers and of the clients.
 
 mod support;
 
@@ -20,7 +20,7 @@
 const REQUEST_COUNT: usize = 120;
 const MAX_CONCURRENT_REQUESTS: usize = 6;
 
-/// Mostly well; the rest in every way.
+/// Usually a success; otherwise any kind of refusal or failure.
 fn draw_prefill_behavior(rng: &mut SmallRng) -> Does {
     match rng.random_range(0..20) {
         0 => Does::Says(503, true, ""),
@@ -46,18 +46,19 @@
     }
 }
 
-/// Proof that an attempt never ran.
+/// Whether a response proves that the attempt never ran.
 fn has_never_run(does: &Does) -> bool {
     matches!(does, Does::Says(503 | 504 | 410, true, _))
 }
 
-/// How a client ends its connection, and after so long.
+/// How a client ends its connection; the first number is the delay in milliseconds.
 #[derive(Clone, Copy, Debug)]
 enum ClientExit {
     WaitsForResponse,
     Closes(u64),
     HalfCloses(u64),
     Resets(u64),
+    /// Sends this many bytes of further input before it closes.
     ClosesAfterInput(u64, usize),
 }
 
@@ -74,12 +75,12 @@
     }
 }
 
-/// What it got, if it stayed.
+/// Runs a client; returns its response if it waits for one.
 async fn client(to: std::net::SocketAddr, text: String, exit: ClientExit) -> Option<Answer> {
     let mut stream = send(to, &text).await;
     match exit {
         ClientExit::WaitsForResponse => {
-            return Some(timeout(TEST_TIMEOUT, exchange_on(stream)).await.expect("an answer in time"))
+            return Some(timeout(TEST_TIMEOUT, exchange_on(stream)).await.expect("no response in time"))
         }
         ClientExit::Closes(after) => sleep(Duration::from_millis(after)).await,
         ClientExit::Resets(after) => {
@@ -93,7 +94,9 @@
         ClientExit::HalfCloses(after) => {
             sleep(Duration::from_millis(after)).await;
             let _ = stream.shutdown().await;
-            let _ = timeout(TEST_TIMEOUT, stream.read_to_end(&mut Vec::new())).await.expect("it is ended");
+            let _ = timeout(TEST_TIMEOUT, stream.read_to_end(&mut Vec::new()))
+                .await
+                .expect("the connection was not closed in time");
         }
     }
     None
@@ -137,7 +140,9 @@
         sleep(Duration::from_micros(rng.random_range(0..4_000))).await;
     }
     answers.extend(clients.join_all().await);
-    timeout(TEST_TIMEOUT, site.conductor.wait_for_releases()).await.expect("what is held is let go");
+    timeout(TEST_TIMEOUT, site.conductor.wait_for_releases())
+        .await
+        .expect("KV caches were not released in time");
     sleep(Duration::from_millis(50)).await;
     let all = |of: &[StandIn]| of.iter().flat_map(|s| s.did.lock().unwrap().clone()).collect::<Vec<Did>>();
     let (read, all_decode) = (all(&prefill), all(&decode));
@@ -154,7 +159,7 @@
             format!("seed {seed}, {id}: {answer:?}, read {prefill_records:?}, written {decode_records:?}");
         assert!(
             !id.starts_with("book") || ran.is_none_or(|nth| nth + 1 == attempts.len()),
-            "repeated: {context}"
+            "retried after it may have run: {context}"
         );
         let last_prefill = prefill_records.iter().rev().find(|d| matches!(d.does, Some(Does::Says(202, ..))));
         if let Some(last_prefill) = last_prefill {
@@ -163,7 +168,7 @@
                 .iter()
                 .chain(&decode_records)
                 .any(|d| d.does.is_none() && d.nth > last_prefill.nth);
-            assert!(taken || released, "left behind: {context}");
+            assert!(taken || released, "KV cache not released: {context}");
         }
         let Some(answer) = answer else { continue };
         assert_eq!(answer.answers, 1, "{context}");
@@ -173,7 +178,7 @@
             502 => assert!(id.starts_with("book") && ran.is_some(), "failed: {context}"),
             other => panic!("{other}: {context}"),
         }
-        // A cut stream was broken by its server; a whole one was whole there.
+        // A stream is incomplete exactly if its server broke it.
         let broke = attempts.last().is_some_and(|d| matches!(d.does, Some(Does::BreaksAfter(_))));
         assert!(answer.status != 200 || answer.whole != broke, "{context}");
     }
--- a/daemon/tests/on_time.rs
+++ b/daemon/tests/on_time.rs
@@ -1,4 +1,4 @@
-//! Events pass as they come: each on its own, in order, and soon, whatever else the process has to do.
+//! Tests the forwarding of events: each on its own, in order and without delay, under any other load.
 
 mod support;
 
@@ -11,18 +11,21 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout};
 
-/// No event may take longer.
+/// Limit on the delay of an event between its server and its client.
 const MAX_LAG_US: u64 = 300_000;
 const STREAM_COUNT: usize = 500;
 const BACKLOG_REQUEST_COUNT: usize = 1_000;
 const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Asks, and gives how late each event of the answer was, or nothing where it was refused.
+/// Sends a request and returns the delay of each event of the response, or `None` if it was refused.
 async fn event_lags(to: SocketAddr, id: String) -> Option<Vec<u64>> {
     let mut client = send(to, &chat(&id, "ask", 7_000)).await;
     let (mut seen, mut lags, mut bytes) = (String::new(), Vec::new(), [0; 8 << 10]);
     loop {
-        let read = timeout(TEST_TIMEOUT, client.read(&mut bytes)).await.expect("events").unwrap_or(0);
+        let read = timeout(TEST_TIMEOUT, client.read(&mut bytes))
+            .await
+            .expect("no event arrived in time")
+            .unwrap_or(0);
         if read == 0 {
             break;
         }
@@ -30,17 +33,17 @@
         seen.push_str(std::str::from_utf8(&bytes[..read]).unwrap());
         let times: Vec<u64> =
             seen.split("{\"at\":").skip(1).filter_map(|t| t.split_once('}')?.0.parse().ok()).collect();
-        assert!(times.is_sorted(), "{id}: out of order");
+        assert!(times.is_sorted(), "{id}: events out of order");
         lags.extend(times[lags.len()..].iter().map(|at| now.saturating_sub(*at)));
     }
     seen.starts_with("HTTP/1.1 200").then(|| {
-        assert!(seen.ends_with("0\r\n\r\n"), "{id}: not whole");
+        assert!(seen.ends_with("0\r\n\r\n"), "{id}: incomplete stream");
         lags
     })
 }
 
-/// Hundreds of streams run while far more requests wait than can leave, each of which the decisions look at
-/// again and again.
+/// Hundreds of streams run beside a backlog of requests that can't be sent, each of which the decisions
+/// examine again and again.
 #[tokio::test]
 async fn events_are_on_time_beside_a_backlog_of_decisions() {
     let (mut servers, mut stand_ins) = (Vec::new(), Vec::new());
@@ -57,7 +60,7 @@
     let mut clients = JoinSet::new();
     for n in 0..STREAM_COUNT {
         clients.spawn(event_lags(running.listen, format!("stream-{n}")));
-        // All are in time for an answer.
+        // Spreads the requests out so that all are served within their deadline.
         sleep(Duration::from_millis(4)).await;
     }
     for n in 0..BACKLOG_REQUEST_COUNT {
@@ -79,7 +82,7 @@
     running.ends_well().await;
 }
 
-/// A slow client holds up nobody else's events.
+/// Slow clients don't delay the events of others.
 #[tokio::test]
 async fn events_are_on_time_beside_clients_that_read_nothing() {
     let site = Site::start().await;
@@ -92,12 +95,13 @@
         }
     }
     site.writer.next(Does::Ticks(60, 5));
-    let lags = event_lags(site.platform, "quick".into()).await.expect("it is served");
+    let lags = event_lags(site.platform, "quick".into()).await.expect("the request was refused");
     assert_eq!(lags.len(), 60);
     assert!(lags.iter().all(|lag| *lag < MAX_LAG_US), "{lags:?}");
 }
 
-/// What the client has got of the body so far, chunk by chunk.
+/// Returns the chunks that the client has received, once there are at least `min_count`, or once none arrives
+/// for some time.
 async fn read_chunks(client: &mut TcpStream, seen: &mut Vec<u8>, min_count: usize) -> Vec<String> {
     loop {
         let text = String::from_utf8(seen.clone()).unwrap();
@@ -112,20 +116,20 @@
         if chunks.len() >= min_count {
             return chunks;
         }
-        // Nothing more may come for now.
+        // `usize::MAX` stands for all chunks that arrive now: the wait is short, as none may follow.
         match timeout(
             Duration::from_millis(if min_count == usize::MAX { 50 } else { 20_000 }),
             client.read_buf(seen),
         )
         .await
         {
-            Ok(read) => assert!(read.unwrap() > 0, "it was ended"),
+            Ok(read) => assert!(read.unwrap() > 0, "the connection was closed"),
             Err(_) => return chunks,
         }
     }
 }
 
-/// In pieces, or several at once: each event leaves on its own as soon as it is whole, and not before.
+/// Events arrive in pieces, or several in one chunk: each is forwarded on its own once it is complete.
 #[tokio::test]
 async fn each_event_is_forwarded_whole_and_alone_however_it_arrives() {
     let site = Site::start().await;
@@ -137,22 +141,22 @@
     let (first, second) = EVENT.split_at(20);
     let mut seen = Vec::new();
     let none: [&str; 0] = [];
-    // Half an event, in a chunk of its own: nothing has begun.
+    // Half an event in a chunk of its own: the response does not start.
     told.send(format!("{head}{}", chunk(first))).unwrap();
     assert_eq!(read_chunks(&mut client, &mut seen, usize::MAX).await, none);
     assert!(seen.is_empty(), "the answer has begun without an event");
-    // The rest, and half of a chunk that holds half of the next.
+    // The rest, and half of a chunk that contains half of the next event.
     let half = chunk(&LAST[..30]);
     let (start, end) = half.split_at(9);
     told.send(format!("{}{start}", chunk(second))).unwrap();
     assert_eq!(read_chunks(&mut client, &mut seen, 1).await, [EVENT]);
     assert_eq!(read_chunks(&mut client, &mut seen, usize::MAX).await, [EVENT]);
-    // Its end, and three events in one chunk behind it.
+    // The rest of that chunk, and then a chunk with the end of its event and three more.
     told.send(end.into()).unwrap();
     assert_eq!(read_chunks(&mut client, &mut seen, usize::MAX).await, [EVENT]);
     told.send(chunk(&format!("{}{USAGE}{EVENT}{DONE}", &LAST[30..]))).unwrap();
     assert_eq!(read_chunks(&mut client, &mut seen, 5).await, [EVENT, LAST, USAGE, EVENT, DONE]);
-    // The last chunk is passed on as it comes.
+    // The last chunk is forwarded when it arrives.
     told.send("0\r\n\r\n".into()).unwrap();
     assert_eq!(read_chunks(&mut client, &mut seen, 6).await, [EVENT, LAST, USAGE, EVENT, DONE, ""]);
 }
--- a/daemon/tests/unit/listener.rs
+++ b/daemon/tests/unit/listener.rs
@@ -4,7 +4,7 @@
 use crate::front::body::full_response;
 use crate::upstream::ServerEvents;
 
-/// Answers everything at once.
+/// Responds to every request at once.
 struct Answers;
 
 impl Service for Answers {
@@ -19,10 +19,10 @@
     }
 }
 
-/// A connection is told to make room before the runtime has heard of what lies in its socket, as where the
-/// process was held up right after it was accepted.
+/// Guards against closing an evicted connection with a request unread in its socket, which resets it. This
+/// happens if the process stalls right after accepting the connection, before the runtime polls its socket.
 #[tokio::test]
-async fn a_connection_that_makes_room_is_looked_at_once_more() {
+async fn an_evicted_connection_is_polled_once_more_before_it_closes() {
     let timeouts = ClientTimeouts {
         request_arrival: Duration::from_secs(2),
         idle: Duration::from_secs(5),
@@ -46,6 +46,6 @@
         let mut answer = String::new();
         client.read_to_string(&mut answer).map(|_| answer)
     });
-    let answer = read.await.unwrap().expect("no reset");
+    let answer = read.await.unwrap().expect("the connection was reset");
     assert!(answer.starts_with("HTTP/1.1 200 OK") && answer.ends_with("here"), "{answer:?}");
 }
