--- a/daemon/src/front/listener.rs
+++ b/daemon/src/front/listener.rs
@@ -1,4 +1,4 @@
-//! Accepting clients: a bound on connections and on what each may take of time, and an orderly end.
+//! Accepts client connections, enforces their timeouts, and closes them gracefully at shutdown.
 
 use std::convert::Infallible;
 use std::future::{poll_fn, Future};
@@ -22,88 +22,94 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-use super::body::{FrontBody, FrontResponse, Held};
-use super::clients::{Arrival, Clients, Place, UnderWay};
-use super::framing::{Found, Framed, HEADERS_MOST};
-use super::input::{Admission, ArriveBy, InputError};
-use super::socket::Socket;
+use super::body::{ResponseBody, ServiceResult, TrackedBody};
+use super::clients::{BodyReadNotice, ConnectionLimiter, ConnectionSlot, OpenRequestGuard};
+use super::framing::{FramingState, FramingStream, MAX_HEADERS};
+use super::input::{Admission, ArrivalDeadline, InputError};
+use super::socket::ClientSocket;
 use crate::transient::{is_resource_shortage, retry_at_start};
 
-/// Connections that the kernel holds until they are accepted.
-const BACKLOG: u32 = 1_024;
-const HEAD_BYTES: usize = 16 << 10;
-/// Accepts that fail in a row, as when descriptors have run out, before there is a pause between them. It
-/// doubles up to the longest: what stands in the queue must not wait for a failure that passes at once.
-const ACCEPT_FAILURES_AT_ONCE: u32 = 8;
-const ACCEPT_PAUSE: Duration = Duration::from_millis(1);
-const ACCEPT_PAUSE_MOST: Duration = Duration::from_millis(10);
-/// So often at most the log is told of them.
-const ACCEPT_TOLD_EVERY: Duration = Duration::from_millis(100);
+/// Connections that the kernel queues until they are accepted.
+const LISTEN_BACKLOG: u32 = 1_024;
+/// Size of the buffer for a request head, and thereby of the largest head.
+const MAX_HEAD_BYTES: usize = 16 << 10;
+/// Consecutive failures to accept, as when file descriptors have run out, before the listener pauses between
+/// attempts. The first ones retry at once, since queued connections must not wait for a failure that passes
+/// immediately.
+const ACCEPT_FAILURES_BEFORE_PAUSE: u32 = 8;
+/// The first pause; it doubles with each further failure, up to `MAX_ACCEPT_PAUSE`.
+const MIN_ACCEPT_PAUSE: Duration = Duration::from_millis(1);
+const MAX_ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+/// Minimum time between log messages about failures to accept.
+const ACCEPT_WARNING_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Beyond the time in which a first request must come, so that it can be told that it was too slow.
-const LINGER: Duration = Duration::from_millis(300);
+/// Time beyond the arrival timeout before a connection without a request is closed, so that a response can
+/// still say that the request was too slow.
+const NO_REQUEST_GRACE: Duration = Duration::from_millis(300);
 
 /// Why a client's connection is closed.
 #[derive(Debug, thiserror::Error)]
 enum CloseReason {
-    /// One side said so, between requests, or the idle time is over.
-    #[error("it is over")]
-    Over,
-    /// It broke, or what came is no request.
+    /// One side closed it between requests, or the idle timeout expired.
+    #[error("ended between requests")]
+    Ended,
+    /// The connection failed, or the input was not a valid request.
     #[error("{0}")]
-    Broken(hyper::Error),
-    /// The client has gone before its answer.
-    #[error("its client has gone")]
+    Failed(hyper::Error),
+    /// The client disconnected before its response was complete.
+    #[error("client disconnected")]
     ClientGone,
-    /// No whole request has come in time.
-    #[error("no request in time")]
+    /// No whole request arrived in time.
+    #[error("no request arrived in time")]
     NoRequest,
-    /// A head has come in part, and not in time.
-    #[error("half a head in time")]
-    SlowHead,
-    /// Its place is wanted.
-    #[error("room for others")]
-    RoomForOthers,
+    /// A request head was still incomplete when its time was over.
+    #[error("request head incomplete after its timeout")]
+    HeadTimeout,
+    /// It was idle, and its slot was needed for another connection.
+    #[error("evicted to make room for another connection")]
+    Evicted,
 }
 
-/// What answers requests.
+/// Responds to the requests of one front.
 pub trait Service: Send + Sync + 'static {
-    /// Answers' events.
+    /// The events of a streamed response.
     type Events: EventStream;
 
-    /// Answers one request. Dropped if its client goes.
-    fn answer(&self, request: Request<Incoming>) -> impl Future<Output = FrontResponse<Self::Events>> + Send;
+    /// Responds to one request. The future is dropped if the client disconnects.
+    fn respond(&self, request: Request<Incoming>)
+        -> impl Future<Output = ServiceResult<Self::Events>> + Send;
 
-    /// Turns down what is no request.
-    fn turn_down(&self, error: InputError) -> Response<FrontBody<Self::Events>>;
+    /// Creates the response to a request that is rejected.
+    fn reject(&self, error: InputError) -> Response<ResponseBody<Self::Events>>;
 }
 
-/// How long clients may take.
+/// Time limits on clients.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientTimeouts {
-    /// A request must have come whole this long after its connection was accepted or, if it is not the
-    /// first there, after its head. A connection on which none has is closed a little later.
-    pub arrive: Duration,
+    /// Time for a request to arrive in full: since its connection was accepted or, after the first response
+    /// there, since its head arrived. A connection without a whole request is closed a little later.
+    pub request_arrival: Duration,
     /// A connection without an open request is closed after this time.
     pub idle: Duration,
-    /// A client that takes nothing of what is sent to it for this long has gone without a word.
-    pub stall: Duration,
+    /// A client that takes nothing of what is sent to it for this long counts as disconnected.
+    pub write: Duration,
 }
 
-/// What the listeners have in common: the bound on connections, and how far they are open.
+/// State shared by all client listeners: the limit on connections and the stages of shutdown.
 #[derive(Clone)]
 pub struct ClientListeners {
-    clients: Clients,
-    patience: ClientTimeouts,
-    /// Another process may listen at the same address.
+    limiter: ConnectionLimiter,
+    timeouts: ClientTimeouts,
+    /// Whether another process may listen on the same address (`SO_REUSEPORT`).
     share_address: bool,
-    /// An end is planned: clients are told with each answer to come back on another connection.
-    leaving: CancellationToken,
-    /// Another process accepts what waits in the queue.
-    passed_on: CancellationToken,
-    /// Nothing more is accepted, and each connection ends once it has no request.
+    /// Cancelled once shutdown is planned: each response then carries `Connection: close`.
+    keep_alive_ended: CancellationToken,
+    /// Cancelled once another process accepts the queued connections.
+    handed_over: CancellationToken,
+    /// Cancelled at shutdown: no connection is accepted any more, and each closes once it has no open
+    /// request.
     closing: CancellationToken,
-    /// When that began.
+    /// When `closing` was cancelled.
     closed_at: Arc<OnceLock<Instant>>,
     accepting: TaskTracker,
     connections: TaskTracker,
@@ -111,14 +117,14 @@
 }
 
 impl ClientListeners {
-    /// Room for so many connections, on all listeners together.
-    pub fn new(most: usize, patience: ClientTimeouts, log: Logger) -> Self {
+    /// Creates the state for at most `max_connections` connections on all listeners together.
+    pub fn new(max_connections: usize, timeouts: ClientTimeouts, log: Logger) -> Self {
         ClientListeners {
-            clients: Clients::new(most),
-            patience,
+            limiter: ConnectionLimiter::new(max_connections),
+            timeouts,
             share_address: false,
-            leaving: CancellationToken::new(),
-            passed_on: CancellationToken::new(),
+            keep_alive_ended: CancellationToken::new(),
+            handed_over: CancellationToken::new(),
             closing: CancellationToken::new(),
             closed_at: Arc::default(),
             accepting: TaskTracker::new(),
@@ -127,32 +133,32 @@
         }
     }
 
-    /// Lets another process of the same conductor listen at the same address.
+    /// Lets another process of the same conductor listen on the same address.
     pub fn sharing_address(self) -> Self {
         ClientListeners { share_address: true, ..self }
     }
 
-    /// Listens, and serves what comes; the address is the one bound.
+    /// Listens on an address and serves connections; returns the bound address.
     pub fn open<S: Service>(&self, address: SocketAddr, service: S) -> std::io::Result<SocketAddr> {
         self.serve_on(self.bind(address)?, service)
     }
 
-    /// Listens at an address and accepts nothing yet.
+    /// Listens on an address without accepting connections yet.
     pub fn bind(&self, address: SocketAddr) -> std::io::Result<std::net::TcpListener> {
         retry_at_start(is_resource_shortage, || self.try_bind(address))
     }
 
     fn try_bind(&self, address: SocketAddr) -> std::io::Result<std::net::TcpListener> {
         let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
-        // A conductor that is started anew takes its address over from connections that linger.
+        // A restarted conductor can bind its address while old connections are in TIME_WAIT.
         socket.set_reuseaddr(true)?;
-        // The process that takes over listens while this one still serves.
+        // At an upgrade, the new process listens while this one still serves.
         socket.set_reuseport(self.share_address)?;
         socket.bind(address)?;
-        socket.listen(BACKLOG)?.into_std()
+        socket.listen(LISTEN_BACKLOG)?.into_std()
     }
 
-    /// Serves what comes to a listener; the address is its own.
+    /// Serves the connections of a listener; returns its local address.
     pub fn serve_on<S: Service>(
         &self,
         listener: std::net::TcpListener,
@@ -166,17 +172,19 @@
         Ok(address)
     }
 
-    /// The end is near: everything is served, but no connection beyond its next answer.
-    pub fn leave(&self) {
-        self.leaving.cancel();
+    /// Ends keep-alive ahead of shutdown: requests are still served, but each connection closes after its
+    /// next response.
+    pub fn end_keep_alive(&self) {
+        self.keep_alive_ended.cancel();
     }
 
-    /// Accepts nothing more: another process does, from the same queue.
+    /// Stops accepting connections, because another process accepts them from the same queue.
     pub fn stop_accepting(&self) {
-        self.passed_on.cancel();
+        self.handed_over.cancel();
     }
 
-    /// Accepts nothing more; resolves once every request that has been taken is answered.
+    /// Stops accepting connections; resolves once every accepted request is answered and all connections are
+    /// closed.
     pub async fn close(&self) {
         self.closed_at.get_or_init(Instant::now);
         self.closing.cancel();
@@ -186,32 +194,38 @@
         }
     }
 
-    /// Connections that have not ended.
-    pub fn connections(&self) -> usize {
+    /// The number of open connections.
+    pub fn connection_count(&self) -> usize {
         self.connections.len()
     }
 
     async fn accept<S: Service>(self, listener: TcpListener, service: Arc<S>) {
-        let (mut failures, mut tell_at) = (0, Instant::now());
+        let (mut failures, mut warn_at) = (0, Instant::now());
         loop {
             let accepted = tokio::select! {
                 biased;
-                () = self.passed_on.cancelled() => return,
+                () = self.handed_over.cancelled() => return,
                 accepted = listener.accept() => accepted,
-                // Only once none is left with the kernel: what is written to those counts as taken.
+                // Polled last, so that the kernel's queue is empty first: a request written to a queued
+                // connection counts as accepted.
                 () = self.closing.cancelled() => return,
             };
             match accepted {
                 Ok((stream, _)) => {
                     failures = 0;
-                    let arrived = Instant::now();
-                    self.serve(stream, arrived, self.clients.place().await, service.clone());
+                    let accepted_at = Instant::now();
+                    self.serve_connection(
+                        stream,
+                        accepted_at,
+                        self.limiter.acquire_slot().await,
+                        service.clone(),
+                    );
                 }
                 Err(e) => {
                     failures += 1;
-                    if Instant::now() >= tell_at {
-                        warn!(self.log, "accept"; "why" => %e, "in a row" => failures);
-                        tell_at = Instant::now() + ACCEPT_TOLD_EVERY;
+                    if Instant::now() >= warn_at {
+                        warn!(self.log, "accepting a connection failed"; "why" => %e, "in a row" => failures);
+                        warn_at = Instant::now() + ACCEPT_WARNING_INTERVAL;
                     }
                     pause_after(failures).await;
                 }
@@ -219,84 +233,97 @@
         }
     }
 
-    fn serve<S: Service>(&self, stream: TcpStream, accepted: Instant, place: Place, service: Arc<S>) {
-        let ClientTimeouts { arrive, idle, stall } = self.patience;
-        let (closing, leaving, log) = (self.closing.clone(), self.leaving.clone(), self.log.clone());
-        let admission = Admission { closed_at: self.closed_at.clone(), has_place: !place.refuses() };
+    fn serve_connection<S: Service>(
+        &self,
+        stream: TcpStream,
+        accepted_at: Instant,
+        slot: ConnectionSlot,
+        service: Arc<S>,
+    ) {
+        let ClientTimeouts { request_arrival, idle, write } = self.timeouts;
+        let (closing, keep_alive_ended, log) =
+            (self.closing.clone(), self.keep_alive_ended.clone(), self.log.clone());
+        let admission = Admission { closed_at: self.closed_at.clone(), has_slot: !slot.is_refusing() };
         self.connections.spawn(async move {
-            let (leave, place, found) = (place.leave(), Arc::new(place), Arc::new(Found::default()));
-            // Without it events would wait for the client's acknowledgement; it can only fail on a
-            // connection that is no more.
+            let (eviction, slot, framing) =
+                (slot.eviction_token(), Arc::new(slot), Arc::new(FramingState::default()));
+            // Otherwise Nagle's algorithm delays events until the client acknowledges earlier ones. Fails
+            // only on a connection that is already closed.
             let _ = stream.set_nodelay(true);
             let peer = stream.peer_addr().ok();
-            let socket = Socket::new(stream, stall);
-            let stream = Framed::new(socket.clone(), found.clone(), place.clone());
-            let (asked, ahead, heads) = (place.clone(), socket.clone(), found.clone());
-            let answer = service_fn(move |mut request: Request<Incoming>| {
-                let under_way = UnderWay(asked.clone());
-                let from = if asked.has_answered() { Instant::now() } else { accepted };
-                request.extensions_mut().insert(ArriveBy(from + arrive));
-                request.extensions_mut().insert(Arrival(asked.clone()));
+            let socket = ClientSocket::new(stream, write);
+            let stream = FramingStream::new(socket.clone(), framing.clone(), slot.clone());
+            let (request_slot, request_socket, head_state) = (slot.clone(), socket.clone(), framing.clone());
+            let handler = service_fn(move |mut request: Request<Incoming>| {
+                let open_request = OpenRequestGuard(request_slot.clone());
+                let started_at =
+                    if request_slot.has_answered_request() { Instant::now() } else { accepted_at };
+                request.extensions_mut().insert(ArrivalDeadline(started_at + request_arrival));
+                request.extensions_mut().insert(BodyReadNotice(request_slot.clone()));
                 request.extensions_mut().insert(admission.clone());
-                let has_place = admission.has_place;
-                let (service, leaving, found) = (service.clone(), leaving.clone(), found.clone());
-                let ahead = ahead.clone();
+                let has_slot = admission.has_slot;
+                let (service, keep_alive_ended, framing) =
+                    (service.clone(), keep_alive_ended.clone(), framing.clone());
+                let request_socket = request_socket.clone();
                 async move {
-                    let mut answer = match found.is_ambiguous() {
-                        true => service.turn_down(InputError::Framing),
-                        false => service.answer(request).await?,
+                    let mut response = match framing.is_ambiguous() {
+                        true => service.reject(InputError::AmbiguousFraming),
+                        false => service.respond(request).await?,
                     };
-                    // What is left of a body that was turned down must not be read as another request.
-                    let bad = answer.status().is_client_error();
-                    let refused = answer.status() == StatusCode::TOO_MANY_REQUESTS;
-                    let last = !has_place || leaving.is_cancelled() || found.is_last() || ahead.is_overrun();
-                    if last || (bad && !refused) {
-                        answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+                    // The rest of a rejected request's body must not be parsed as another request.
+                    let is_client_error = response.status().is_client_error();
+                    let is_refused = response.status() == StatusCode::TOO_MANY_REQUESTS;
+                    let is_last = !has_slot
+                        || keep_alive_ended.is_cancelled()
+                        || framing.is_last_request()
+                        || request_socket.has_dropped_bytes();
+                    if is_last || (is_client_error && !is_refused) {
+                        response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
                     }
-                    Ok::<_, Infallible>(answer.map(|body| Held::new(body, under_way)))
+                    Ok::<_, Infallible>(response.map(|body| TrackedBody::new(body, open_request)))
                 }
             });
             let connection = http1::Builder::new()
                 .timer(TokioTimer::new())
                 .header_read_timeout(idle)
-                .max_headers(HEADERS_MOST)
-                .max_buf_size(HEAD_BYTES)
-                .serve_connection(TokioIo::new(stream), answer);
-            // Whichever way it ends, the library lets go of the connection first: with it go the request
-            // that is open, and its attempt.
+                .max_headers(MAX_HEADERS)
+                .max_buf_size(MAX_HEAD_BYTES)
+                .serve_connection(TokioIo::new(stream), handler);
+            // Whatever the reason, hyper's connection is dropped first, and with it the open request and its
+            // attempt.
             let reason = {
                 let mut connection = pin!(connection);
-                let mut none_came = pin!(async {
-                    sleep_until(accepted + arrive + LINGER).await;
-                    if place.has_asked() {
+                let mut first_request_timeout = pin!(async {
+                    sleep_until(accepted_at + request_arrival + NO_REQUEST_GRACE).await;
+                    if slot.has_received_request() {
                         std::future::pending().await
                     }
                 });
-                let mut slow_head = pin!(slow_head(&heads, arrive));
-                // Up to a request's end and between requests the library looks for itself.
-                let mut gone = pin!(poll_fn(|cx| match place.is_waited_for() {
-                    true => socket.poll_gone(cx),
+                let mut partial_head_timeout = pin!(partial_head_timeout(&head_state, request_arrival));
+                // Until a request has been read and between requests, hyper detects the disconnect itself.
+                let mut client_closed = pin!(poll_fn(|cx| match slot.is_awaiting_response() {
+                    true => socket.poll_client_end(cx),
                     false => Poll::Pending,
                 }));
-                let mut told = false;
+                let mut is_shutting_down = false;
                 loop {
                     tokio::select! {
                         biased;
                         ended = connection.as_mut() => break match ended {
-                            Ok(()) => CloseReason::Over,
-                            Err(e) => CloseReason::Broken(e),
+                            Ok(()) => CloseReason::Ended,
+                            Err(e) => CloseReason::Failed(e),
                         },
-                        () = gone.as_mut() => break CloseReason::ClientGone,
-                        () = none_came.as_mut() => break CloseReason::NoRequest,
-                        () = slow_head.as_mut() => break CloseReason::SlowHead,
-                        () = told_to_end(&closing, &leave), if !told => {
-                            // What came too slowly to be a request yet has no claim to its place.
-                            if leave.is_cancelled() && !place.is_busy() {
-                                break CloseReason::RoomForOthers;
+                        () = client_closed.as_mut() => break CloseReason::ClientGone,
+                        () = first_request_timeout.as_mut() => break CloseReason::NoRequest,
+                        () = partial_head_timeout.as_mut() => break CloseReason::HeadTimeout,
+                        () = shutdown_requested(&closing, &eviction), if !is_shutting_down => {
+                            // A request that has arrived only in part does not keep the slot.
+                            if eviction.is_cancelled() && !slot.has_open_request() {
+                                break CloseReason::Evicted;
                             }
-                            // Ends it at once, or after the answer under way.
+                            // Closes the connection at once, or after the current response.
                             connection.as_mut().graceful_shutdown();
-                            told = true;
+                            is_shutting_down = true;
                         }
                     }
                 }
@@ -304,21 +331,21 @@
             debug!(log, "connection closed"; "peer" => ?peer, "why" => %reason);
             tokio::select! {
                 () = socket.close() => {}
-                // Its place is wanted more.
-                () = leave.cancelled() => {}
+                // An evicted connection releases its slot without draining.
+                () = eviction.cancelled() => {}
             }
         });
     }
 }
 
-/// Resolves once a head has come in part for so long. The library counts its time from the last answer on,
-/// and a client may rest for longer than a bad one is given.
-async fn slow_head(heads: &Found, within: Duration) {
+/// Resolves once a request head has been incomplete for `within`. hyper's own timeout runs from the previous
+/// response and allows for the idle time, which is longer than an incomplete head may take.
+async fn partial_head_timeout(head_state: &FramingState, within: Duration) {
     let mut timer = pin!(sleep(within));
-    let mut timed = None;
+    let mut timed_since = None;
     poll_fn(|cx| {
-        let Some(since) = heads.head_since() else { return Poll::Pending };
-        if timed.replace(since) != Some(since) {
+        let Some(since) = head_state.partial_head_since() else { return Poll::Pending };
+        if timed_since.replace(since) != Some(since) {
             timer.as_mut().reset(since + within);
         }
         timer.as_mut().poll(cx)
@@ -326,21 +353,21 @@
     .await
 }
 
-/// Resolves once either is cancelled and the runtime has heard what lies in the sockets by then: a request
-/// that has come must be read, not closed over.
-async fn told_to_end(closing: &CancellationToken, leave: &CancellationToken) {
+/// Resolves once either token is cancelled and the runtime has polled the sockets once more: a request that
+/// has arrived by then must be read before the connection is closed.
+async fn shutdown_requested(closing: &CancellationToken, eviction: &CancellationToken) {
     tokio::select! {
         () = closing.cancelled() => {}
-        () = leave.cancelled() => {}
+        () = eviction.cancelled() => {}
     }
     tokio::task::yield_now().await;
 }
 
-/// Between accepts that fail, so many in a row.
+/// Pauses after a failure to accept, by the number of consecutive failures.
 async fn pause_after(failures: u32) {
-    match failures.checked_sub(ACCEPT_FAILURES_AT_ONCE) {
+    match failures.checked_sub(ACCEPT_FAILURES_BEFORE_PAUSE) {
         None => yield_now().await,
-        Some(more) => sleep(ACCEPT_PAUSE_MOST.min(ACCEPT_PAUSE * (1 << more.min(4)))).await,
+        Some(more) => sleep(MAX_ACCEPT_PAUSE.min(MIN_ACCEPT_PAUSE * (1 << more.min(4)))).await,
     }
 }
 
--- a/daemon/src/front/mod.rs
+++ b/daemon/src/front/mod.rs
@@ -1,4 +1,5 @@
-//! Fronts: they translate a client's wire into requests for the core, and answers back.
+//! Fronts, which translate the protocols of clients into requests to the core, and its answers into
+//! responses.
 
 mod body;
 pub mod chat;
@@ -9,5 +10,5 @@
 pub mod platform;
 mod socket;
 
-pub use body::FrontBody;
+pub use body::ResponseBody;
 pub use listener::{ClientListeners, ClientTimeouts, Service};
--- a/daemon/src/front/socket.rs
+++ b/daemon/src/front/socket.rs
@@ -1,5 +1,7 @@
-//! A client's socket: read ahead while a request is open, so that a client that has gone is noticed whatever
-//! it left unread before its end, and closed in such an order that no answer on its way is destroyed.
+//! A client's socket, which detects a disconnect behind unread input and closes without losing a response.
+//!
+//! While a request is open, the socket reads ahead: a disconnect is noticed whatever the client sent before
+//! it. On close, it ends the write side first and drains the input, so that no response in flight is lost.
 
 use std::future::{poll_fn, Future};
 use std::io::{ErrorKind, IoSlice, Result};
@@ -16,143 +18,157 @@
 
 use crate::tcp::TcpConnection;
 
-/// So much is kept of what a client sends while its request is open. Clients send one request at a time, so
-/// whoever sends more is no such client: the rest is read, as its end may lie behind it, and dropped.
-const AHEAD_MOST: usize = 64 << 10;
-/// Read at once, and so often in one turn.
-const CHUNK: usize = 16 << 10;
-const CHUNKS: usize = 8;
-/// After the write side has been closed, what the client still sends is read for so long: a close over unread
-/// bytes would reset the connection, and what was written last would go with it.
-const DRAIN: Duration = Duration::from_millis(300);
-/// So much is read as fast as it comes that the library has not asked for. Who sends more is read on, as the
-/// end may lie behind it, one turn in each of these pauses: that empties a socket's memory well within 0.3 s
-/// and keeps the machine for others.
-const UNASKED_MOST: usize = 1 << 20;
-const PAUSE: Duration = Duration::from_millis(2);
-
-/// The library's half reads and writes; the connection's own task looks for the client's end.
+/// Input kept while a request is open. Regular clients send one request at a time and stay below it; what
+/// comes beyond is read, since the client's disconnect may follow it, and dropped.
+const MAX_READ_AHEAD_BYTES: usize = 64 << 10;
+/// Size of one read while reading ahead.
+const READ_CHUNK_BYTES: usize = 16 << 10;
+/// Reads in one poll, before other tasks get their turn.
+const MAX_READS_PER_POLL: usize = 8;
+/// How long input is drained after the write side has been closed. A close with unread input would reset the
+/// connection, and the end of the response would be lost.
+const CLOSE_DRAIN_TIMEOUT: Duration = Duration::from_millis(300);
+/// Input that hyper has not asked for and that is read at full speed. Beyond it, reading goes on, since a
+/// disconnect may follow, with a pause of `READ_PAUSE` after each poll.
+const MAX_UNREQUESTED_BYTES: usize = 1 << 20;
+/// Short enough to empty a socket's receive buffer well within 0.3 s, and long enough to leave the CPU to
+/// other connections.
+const READ_PAUSE: Duration = Duration::from_millis(2);
+
+/// A handle to the socket. hyper reads and writes through one; the connection's task watches for the client's
+/// disconnect through another.
 #[derive(Clone)]
-pub(super) struct Socket(Arc<Mutex<Inner>>);
+pub(super) struct ClientSocket(Arc<Mutex<Inner>>);
 
 struct Inner {
     stream: Pin<Box<TimeoutStream<TcpConnection>>>,
-    /// Read, and not yet handed to the library.
-    ahead: BytesMut,
-    /// How the client ended its sending.
-    ended: Option<ErrorKind>,
-    /// Read since the library last asked for more than it was given,
-    unasked: usize,
-    /// and the pause before more of it is read.
-    pause: Option<Pin<Box<Sleep>>>,
-    /// More came than is kept.
-    overrun: bool,
+    /// Input that was read ahead and has not been handed to hyper.
+    read_ahead: BytesMut,
+    /// How the input ended: `UnexpectedEof` at a regular end, otherwise the error.
+    read_end: Option<ErrorKind>,
+    /// Bytes read ahead since hyper last read from the socket itself.
+    unrequested_bytes: usize,
+    /// The pause before the next read, once `MAX_UNREQUESTED_BYTES` have been read.
+    read_pause: Option<Pin<Box<Sleep>>>,
+    /// More input came than is kept, and the excess was dropped.
+    has_dropped_bytes: bool,
 }
 
-impl Socket {
-    /// A connection whose client may take nothing for so long.
-    pub(super) fn new(stream: TcpStream, stall: Duration) -> Self {
+impl ClientSocket {
+    /// Wraps a connection; writes fail once the client has taken nothing for `write_timeout`.
+    pub(super) fn new(stream: TcpStream, write_timeout: Duration) -> Self {
         let mut stream = TimeoutStream::new(TcpConnection::new(stream));
-        stream.set_write_timeout(Some(stall));
-        let (stream, ahead) = (Box::pin(stream), BytesMut::new());
-        let inner = Inner { stream, ahead, ended: None, unasked: 0, pause: None, overrun: false };
-        Socket(Arc::new(Mutex::new(inner)))
+        stream.set_write_timeout(Some(write_timeout));
+        let (stream, read_ahead) = (Box::pin(stream), BytesMut::new());
+        let inner = Inner {
+            stream,
+            read_ahead,
+            read_end: None,
+            unrequested_bytes: 0,
+            read_pause: None,
+            has_dropped_bytes: false,
+        };
+        ClientSocket(Arc::new(Mutex::new(inner)))
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Resolves once the client has ended its sending, well or not, however much it sent before.
-    async fn gone(&self) {
-        poll_fn(|cx| self.poll_gone(cx)).await
+    /// Resolves once the client's input has ended, regularly or by an error, however much came before.
+    async fn wait_for_client_end(&self) {
+        poll_fn(|cx| self.poll_client_end(cx)).await
     }
 
-    /// Reads ahead; ready once the client has ended its sending. To be asked only in the task that also
-    /// drives the library, and after it, as a socket wakes one task; and only once the library has all of the
-    /// request, as what is read here may be dropped.
-    pub(super) fn poll_gone(&self, cx: &mut Context<'_>) -> Poll<()> {
+    /// Reads ahead; ready once the client's input has ended. Must be polled in the task that drives hyper,
+    /// after hyper, because a socket wakes only one task; and only once hyper has the whole request, because
+    /// input read here may be dropped.
+    pub(super) fn poll_client_end(&self, cx: &mut Context<'_>) -> Poll<()> {
         let inner = &mut *self.lock();
-        for nth in 0..CHUNKS {
-            if inner.ended.is_some() {
+        for reads in 0..MAX_READS_PER_POLL {
+            if inner.read_end.is_some() {
                 return Poll::Ready(());
             }
-            if let Some(pause) = &mut inner.pause {
-                ready!(pause.as_mut().poll(cx));
-                inner.pause = None;
+            if let Some(read_pause) = &mut inner.read_pause {
+                ready!(read_pause.as_mut().poll(cx));
+                inner.read_pause = None;
             }
-            let mut bytes = [0; CHUNK];
+            let mut bytes = [0; READ_CHUNK_BYTES];
             let mut read = ReadBuf::new(&mut bytes);
             match inner.stream.as_mut().poll_read(cx, &mut read) {
                 Poll::Pending => {
-                    if nth > 0 {
-                        // The library may want what has come.
+                    if reads > 0 {
+                        // hyper may want what has been read.
                         cx.waker().wake_by_ref();
                     }
                     return Poll::Pending;
                 }
                 Poll::Ready(Ok(())) if read.filled().is_empty() => {
-                    inner.ended = Some(ErrorKind::UnexpectedEof);
+                    inner.read_end = Some(ErrorKind::UnexpectedEof);
                 }
                 Poll::Ready(Ok(())) => {
-                    inner.unasked += read.filled().len();
-                    let kept = read.filled().len().min(AHEAD_MOST - inner.ahead.len().min(AHEAD_MOST));
-                    inner.ahead.extend_from_slice(&read.filled()[..kept]);
-                    inner.overrun |= kept < read.filled().len();
+                    inner.unrequested_bytes += read.filled().len();
+                    let kept = read
+                        .filled()
+                        .len()
+                        .min(MAX_READ_AHEAD_BYTES - inner.read_ahead.len().min(MAX_READ_AHEAD_BYTES));
+                    inner.read_ahead.extend_from_slice(&read.filled()[..kept]);
+                    inner.has_dropped_bytes |= kept < read.filled().len();
                 }
-                Poll::Ready(Err(e)) => inner.ended = Some(e.kind()),
+                Poll::Ready(Err(e)) => inner.read_end = Some(e.kind()),
             }
         }
-        if inner.unasked >= UNASKED_MOST {
-            inner.pause = Some(Box::pin(sleep(PAUSE)));
+        if inner.unrequested_bytes >= MAX_UNREQUESTED_BYTES {
+            inner.read_pause = Some(Box::pin(sleep(READ_PAUSE)));
         }
-        // The library may want what has come, and there may be more.
+        // hyper may want what has been read, and there may be more input.
         cx.waker().wake_by_ref();
         Poll::Pending
     }
 
-    /// Whether more has come than is kept, so that nothing more can be read here.
-    pub(super) fn is_overrun(&self) -> bool {
-        self.lock().overrun
+    /// Whether input was dropped, so that no further request can be read from this connection.
+    pub(super) fn has_dropped_bytes(&self) -> bool {
+        self.lock().has_dropped_bytes
     }
 
-    /// Closes the write side, reads what still comes within bounds, and closes the rest by its drop.
+    /// Closes the write side, drains the input for at most `CLOSE_DRAIN_TIMEOUT`, and closes the socket by
+    /// dropping it.
     pub(super) async fn close(mut self) {
-        if self.lock().ended.is_some() {
+        if self.lock().read_end.is_some() {
             return;
         }
-        let drained = async {
-            // It can only fail on a connection that is no more.
+        let drain = async {
+            // Fails only on a connection that is already closed.
             let _ = self.shutdown().await;
-            self.gone().await;
+            self.wait_for_client_end().await;
         };
-        let _ = timeout(DRAIN, drained).await;
+        let _ = timeout(CLOSE_DRAIN_TIMEOUT, drain).await;
     }
 }
 
-impl AsyncRead for Socket {
+impl AsyncRead for ClientSocket {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<Result<()>> {
         let inner = &mut *self.lock();
-        if !inner.ahead.is_empty() {
-            let taken = inner.ahead.len().min(buf.remaining());
-            buf.put_slice(&inner.ahead[..taken]);
-            inner.ahead.advance(taken);
+        if !inner.read_ahead.is_empty() {
+            let copied_bytes = inner.read_ahead.len().min(buf.remaining());
+            buf.put_slice(&inner.read_ahead[..copied_bytes]);
+            inner.read_ahead.advance(copied_bytes);
             return Poll::Ready(Ok(()));
         }
-        match inner.ended {
+        match inner.read_end {
             Some(ErrorKind::UnexpectedEof) => Poll::Ready(Ok(())),
             Some(kind) => Poll::Ready(Err(kind.into())),
-            // What was dropped leaves a gap: nothing behind it can be read.
-            None if inner.overrun => Poll::Ready(Ok(())),
+            // Dropped input leaves a gap, so the rest can't be parsed: reports the end of the input.
+            None if inner.has_dropped_bytes => Poll::Ready(Ok(())),
             None => {
-                inner.unasked = 0;
+                inner.unrequested_bytes = 0;
                 inner.stream.as_mut().poll_read(cx, buf)
             }
         }
     }
 }
 
-impl AsyncWrite for Socket {
+impl AsyncWrite for ClientSocket {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<Result<usize>> {
         self.lock().stream.as_mut().poll_write(cx, buf)
     }
--- a/daemon/tests/gone.rs
+++ b/daemon/tests/gone.rs
@@ -1,5 +1,5 @@
-//! Clients that go, whatever they leave unread before their end: wherever their request is, no attempt for it
-//! begins after that, and one that is out ends.
+//! Tests clients that disconnect, whatever input they leave unread: at any stage of their request, no further
+//! attempt starts, and a running attempt is cancelled.
 
 mod support;
 
@@ -13,17 +13,17 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// A client has gone at once; a wait that is not cut short by that takes 0.7 s at least.
-const SOON: Duration = Duration::from_millis(500);
-const LATEST: Duration = Duration::from_secs(20);
+/// Time for a disconnect to take effect. A wait that the disconnect does not cut short takes at least 0.7 s.
+const CANCEL_TIMEOUT: Duration = Duration::from_millis(500);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn request(id: &str) -> String {
     kept(&chat(id, "ask", 7_000))
 }
 
-/// What lies before the end: nothing, half a line, a whole request, many of them, more than is ever kept,
-/// more than is read as fast as it comes.
-fn left_unread() -> [(&'static str, String); 6] {
+/// Input before the disconnect: nothing, half a line, a whole request, many of them, more than is ever kept,
+/// and more than is read at full speed.
+fn unread_inputs() -> [(&'static str, String); 6] {
     let many = (0..40).map(|n| request(&format!("second-{n}"))).collect();
     let flood = "x".repeat(300 << 10);
     let torrent = "x".repeat(4 << 20);
@@ -37,126 +37,135 @@
     ]
 }
 
-async fn goes(mut client: TcpStream, leaving: &str) {
-    timeout(LATEST, client.write_all(leaving.as_bytes())).await.expect("it is read").unwrap();
+/// Sends input and disconnects.
+async fn disconnect(mut client: TcpStream, unread: &str) {
+    timeout(TEST_TIMEOUT, client.write_all(unread.as_bytes()))
+        .await
+        .expect("the input was not read in time")
+        .unwrap();
     drop(client);
 }
 
-/// Attempts for the request that was given up, or for what its client had sent behind it.
-fn attempts(of: &StandIn) -> usize {
+/// The number of attempts for the abandoned request, or for requests that its client sent after it.
+fn attempt_count(of: &StandIn) -> usize {
     of.posts().iter().filter(|got| !got.head.contains("stays")).count()
 }
 
-async fn until(what: impl Fn() -> bool) {
+async fn wait_until(condition: impl Fn() -> bool) {
     let begin = Instant::now();
-    while !what() {
-        assert!(begin.elapsed() < LATEST, "it does not come");
+    while !condition() {
+        assert!(begin.elapsed() < TEST_TIMEOUT, "the condition was not met in time");
         sleep(Duration::from_millis(2)).await;
     }
 }
 
-/// No prefill server is known until some time after the client has gone; another, who stays, is served.
+/// No prefill server is known until some time after the disconnect; a client that stays is served.
 #[tokio::test]
-async fn while_held() {
-    for (name, leaving) in left_unread() {
+async fn a_disconnect_while_no_server_is_known_starts_no_attempt() {
+    for (name, unread) in unread_inputs() {
         let (prefill, decode) = (StandIn::start(READ).await, StandIn::start(WHOLE).await);
         let site = Open::before(&[("decode", 1, decode.address)], CLIENT_TIMEOUTS);
         let client = send(site.platform, &request("goes")).await;
-        until(|| site.conductor.call_count() == 1).await;
+        wait_until(|| site.conductor.call_count() == 1).await;
         let stays = tokio::spawn(async move { exchange(site.platform, &chat("stays", "ask", 7_000)).await });
-        until(|| site.conductor.call_count() == 2).await;
-        goes(client, &leaving).await;
+        wait_until(|| site.conductor.call_count() == 2).await;
+        disconnect(client, &unread).await;
         sleep(Duration::from_millis(100)).await;
         site.book.set("prefill".into(), prefill.address);
         let entries = vec![entry("prefill", 0, Health::Up)];
         site.news.send(MembershipUpdate { kind: ListUpdateKind::Changes, entries }).unwrap();
-        assert_eq!(stays.await.unwrap().status, 200, "{name}: who stays is served");
+        assert_eq!(stays.await.unwrap().status, 200, "{name}: the client that stayed was not served");
         sleep(Duration::from_millis(50)).await;
-        assert_eq!((attempts(&prefill), attempts(&decode)), (0, 0), "{name}");
+        assert_eq!((attempt_count(&prefill), attempt_count(&decode)), (0, 0), "{name}");
     }
 }
 
-/// The client ends its connection and a server turns up within one turn of the busy thread: whichever the
-/// thread hears of first, no attempt begins.
+/// The client disconnects and a server becomes known while the thread is busy, so that the thread sees both
+/// in one turn: whichever it sees first, no attempt starts.
 #[tokio::test]
-async fn in_the_very_turn_in_which_its_request_would_leave() {
-    // More than a socket's window holds can't arrive in one turn.
-    for (name, leaving) in left_unread().into_iter().filter(|(_, leaving)| leaving.len() < 32 << 10) {
-        for kept in [false, true] {
+async fn a_disconnect_in_the_turn_of_a_membership_update_starts_no_attempt() {
+    // Input larger than a socket's window can't arrive in one turn.
+    for (name, unread) in unread_inputs().into_iter().filter(|(_, unread)| unread.len() < 32 << 10) {
+        for has_connection in [false, true] {
             let (prefill, decode) = (StandIn::start(READ).await, StandIn::start(WHOLE).await);
             let site = Open::before(&[("decode", 1, decode.address)], CLIENT_TIMEOUTS);
-            let turns_up = |health| {
+            let set_health = |health| {
                 let entries = vec![entry("prefill", 0, health)];
                 site.news.send(MembershipUpdate { kind: ListUpdateKind::Changes, entries }).unwrap();
             };
             site.book.set("prefill".into(), prefill.address);
-            if kept {
-                // A connection to it is kept, so that an attempt could begin at once.
-                turns_up(Health::Up);
+            if has_connection {
+                // Leaves an idle connection to the server, so that an attempt could start at once.
+                set_health(Health::Up);
                 assert_eq!(exchange(site.platform, &chat("stays", "ask", 7_000)).await.status, 200);
-                turns_up(Health::Gone);
+                set_health(Health::Gone);
                 sleep(Duration::from_millis(20)).await;
             }
             let before = site.conductor.call_count();
             let client = send(site.platform, &request("goes")).await;
-            until(|| site.conductor.call_count() > before).await;
+            wait_until(|| site.conductor.call_count() > before).await;
             sleep(Duration::from_millis(20)).await;
-            // No await between these: the thread is busy meanwhile.
+            // No await between these steps, so that the thread is busy meanwhile.
             let mut client = client.into_std().unwrap();
-            std::io::Write::write_all(&mut client, leaving.as_bytes()).unwrap();
+            std::io::Write::write_all(&mut client, unread.as_bytes()).unwrap();
             drop(client);
-            turns_up(Health::Up);
+            set_health(Health::Up);
             sleep(Duration::from_millis(150)).await;
-            assert_eq!((attempts(&prefill), attempts(&decode)), (0, 0), "{name}, kept: {kept}");
+            assert_eq!(
+                (attempt_count(&prefill), attempt_count(&decode)),
+                (0, 0),
+                "{name}, has connection: {has_connection}"
+            );
         }
     }
 }
 
-/// The attempt that is out ends, and none follows.
+/// The request is in prefill, waits for its response or streams it: its attempt ends, and no other starts.
 #[tokio::test]
-async fn while_its_prompt_is_read_and_while_its_answer_is_waited_for_or_runs() {
-    for (name, leaving) in left_unread() {
-        for (reads, writes) in [(Does::Silent, WHOLE), (READ, Does::Silent), (READ, RUNS)] {
+async fn a_disconnect_during_prefill_or_decode_ends_the_attempt() {
+    for (name, unread) in unread_inputs() {
+        for (reads, writes) in [(Does::Silent, WHOLE), (READ, Does::Silent), (READ, STARTS_A_STREAM)] {
             let mut site = Site::start().await;
             let silent = matches!(reads, Does::Silent);
             site.reader.next(reads.clone());
             site.writer.next(writes.clone());
             let client = send(site.platform, &request("goes")).await;
             let at = if silent { &mut site.reader } else { &mut site.writer };
-            until(|| attempts(at) == 1).await;
-            goes(client, &leaving).await;
-            let gave_up = timeout(SOON, at.given_up.recv()).await;
-            assert!(gave_up.is_ok(), "{name}, {reads:?}, {writes:?}: the attempt goes on");
+            wait_until(|| attempt_count(at) == 1).await;
+            disconnect(client, &unread).await;
+            let gave_up = timeout(CANCEL_TIMEOUT, at.given_up.recv()).await;
+            assert!(gave_up.is_ok(), "{name}, {reads:?}, {writes:?}: the attempt was not cancelled");
             sleep(Duration::from_millis(50)).await;
             let expected = (1, usize::from(!silent));
-            assert_eq!((attempts(&site.reader), attempts(&site.writer)), expected, "{name}");
+            assert_eq!((attempt_count(&site.reader), attempt_count(&site.writer)), expected, "{name}");
         }
     }
 }
 
-const RUNS: Does = Does::StallsAfter(&[EVENT]);
+const STARTS_A_STREAM: Does = Does::StallsAfter(&[EVENT]);
 
-/// What was read is let go, and nothing is sent on the connection that comes up after all.
+/// The KV cache is released, and nothing is sent once the connection is established after all.
 #[tokio::test]
-async fn while_a_connection_to_a_decode_server_does_not_come_up() {
-    for (name, leaving) in left_unread() {
+async fn a_disconnect_while_connecting_to_a_decode_server_releases_the_kv_cache() {
+    for (name, unread) in unread_inputs() {
         let mut prefill = StandIn::start(READ).await;
         let shut = Shut::start().await;
         let site =
             Open::before(&[("prefill", 0, prefill.address), ("decode", 1, shut.address)], CLIENT_TIMEOUTS);
         let client = send(site.platform, &request("goes")).await;
-        until(|| attempts(&prefill) == 1).await;
+        wait_until(|| attempt_count(&prefill) == 1).await;
         sleep(Duration::from_millis(30)).await;
-        goes(client, &leaving).await;
-        let released = timeout(SOON, prefill.released.recv()).await;
-        assert!(released.is_ok(), "{name}: what was read is held on");
-        assert_eq!(shut.opened_and_sent().await, 0, "{name}: something was sent");
+        disconnect(client, &unread).await;
+        let released = timeout(CANCEL_TIMEOUT, prefill.released.recv()).await;
+        assert!(released.is_ok(), "{name}: the KV cache was not released");
+        assert_eq!(shut.opened_and_sent().await, 0, "{name}: bytes were sent after the disconnect");
     }
 }
 
-/// Who sends without end and reads nothing keeps nobody else from being served, and is closed in the end.
+/// Clients that send without end and read nothing don't keep others from being served, and are disconnected
+/// eventually.
 #[tokio::test]
-async fn floods_behind_a_request_keep_nobody_out() {
+async fn floods_after_a_request_do_not_block_other_clients() {
     let site = Site::start().await;
     let floods: Vec<_> = (0..4)
         .map(|n| {
@@ -170,17 +179,18 @@
         .collect();
     for n in 0..20 {
         let answer =
-            timeout(LATEST, exchange(site.platform, &chat(&format!("stays-{n}"), "ask", 7_000))).await;
-        assert_eq!(answer.expect("an answer in time").status, 200);
+            timeout(TEST_TIMEOUT, exchange(site.platform, &chat(&format!("stays-{n}"), "ask", 7_000))).await;
+        assert_eq!(answer.expect("no response in time").status, 200);
     }
     for flood in floods {
-        timeout(LATEST, flood).await.expect("it is closed in the end").unwrap();
+        timeout(TEST_TIMEOUT, flood).await.expect("the flooding client was not disconnected").unwrap();
     }
 }
 
-/// What comes behind the head of a chunked request is the request, however much of it comes at once.
+/// Guards against treating the body of a chunked request as input after the request, most of which would be
+/// dropped when much of it arrives at once.
 #[tokio::test]
-async fn a_chunked_body_that_comes_at_once_is_handed_on_whole() {
+async fn a_chunked_body_that_arrives_at_once_is_forwarded_complete() {
     let site = Site::start().await;
     let body = "x".repeat(250 << 10);
     let head =
@@ -192,5 +202,5 @@
         .collect();
     let answer = exchange(site.platform, &format!("{head}{chunks}0\r\n\r\n")).await;
     assert_eq!(answer.status, 200, "{answer:?}");
-    assert!(site.writer.posts()[0].body == body, "it was not handed on as it came");
+    assert!(site.writer.posts()[0].body == body, "the body was changed on the way to the server");
 }
