--- a/daemon/src/command/mod.rs
+++ b/daemon/src/command/mod.rs
@@ -14,7 +14,7 @@
 
 /// Why a command ends otherwise than well.
 #[derive(Debug, thiserror::Error)]
-pub enum ServeError {
+pub enum CommandError {
     #[error("{0}")]
     Config(#[from] ConfigError),
     #[error("{0}: {1}")]
@@ -25,20 +25,20 @@
     Transfer(#[from] transfer::TransferError),
 }
 
-impl ServeError {
+impl CommandError {
     /// 2 for whoever started it to mend, 1 for the rest.
-    pub fn code(&self) -> ExitCode {
+    pub fn exit_code(&self) -> ExitCode {
         match self {
-            ServeError::Config(_) => ExitCode::from(2),
-            ServeError::Bind(..) | ServeError::Io(_) | ServeError::Transfer(_) => ExitCode::FAILURE,
+            CommandError::Config(_) => ExitCode::from(2),
+            CommandError::Bind(..) | CommandError::Io(_) | CommandError::Transfer(_) => ExitCode::FAILURE,
         }
     }
 }
 
 /// A process's name, which no other has.
-fn incarnation() -> Result<u64, ServeError> {
-    let drawn = rand::rngs::OsRng.try_next_u64();
-    Ok(drawn.map_err(|e| std::io::Error::other(e.to_string()))?)
+fn random_incarnation() -> Result<u64, CommandError> {
+    let number = rand::rngs::OsRng.try_next_u64();
+    Ok(number.map_err(|e| std::io::Error::other(e.to_string()))?)
 }
 
 fn runtime() -> std::io::Result<Runtime> {
@@ -48,12 +48,12 @@
 /// A log that never holds the program up: lines that find no room are counted and dropped.
 fn logger(name: &str) -> (Logger, slog_async::AsyncGuard) {
     let decorator = slog_term::PlainDecorator::new(std::io::stderr());
-    let lines = slog_term::FullFormat::new(decorator).build().fuse();
+    let formatter = slog_term::FullFormat::new(decorator).build().fuse();
     let level = match std::env::var("FROSTTRAIL_LOG").as_deref() {
         Ok("debug") => slog::Level::Debug,
         _ => slog::Level::Info,
     };
-    let (drain, guard) = slog_async::Async::new(lines).build_with_guard();
+    let (drain, guard) = slog_async::Async::new(formatter).build_with_guard();
     // Before the channel: what nobody reads must neither be put into words here nor push out other lines.
     (Logger::root(drain.filter_level(level).fuse(), o!("name" => name.to_string())), guard)
 }
--- a/daemon/src/command/operations.rs
+++ b/daemon/src/command/operations.rs
@@ -23,56 +23,56 @@
 use tokio::time::sleep;
 use tokio_util::task::AbortOnDropHandle;
 
-use super::ServeError;
+use super::CommandError;
 
 /// What was learned is written this often.
-const SNAPSHOT_EVERY: Duration = Duration::from_millis(500);
+const SNAPSHOT_INTERVAL: Duration = Duration::from_millis(500);
 /// What is open at instances is told to other processes this often.
-const OPEN_WORK_EVERY: Duration = Duration::from_millis(100);
+const OPEN_WORK_INTERVAL: Duration = Duration::from_millis(100);
 /// What another process was told of exclusions is read this often, well within the rule on drains.
-const EXCLUSIONS_EVERY: Duration = Duration::from_millis(100);
+const EXCLUSIONS_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// How often a folder that can't be read is tried again before anything is served.
-const FOLDER_RETRY: Duration = Duration::from_millis(50);
+const FOLDER_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
 /// What was learned by the process before, and how long ago that was written.
 pub type PreviousState = Option<(InheritedState, Duration)>;
 
 /// The operators' address, bound, and what the process before has left.
-pub struct Ops {
+pub struct OpsSetup {
     server: Option<OpsServer>,
     folder: PathBuf,
     store: ExclusionStore,
     snapshot: SnapshotFile,
-    kept: PreviousState,
+    previous_state: PreviousState,
     inherited: Option<InheritedListeners>,
     calls: CallMarks,
 }
 
-impl Ops {
+impl OpsSetup {
     /// Binds the address and takes over what there is.
-    pub fn open(address: SocketAddr, config: &Config, log: &Logger) -> Result<Self, ServeError> {
-        let server = OpsServer::bind(address).map_err(|e| ServeError::Bind(address, e))?;
+    pub fn open(address: SocketAddr, config: &Config, log: &Logger) -> Result<Self, CommandError> {
+        let server = OpsServer::bind(address).map_err(|e| CommandError::Bind(address, e))?;
         let folder = state_dir::path(&config.name, config.listen);
         let inherited = InheritedListeners::request(&folder, log);
         let (store, snapshot) = (ExclusionStore::in_folder(&folder), SnapshotFile::in_folder(&folder));
         state_dir::remove_leftovers(&folder);
         state_dir::remove_leftovers(store.folder());
-        let kept = snapshot.read().unwrap_or_else(|e| {
+        let previous_state = snapshot.read().unwrap_or_else(|e| {
             warn!(log, "what the process before has learned is passed over"; "why" => %e);
             None
         });
         let (server, calls) = (Some(server), CallMarks::default());
-        Ok(Ops { server, folder, store, snapshot, kept, inherited, calls })
+        Ok(OpsSetup { server, folder, store, snapshot, previous_state, inherited, calls })
     }
 
     /// What is for the conductor; once.
-    pub fn kept(&mut self) -> PreviousState {
-        self.kept.take()
+    pub fn take_previous_state(&mut self) -> PreviousState {
+        self.previous_state.take()
     }
 
     /// The listeners that were passed on; once.
-    pub fn inherited(&mut self) -> Option<InheritedListeners> {
+    pub fn take_inherited_listeners(&mut self) -> Option<InheritedListeners> {
         self.inherited.take()
     }
 
@@ -80,12 +80,12 @@
     pub fn answer_calls(
         &mut self,
         conductor: &Conductor<HttpUpstream>,
-        figures: Metrics,
-        serving: Arc<AtomicBool>,
+        metrics: Metrics,
+        is_serving: Arc<AtomicBool>,
         log: &Logger,
-    ) -> Result<(), ServeError> {
+    ) -> Result<(), CommandError> {
         let (conductor, store, calls) = (conductor.clone(), self.store.clone(), self.calls.clone());
-        let operations = ConductorOperations::new(conductor, store, figures, calls, serving);
+        let operations = ConductorOperations::new(conductor, store, metrics, calls, is_serving);
         match self.server.take() {
             Some(server) => Ok(server.start(Arc::new(operations), log.clone())?),
             None => Ok(()),
@@ -95,10 +95,10 @@
     /// Takes over which instances are excluded. Resolves once that is known: a folder that can't be read says
     /// nothing, and may not be taken for one that holds nothing.
     pub async fn restore_exclusions(&self, conductor: &Conductor<HttpUpstream>, log: &Logger) {
-        let mut told = false;
+        let mut is_logged = false;
         loop {
             let Some(mark) = self.calls.mark() else {
-                sleep(FOLDER_RETRY).await;
+                sleep(FOLDER_RETRY_INTERVAL).await;
                 continue;
             };
             let (store, load_log) = (self.store.clone(), log.clone());
@@ -114,11 +114,11 @@
                 Ok(Err(e)) => e.to_string(),
                 Err(e) => e.to_string(),
             };
-            if !std::mem::replace(&mut told, true) {
+            if !std::mem::replace(&mut is_logged, true) {
                 warn!(log, "nothing is served until exclusions can be read; see that $TMPDIR can be";
                     "folder" => %self.store.folder().display(), "why" => why);
             }
-            sleep(FOLDER_RETRY).await;
+            sleep(FOLDER_RETRY_INTERVAL).await;
         }
     }
 
@@ -129,17 +129,17 @@
         listeners: Listeners,
         log: &Logger,
     ) -> OpsService {
-        let Ops { folder, store, snapshot, calls, .. } = self;
-        let handover = ListenerHandover::offer(&folder, Arc::new(listeners.listeners), log.clone());
+        let OpsSetup { folder, store, snapshot, calls, .. } = self;
+        let handover = ListenerHandover::offer(&folder, Arc::new(listeners.duplicates), log.clone());
         let files = OpenWorkFiles::in_folder(&folder);
-        let shares = tokio::spawn(share_open_work(conductor.clone(), files.clone(), log.clone()));
-        let keeps = tokio::spawn(keep_snapshot(conductor.clone(), snapshot, log.clone()));
-        let follows = tokio::spawn(follow_exclusions(conductor.clone(), store, calls, log.clone()));
+        let open_work_task = tokio::spawn(share_open_work(conductor.clone(), files.clone(), log.clone()));
+        let snapshot_task = tokio::spawn(write_snapshots(conductor.clone(), snapshot, log.clone()));
+        let exclusions_task = tokio::spawn(poll_exclusions(conductor.clone(), store, calls, log.clone()));
         OpsService {
             handover: Some(handover),
-            keeps: Some(AbortOnDropHandle::new(keeps)),
-            _follows: AbortOnDropHandle::new(follows),
-            _shares: AbortOnDropHandle::new(shares),
+            snapshot_task: Some(AbortOnDropHandle::new(snapshot_task)),
+            _exclusions_task: AbortOnDropHandle::new(exclusions_task),
+            _open_work_task: AbortOnDropHandle::new(open_work_task),
             open_work: files,
             _inherited: listeners.inherited,
         }
@@ -148,26 +148,26 @@
 
 /// The clients' listeners: those that were passed on, else new ones.
 pub struct Listeners {
-    doors: ClientListeners,
+    client_listeners: ClientListeners,
     inherited: Option<InheritedListeners>,
     /// A descriptor of each, to pass on.
-    listeners: Vec<TcpListener>,
+    duplicates: Vec<TcpListener>,
 }
 
 impl Listeners {
     /// None is bound yet.
-    pub fn new(doors: &ClientListeners, inherited: Option<InheritedListeners>) -> Self {
-        Listeners { doors: doors.clone(), inherited, listeners: Vec::new() }
+    pub fn new(client_listeners: &ClientListeners, inherited: Option<InheritedListeners>) -> Self {
+        Listeners { client_listeners: client_listeners.clone(), inherited, duplicates: Vec::new() }
     }
 
     /// The listener of an address.
-    pub fn bind(&mut self, address: SocketAddr) -> Result<TcpListener, ServeError> {
-        let passed_on = self.inherited.as_mut().and_then(|inherited| inherited.take(address));
-        let listener = match passed_on {
+    pub fn bind(&mut self, address: SocketAddr) -> Result<TcpListener, CommandError> {
+        let inherited = self.inherited.as_mut().and_then(|inherited| inherited.take(address));
+        let listener = match inherited {
             Some(listener) => listener,
-            None => self.doors.bind(address).map_err(|e| ServeError::Bind(address, e))?,
+            None => self.client_listeners.bind(address).map_err(|e| CommandError::Bind(address, e))?,
         };
-        self.listeners.push(retry_at_start(is_shortage, || listener.try_clone())?);
+        self.duplicates.push(retry_at_start(is_shortage, || listener.try_clone())?);
         Ok(listener)
     }
 }
@@ -175,9 +175,9 @@
 /// The running parts.
 pub struct OpsService {
     handover: Option<ListenerHandover>,
-    keeps: Option<AbortOnDropHandle<()>>,
-    _follows: AbortOnDropHandle<()>,
-    _shares: AbortOnDropHandle<()>,
+    snapshot_task: Option<AbortOnDropHandle<()>>,
+    _exclusions_task: AbortOnDropHandle<()>,
+    _open_work_task: AbortOnDropHandle<()>,
     open_work: OpenWorkFiles,
     /// For the process before, to which it says that this one lives.
     _inherited: Option<InheritedListeners>,
@@ -186,28 +186,28 @@
 impl OpsService {
     /// An end is planned: the process that takes over writes what is learned from now on, while what is
     /// excluded still binds this one. Gives what passes the listeners on.
-    pub fn end(&mut self) -> Option<ListenerHandover> {
-        self.keeps = None;
+    pub fn begin_shutdown(&mut self) -> Option<ListenerHandover> {
+        self.snapshot_task = None;
         self.handover.take()
     }
 }
 
 /// Writes what was learned again and again, for the process that takes over.
-async fn keep_snapshot(conductor: Conductor<HttpUpstream>, file: SnapshotFile, log: Logger) {
-    let mut failed = false;
+async fn write_snapshots(conductor: Conductor<HttpUpstream>, file: SnapshotFile, log: Logger) {
+    let mut has_failed = false;
     loop {
-        sleep(SNAPSHOT_EVERY).await;
-        let Some(learned) = conductor.export_state().await else { return };
+        sleep(SNAPSHOT_INTERVAL).await;
+        let Some(state) = conductor.export_state().await else { return };
         let file = file.clone();
-        let written = tokio::task::spawn_blocking(move || file.write(&learned)).await;
+        let written = tokio::task::spawn_blocking(move || file.write(&state)).await;
         let Ok(written) = written else { return };
         if let Err(e) = &written {
             // One line for each outage.
-            if !failed {
+            if !has_failed {
                 warn!(log, "what was learned could not be written"; "why" => %e);
             }
         }
-        failed = written.is_err();
+        has_failed = written.is_err();
     }
 }
 
@@ -219,9 +219,9 @@
 
 /// Tells the other processes of the same conductor what this one has open, and counts what they have.
 async fn share_open_work(conductor: Conductor<HttpUpstream>, files: OpenWorkFiles, log: Logger) {
-    let (mut counted, mut failed) = (OpenWork::default(), false);
+    let (mut applied, mut has_failed) = (OpenWork::default(), false);
     loop {
-        sleep(OPEN_WORK_EVERY).await;
+        sleep(OPEN_WORK_INTERVAL).await;
         let Some(own) = conductor.open_work().await else { return };
         let files = files.clone();
         let Ok(others) = tokio::task::spawn_blocking(move || files.exchange(&own, Instant::now())).await
@@ -230,18 +230,18 @@
         };
         match others {
             Ok(others) => {
-                if others != counted {
+                if others != applied {
                     conductor.set_foreign_work(others.clone());
-                    counted = others;
+                    applied = others;
                 }
-                failed = false;
+                has_failed = false;
             }
             Err(e) => {
                 // One line for each outage.
-                if !failed {
+                if !has_failed {
                     warn!(log, "open work can't be told to other processes"; "why" => %e);
                 }
-                failed = true;
+                has_failed = true;
             }
         }
     }
@@ -250,38 +250,38 @@
 /// Whether a folder has to be read again, by the time at which it changed last.
 #[derive(Clone, Copy, Default)]
 struct ChangeWatch {
-    last: Option<SystemTime>,
+    last_change: Option<SystemTime>,
     reads: u32,
 }
 
 impl ChangeWatch {
     /// What changes twice within the file system's smallest step looks like one change, so that each is read
     /// a few times.
-    const READS: u32 = 3;
+    const READS_PER_CHANGE: u32 = 3;
 
     fn is_due(&mut self, changed: Option<SystemTime>) -> bool {
-        if changed.is_none() || changed != self.last {
-            (self.last, self.reads) = (changed, 0);
+        if changed.is_none() || changed != self.last_change {
+            (self.last_change, self.reads) = (changed, 0);
         }
-        self.reads < Self::READS
+        self.reads < Self::READS_PER_CHANGE
     }
 }
 
 /// Takes over what another process of the same conductor was told of exclusions.
-async fn follow_exclusions(
+async fn poll_exclusions(
     conductor: Conductor<HttpUpstream>,
     store: ExclusionStore,
     calls: CallMarks,
     log: Logger,
 ) {
-    let (mut watch, mut failed) = (ChangeWatch::default(), false);
+    let (mut watch, mut has_failed) = (ChangeWatch::default(), false);
     loop {
-        sleep(EXCLUSIONS_EVERY).await;
+        sleep(EXCLUSIONS_POLL_INTERVAL).await;
         let Some(mark) = calls.mark() else { continue };
         let (reading, load_log, due) = (store.clone(), log.clone(), watch);
         let read = tokio::task::spawn_blocking(move || {
             let mut watch = due;
-            let excluded = watch.is_due(reading.changed()).then(|| reading.load(&load_log));
+            let excluded = watch.is_due(reading.last_modified()).then(|| reading.load(&load_log));
             (watch, excluded)
         });
         let Ok((read_watch, excluded)) = read.await else { return };
@@ -290,16 +290,16 @@
             None => {}
             Some(Ok(excluded)) => {
                 let excluded = excluded.into_iter().collect();
-                let applied = calls.apply_since(mark, || conductor.replace_excluded(excluded));
-                watch.reads += u32::from(applied);
-                failed = false;
+                let is_applied = calls.apply_since(mark, || conductor.replace_excluded(excluded));
+                watch.reads += u32::from(is_applied);
+                has_failed = false;
             }
             // Never made: nothing has been excluded yet, by any process.
             Some(Err(e)) if e.kind() == ErrorKind::NotFound => {}
             Some(Err(e)) => {
-                let first = !std::mem::replace(&mut failed, true);
+                let is_first = !std::mem::replace(&mut has_failed, true);
                 // One line for each outage.
-                if first {
+                if is_first {
                     warn!(log, "exclusions could not be read again, and stay as they are"; "why" => %e);
                 }
             }
--- a/daemon/src/command/serve.rs
+++ b/daemon/src/command/serve.rs
@@ -1,5 +1,5 @@
-//! The conductor: reads its configuration, opens its doors, rereads the configuration on SIGHUP, and on
-//! SIGTERM closes its doors in good order.
+//! The conductor: reads its configuration, opens its listeners, rereads the configuration on SIGHUP, and on
+//! SIGTERM closes its listeners in good order.
 
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -9,12 +9,12 @@
 use frosttrail_core::{start, Clock, Conductor, ConductorParts, Metrics};
 use frosttrail_daemon::config::{self, ChatConfig, Config, ConfigError, XdsConfig};
 use frosttrail_daemon::discovery::{Backoff, Discovery, DiscoveryConfig, Xds};
-use frosttrail_daemon::ending::Ending;
+use frosttrail_daemon::ending::ShutdownSchedule;
 use frosttrail_daemon::front::chat::Chat;
 use frosttrail_daemon::front::platform::Platform;
 use frosttrail_daemon::front::{ClientListeners, ClientTimeouts};
 use frosttrail_daemon::listener_handover::ListenerHandover;
-use frosttrail_daemon::reload::Reload;
+use frosttrail_daemon::reload::ConfigReloader;
 use frosttrail_daemon::transient::{await_socket_pairs, await_threads, is_shortage, retry_at_start};
 use frosttrail_daemon::upstream::{AddressTable, HttpUpstream, Limits};
 use frosttrail_membership::service::{self, Membership};
@@ -24,8 +24,8 @@
 use tokio::time::{sleep, timeout};
 use tokio_util::task::AbortOnDropHandle;
 
-use super::operations::{Listeners, Ops, OpsService, PreviousState};
-use super::{incarnation, logger, runtime, ServeError};
+use super::operations::{Listeners, OpsService, OpsSetup, PreviousState};
+use super::{logger, random_incarnation, runtime, CommandError};
 
 /// How long clients may take: a request is small and comes from near, idle connections cost memory and
 /// descriptors, and a client on a bad line may fall silent for some seconds while its answer streams.
@@ -35,16 +35,16 @@
     stall: Duration::from_secs(20),
 };
 /// A server's connection rests this long after an answer, in which what follows right behind has come.
-const SETTLE: Duration = Duration::from_millis(10);
+const SETTLE_TIME: Duration = Duration::from_millis(10);
 /// A reset comes back from a server, or from what lies before it, within this time.
-const STALE_WITHIN: Duration = Duration::from_millis(20);
+const STALE_RESET_WINDOW: Duration = Duration::from_millis(20);
 /// Descriptors for all that is neither a client nor a server: log, timers, discovery, listeners.
-const SPARE_SOCKETS: usize = 48;
+const RESERVED_SOCKETS: usize = 48;
 
 /// Requests are counted this often, for this instance's share of the traffic.
-const COUNT: Duration = Duration::from_millis(500);
+const REQUEST_COUNT_INTERVAL: Duration = Duration::from_millis(500);
 /// For a goodbye to those that share the servers.
-const GOODBYE: Duration = Duration::from_millis(100);
+const LEAVE_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// The files that switch parts on.
 #[derive(clap::Args, Debug, Default)]
@@ -61,7 +61,7 @@
 }
 
 /// Runs the conductor until SIGTERM.
-pub fn serve(options: Options) -> Result<(), ServeError> {
+pub fn serve(options: Options) -> Result<(), CommandError> {
     await_socket_pairs()?;
     let runtime = retry_at_start(is_shortage, runtime)?;
     // Before all else: a signal that comes early must find its handler.
@@ -72,7 +72,7 @@
     let config = retry_at_start(ConfigError::is_transient, Config::from_env)?;
     let chat = options.chat.map(|file| ChatConfig::read(&file, &config.settings)).transpose()?;
     let xds = options.xds.map(|file| XdsConfig::read(&file)).transpose()?;
-    let membership = options.membership.map(|file| config::membership(&file)).transpose()?;
+    let membership = options.membership.map(|file| config::read_membership(&file)).transpose()?;
     await_threads()?;
     let (log, _guard) = logger(&config.name);
     runtime.block_on(run(signals, config, OptionalFeatures { chat, xds, membership }, log))
@@ -95,41 +95,43 @@
     config: Config,
     OptionalFeatures { chat, xds, membership }: OptionalFeatures,
     log: Logger,
-) -> Result<(), ServeError> {
-    let each = (config.sockets - SPARE_SOCKETS) / 2;
-    let mut ops = config.ops.map(|address| Ops::open(address, &config, &log)).transpose()?;
-    let doors = ClientListeners::new(each, CLIENT_TIMEOUTS, log.clone());
-    let doors = if ops.is_some() { doors.sharing_address() } else { doors };
+) -> Result<(), CommandError> {
+    let max_connections = (config.max_sockets - RESERVED_SOCKETS) / 2;
+    let mut ops = config.ops.map(|address| OpsSetup::open(address, &config, &log)).transpose()?;
+    let client_listeners = ClientListeners::new(max_connections, CLIENT_TIMEOUTS, log.clone());
+    let client_listeners = if ops.is_some() { client_listeners.sharing_address() } else { client_listeners };
     let listen = config.listen;
     let (discovery, members) = watch::channel(config.discovery_config());
-    let figures = Metrics::new().map_err(std::io::Error::other)?;
-    let kept = ops.as_mut().and_then(Ops::kept);
-    let (conductor, upstream) = conductor(config.clone(), members, xds, each, kept, &figures, &log);
-    let reload = Reload {
+    let metrics = Metrics::new().map_err(std::io::Error::other)?;
+    let previous_state = ops.as_mut().and_then(OpsSetup::take_previous_state);
+    let (conductor, upstream) =
+        start_conductor(config.clone(), members, xds, max_connections, previous_state, &metrics, &log);
+    let reloader = ConfigReloader {
         config,
         conductor: conductor.clone(),
         upstream,
         discovery,
-        figures: figures.clone(),
+        metrics: metrics.clone(),
         log: log.clone(),
     };
     // It goes on beside an end that is planned: until then, drains are still learned of.
-    let _reloads = AbortOnDropHandle::new(tokio::spawn(reload.run(signals.hangup)));
+    let _reload_task = AbortOnDropHandle::new(tokio::spawn(reloader.run(signals.hangup)));
     let serving = Arc::new(AtomicBool::new(false));
     if let Some(ops) = &mut ops {
-        ops.answer_calls(&conductor, figures, serving.clone(), &log)?;
+        ops.answer_calls(&conductor, metrics, serving.clone(), &log)?;
         tokio::select! {
             () = ops.restore_exclusions(&conductor, &log) => {}
             _ = signals.terminate.recv() => return Ok(()),
         }
     }
-    let mut listeners = Listeners::new(&doors, ops.as_mut().and_then(Ops::inherited));
-    doors.serve_on(listeners.bind(listen)?, Platform::new(conductor.clone()))?;
+    let mut listeners =
+        Listeners::new(&client_listeners, ops.as_mut().and_then(OpsSetup::take_inherited_listeners));
+    client_listeners.serve_on(listeners.bind(listen)?, Platform::new(conductor.clone()))?;
     if let Some(chat) = chat {
-        doors.serve_on(listeners.bind(chat.listen)?, Chat::new(conductor.clone(), chat))?;
+        client_listeners.serve_on(listeners.bind(chat.listen)?, Chat::new(conductor.clone(), chat))?;
     }
     let membership = match membership {
-        Some(config) => Some(join(config, &conductor, &log).await?),
+        Some(config) => Some(join_membership(config, &conductor, &log).await?),
         None => None,
     };
     let mut service = match ops {
@@ -143,100 +145,101 @@
     serving.store(true, Ordering::Relaxed);
     signals.terminate.recv().await;
     serving.store(false, Ordering::Relaxed);
-    let handover = service.as_mut().and_then(OpsService::end);
-    let Ending { notice, answer_all, last } = Ending::new(&conductor.settings());
-    let succeeded = handover.as_ref().is_some_and(ListenerHandover::has_successor);
-    info!(log, "SIGTERM: closing"; "within" => ?last, "another process accepts" => succeeded);
-    doors.leave();
-    if succeeded {
-        doors.stop_accepting();
+    let handover = service.as_mut().and_then(OpsService::begin_shutdown);
+    let ShutdownSchedule { close_listeners_after, answer_all_after, exit_after } =
+        ShutdownSchedule::new(&conductor.settings());
+    let has_successor = handover.as_ref().is_some_and(ListenerHandover::has_successor);
+    info!(log, "SIGTERM: closing"; "within" => ?exit_after, "another process accepts" => has_successor);
+    client_listeners.leave();
+    if has_successor {
+        client_listeners.stop_accepting();
     }
-    let orderly = async {
-        sleep(notice).await;
+    let drain = async {
+        sleep(close_listeners_after).await;
         if let Some(handover) = handover {
             handover.close().await;
         }
-        doors.close().await;
+        client_listeners.close().await;
         conductor.wait_for_releases().await;
     };
-    let answer_rest = async {
-        sleep(answer_all).await;
+    let answer_remaining = async {
+        sleep(answer_all_after).await;
         conductor.close();
         std::future::pending::<()>().await;
     };
-    let in_time = timeout(last, async {
+    let shutdown = timeout(exit_after, async {
         tokio::select! {
-            () = orderly => {}
-            () = answer_rest => {}
+            () = drain => {}
+            () = answer_remaining => {}
         }
     });
-    if in_time.await.is_err() {
-        info!(log, "closed before all was done"; "connections" => doors.connections());
+    if shutdown.await.is_err() {
+        info!(log, "closed before all was done"; "connections" => client_listeners.connections());
     }
-    if let Some((membership, _shares)) = membership {
+    if let Some((membership, _quota_task)) = membership {
         // Nothing is sent from here any more: what it had is the others'.
-        let _ = timeout(GOODBYE, membership.leave()).await;
+        let _ = timeout(LEAVE_TIMEOUT, membership.leave()).await;
     }
     Ok(())
 }
 
 /// Takes part among those that share the servers, and tells the decisions what part is theirs.
-async fn join(
+async fn join_membership(
     config: service::MembershipConfig,
     conductor: &Conductor<HttpUpstream>,
     log: &Logger,
-) -> Result<(Membership, AbortOnDropHandle<()>), ServeError> {
+) -> Result<(Membership, AbortOnDropHandle<()>), CommandError> {
     let listen = config.listen;
-    let membership = Membership::start(config, incarnation()?, log.clone()).await;
-    let membership = membership.map_err(|e| ServeError::Bind(listen, e))?;
+    let membership = Membership::start(config, random_incarnation()?, log.clone()).await;
+    let membership = membership.map_err(|e| CommandError::Bind(listen, e))?;
     let (mut view, request_counter, conductor) =
         (membership.view(), membership.request_counter(), conductor.clone());
     conductor.set_quota_share(view.borrow_and_update().quota_share);
-    let shares = tokio::spawn(async move {
-        let mut counted = 0;
+    let quota_task = tokio::spawn(async move {
+        let mut reported = 0;
         loop {
             tokio::select! {
                 changed = view.changed() => match changed {
                     Ok(()) => conductor.set_quota_share(view.borrow_and_update().quota_share),
                     Err(_) => return,
                 },
-                () = sleep(COUNT) => {
+                () = sleep(REQUEST_COUNT_INTERVAL) => {
                     let calls = conductor.call_count();
-                    request_counter.add(calls - counted);
-                    counted = calls;
+                    request_counter.add(calls - reported);
+                    reported = calls;
                 }
             }
         }
     });
-    Ok((membership, AbortOnDropHandle::new(shares)))
+    Ok((membership, AbortOnDropHandle::new(quota_task)))
 }
 
-fn conductor(
+fn start_conductor(
     config: Config,
     discovery: watch::Receiver<DiscoveryConfig>,
     xds: Option<XdsConfig>,
     connections: usize,
-    learned: PreviousState,
-    figures: &Metrics,
+    previous_state: PreviousState,
+    metrics: &Metrics,
     log: &Logger,
 ) -> (Conductor<HttpUpstream>, Arc<HttpUpstream>) {
     let clock = Clock::new();
-    let book = Arc::new(AddressTable::default());
+    let addresses = Arc::new(AddressTable::default());
     let limits = Limits {
         connections,
         connect_timeout: Duration::from_micros(config.settings.connect_timeout),
         conn_idle: Duration::from_micros(config.settings.connection_idle_timeout),
-        settle: SETTLE,
-        stale_within: STALE_WITHIN,
+        settle: SETTLE_TIME,
+        stale_within: STALE_RESET_WINDOW,
     };
-    let upstream = Arc::new(HttpUpstream::new(book.clone(), limits, figures.sends.clone()));
-    let Config { name, known, names, settings, seed, .. } = config;
-    let (log, shared_upstream, figures) = (log.clone(), upstream.clone(), figures.clone());
+    let upstream = Arc::new(HttpUpstream::new(addresses.clone(), limits, metrics.sends.clone()));
+    let Config { name, known_members, names, settings, seed, .. } = config;
+    let (log, shared_upstream, metrics) = (log.clone(), upstream.clone(), metrics.clone());
     // They are known before anything is served.
     let excluded = Vec::new();
     let conductor = match xds {
         Some(xds) => {
-            let members = Xds::new(xds, name, names, clock, book, log.clone());
+            let members = Xds::new(xds, name, names, clock, addresses, log.clone());
             start(ConductorParts {
                 settings,
                 seed,
@@ -244,14 +247,15 @@
                 upstream,
                 members,
                 excluded,
-                metrics: figures,
-                inherited: learned,
+                metrics,
+                inherited: previous_state,
                 log,
             })
         }
         None => {
             let backoff = Backoff::new(settings.conductors, seed);
-            let members = Discovery::new(discovery, known, backoff, names, clock, book, log.clone());
+            let members =
+                Discovery::new(discovery, known_members, backoff, names, clock, addresses, log.clone());
             start(ConductorParts {
                 settings,
                 seed,
@@ -259,8 +263,8 @@
                 upstream,
                 members,
                 excluded,
-                metrics: figures,
-                inherited: learned,
+                metrics,
+                inherited: previous_state,
                 log,
             })
         }
--- a/daemon/src/command/transfer.rs
+++ b/daemon/src/command/transfer.rs
@@ -17,12 +17,12 @@
 use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::time::timeout;
 
-use super::{incarnation, logger, runtime, ServeError};
+use super::{logger, random_incarnation, runtime, CommandError};
 
 /// What of an id stays as it is in a file's name.
-const PLAIN: &AsciiSet = &NON_ALPHANUMERIC.remove(b'-').remove(b'_');
+const UNESCAPED: &AsciiSet = &NON_ALPHANUMERIC.remove(b'-').remove(b'_');
 /// Longer names are named by their hash: file systems allow 255 bytes.
-const LONGEST_NAME: usize = 200;
+const MAX_FILE_NAME_BYTES: usize = 200;
 
 /// Why a transfer's command fails.
 #[derive(Debug, thiserror::Error)]
@@ -30,13 +30,13 @@
     #[error("{0}: {1}")]
     File(PathBuf, std::io::Error),
     #[error("{0} holds no state: {1}")]
-    Put(PathBuf, StoreError),
+    Store(PathBuf, StoreError),
     #[error("{0} was not taken: {1}")]
     Push(RequestId, Cause),
     #[error("{0} was not had: {1}")]
     Fetch(RequestId, FetchError),
     #[error("{0} was not moved within {1} s")]
-    Time(RequestId, u64),
+    TimedOut(RequestId, u64),
     #[error("{0}: {1}")]
     Status(SocketAddr, StatusError),
 }
@@ -65,7 +65,7 @@
     /// The state.
     file: PathBuf,
     /// The request's id, which names the state.
-    #[arg(long, value_parser = id)]
+    #[arg(long, value_parser = parse_request_id)]
     id: RequestId,
     /// The node that is to have it.
     #[arg(long, value_name = "ADDRESS")]
@@ -81,7 +81,7 @@
 #[derive(Args, Debug)]
 pub struct Fetch {
     /// The request's id, which names the state.
-    #[arg(long, value_parser = id)]
+    #[arg(long, value_parser = parse_request_id)]
     id: RequestId,
     /// A node that may have it; may be given several times.
     #[arg(long, value_name = "ADDRESS", required = true)]
@@ -101,12 +101,12 @@
     at: SocketAddr,
 }
 
-fn id(text: &str) -> Result<RequestId, RequestIdError> {
+fn parse_request_id(text: &str) -> Result<RequestId, RequestIdError> {
     RequestId::new(text)
 }
 
 /// Runs one of them.
-pub fn run(command: Command) -> Result<(), ServeError> {
+pub fn run(command: Command) -> Result<(), CommandError> {
     let runtime = runtime()?;
     match command {
         Command::Serve(args) => {
@@ -128,39 +128,41 @@
     config: TransferConfig,
     (mut terminate, mut hangup): (Signal, Signal),
     log: Logger,
-) -> Result<(), ServeError> {
-    let node = Node::new(config.node, incarnation()?, log.clone());
-    let mut arrived = node.subscribe_pushed();
-    let at = node.listen(config.listen).await.map_err(|e| ServeError::Bind(config.listen, e))?;
+) -> Result<(), CommandError> {
+    let node = Node::new(config.node, random_incarnation()?, log.clone());
+    let mut pushed = node.subscribe_pushed();
+    let at = node.listen(config.listen).await.map_err(|e| CommandError::Bind(config.listen, e))?;
     info!(log, "listening"; "at" => at);
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
             _ = hangup.recv() => info!(log, "SIGHUP: nothing can be changed while it runs"),
-            Some(state) = arrived.recv() => take(&node, state, config.store.as_deref(), &log).await,
+            Some(cache) = pushed.recv() => store_pushed(&node, cache, config.store.as_deref(), &log).await,
         }
     }
-    info!(log, "SIGTERM: draining"; "within" => ?config.drain);
-    node.drain(config.drain);
-    let rest = async {
+    info!(log, "SIGTERM: draining"; "within" => ?config.drain_timeout);
+    node.drain(config.drain_timeout);
+    let drain = async {
         loop {
             tokio::select! {
                 () = node.wait_until_idle() => break,
-                Some(state) = arrived.recv() => take(&node, state, config.store.as_deref(), &log).await,
+                Some(cache) = pushed.recv() => {
+                    store_pushed(&node, cache, config.store.as_deref(), &log).await;
+                }
             }
         }
-        while let Ok(state) = arrived.try_recv() {
-            take(&node, state, config.store.as_deref(), &log).await;
+        while let Ok(cache) = pushed.try_recv() {
+            store_pushed(&node, cache, config.store.as_deref(), &log).await;
         }
     };
-    if timeout(config.drain + config.drain / 10, rest).await.is_err() {
+    if timeout(config.drain_timeout + config.drain_timeout / 10, drain).await.is_err() {
         info!(log, "closed before all was done"; "states" => node.status().states);
     }
     Ok(())
 }
 
 /// Keeps in the folder what has arrived. Where that fails, or there is no folder, it is held for a taker.
-async fn take(
+async fn store_pushed(
     node: &Node,
     PushedCache { id, cache: state }: PushedCache,
     store: Option<&Path>,
@@ -169,13 +171,13 @@
     let bytes = state.length();
     if let Some(folder) = store {
         let file = folder.join(file_name(&id));
-        match write(&file, &state).await {
+        match write_atomically(&file, &state).await {
             Ok(()) => return info!(log, "stored"; "request" => %id, "bytes" => bytes, "file" => ?file),
             Err(e) => error!(log, "not stored"; "request" => %id, "file" => ?file, "why" => %e),
         }
     }
     let held = match node.begin_prefill(id.clone()) {
-        Ok(reading) => reading.store(state.chunks().concat().into()).await,
+        Ok(prefill) => prefill.store(state.chunks().concat().into()).await,
         Err(cause) => Err(cause.into()),
     };
     match held {
@@ -186,15 +188,15 @@
 
 /// A name that stays in its folder, whatever the id.
 fn file_name(id: &RequestId) -> String {
-    let name = utf8_percent_encode(id.as_str(), PLAIN).to_string();
+    let name = utf8_percent_encode(id.as_str(), UNESCAPED).to_string();
     match name.len() {
-        0..=LONGEST_NAME => name,
+        0..=MAX_FILE_NAME_BYTES => name,
         _ => format!("{}", blake3::hash(id.as_str().as_bytes())),
     }
 }
 
 /// Writes a state beside the file, then gives it its name: whoever looks sees all of it or nothing.
-async fn write(file: &Path, state: &ReceivedCache) -> std::io::Result<()> {
+async fn write_atomically(file: &Path, state: &ReceivedCache) -> std::io::Result<()> {
     let mut part = file.as_os_str().to_owned();
     part.push(format!(".{}.part", std::process::id()));
     let written = async {
@@ -212,38 +214,38 @@
     written
 }
 
-async fn send(args: Send) -> Result<(), ServeError> {
+async fn send(args: Send) -> Result<(), CommandError> {
     let Send { file, id, to, chunk, within } = args;
     let state = std::fs::read(&file).map_err(|e| TransferError::File(file.clone(), e))?;
     let (log, _guard) = logger("send");
-    let node = Node::new(Config { chunk_bytes: chunk, ..Config::default() }, incarnation()?, log);
+    let node = Node::new(Config { chunk_bytes: chunk, ..Config::default() }, random_incarnation()?, log);
     let bytes = state.len();
-    let moved = async {
-        let put = |e| TransferError::Put(file.clone(), e);
-        let reading = node.begin_prefill(id.clone()).map_err(|e| put(e.into()))?;
-        reading.store(state.into()).await.map_err(put)?;
+    let transfer = async {
+        let store_error = |e| TransferError::Store(file.clone(), e);
+        let prefill = node.begin_prefill(id.clone()).map_err(|e| store_error(e.into()))?;
+        prefill.store(state.into()).await.map_err(store_error)?;
         node.push(&id, to).await.map_err(|e| TransferError::Push(id.clone(), e))
     };
-    let end = timeout(Duration::from_secs(within), moved).await;
-    end.unwrap_or_else(|_| Err(TransferError::Time(id.clone(), within)))?;
+    let result = timeout(Duration::from_secs(within), transfer).await;
+    result.unwrap_or_else(|_| Err(TransferError::TimedOut(id.clone(), within)))?;
     println!("{id}: {bytes} bytes are at {to}");
     Ok(())
 }
 
-async fn fetch(args: Fetch) -> Result<(), ServeError> {
+async fn fetch(args: Fetch) -> Result<(), CommandError> {
     let Fetch { id, from, out, within } = args;
     let (log, _guard) = logger("fetch");
-    let node = Node::new(Config::default(), incarnation()?, log);
+    let node = Node::new(Config::default(), random_incarnation()?, log);
     let limit = Duration::from_secs(within);
-    let end = timeout(limit, node.fetch(&id, &from, Some(limit))).await;
-    let end = end.map_err(|_| TransferError::Time(id.clone(), within))?;
-    let state = end.map_err(|e| TransferError::Fetch(id.clone(), e))?;
-    write(&out, &state).await.map_err(|e| TransferError::File(out.clone(), e))?;
+    let result = timeout(limit, node.fetch(&id, &from, Some(limit))).await;
+    let result = result.map_err(|_| TransferError::TimedOut(id.clone(), within))?;
+    let state = result.map_err(|e| TransferError::Fetch(id.clone(), e))?;
+    write_atomically(&out, &state).await.map_err(|e| TransferError::File(out.clone(), e))?;
     println!("{id}: {} bytes are in {}", state.length(), out.display());
     Ok(())
 }
 
-async fn status(args: Status) -> Result<(), ServeError> {
+async fn status(args: Status) -> Result<(), CommandError> {
     let status =
         query_status(args.at, Duration::from_secs(2)).await.map_err(|e| TransferError::Status(args.at, e))?;
     println!("{}", serde_json::to_string_pretty(&status).map_err(std::io::Error::other)?);
--- a/daemon/src/listener_handover.rs
+++ b/daemon/src/listener_handover.rs
@@ -23,15 +23,15 @@
 use crate::state_dir;
 
 /// What goes along with the descriptors; the version of this exchange.
-const GREETING: &[u8; 1] = b"1";
+const PROTOCOL_VERSION: &[u8; 1] = b"1";
 /// No process has more listeners.
-const LISTENERS_MAX: usize = 4;
+const MAX_LISTENERS: usize = 4;
 /// A process that has not answered by then is paused or hangs.
-const ANSWER_WITHIN: Duration = Duration::from_millis(500);
+const REPLY_TIMEOUT: Duration = Duration::from_millis(500);
 /// After a socket that could not be made.
-const OFFER_AGAIN: Duration = Duration::from_millis(500);
+const BIND_RETRY_DELAY: Duration = Duration::from_millis(500);
 /// After an accept that failed.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Listeners that the process before has passed on, and the connection that tells it that this one lives.
 pub struct InheritedListeners {
@@ -42,8 +42,8 @@
 impl InheritedListeners {
     /// Asks the process whose socket lies in this folder; `None` where nobody answers.
     pub fn request(folder: &Path, log: &Logger) -> Option<Self> {
-        let asked = UnixStream::connect(path(folder)).and_then(receive);
-        match asked {
+        let reply = UnixStream::connect(socket_path(folder)).and_then(receive_listeners);
+        match reply {
             Ok(inherited) => {
                 info!(log, "listeners taken over"; "count" => inherited.listeners.len());
                 Some(inherited)
@@ -57,23 +57,26 @@
 
     /// The listener of an address, if it is among them.
     pub fn take(&mut self, address: SocketAddr) -> Option<TcpListener> {
-        let at = self.listeners.iter().position(|l| l.local_addr().is_ok_and(|own| own == address))?;
-        Some(self.listeners.swap_remove(at))
+        let index = self
+            .listeners
+            .iter()
+            .position(|listener| listener.local_addr().is_ok_and(|local| local == address))?;
+        Some(self.listeners.swap_remove(index))
     }
 }
 
-fn path(folder: &Path) -> PathBuf {
+fn socket_path(folder: &Path) -> PathBuf {
     folder.join("listeners")
 }
 
-fn receive(predecessor: UnixStream) -> Result<InheritedListeners> {
-    predecessor.set_read_timeout(Some(ANSWER_WITHIN))?;
-    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(LISTENERS_MAX))];
+fn receive_listeners(predecessor: UnixStream) -> Result<InheritedListeners> {
+    predecessor.set_read_timeout(Some(REPLY_TIMEOUT))?;
+    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_LISTENERS))];
     let mut control = RecvAncillaryBuffer::new(&mut space);
-    let mut greeting = [0; GREETING.len()];
+    let mut version = [0; PROTOCOL_VERSION.len()];
     let received =
-        recvmsg(&predecessor, &mut [IoSliceMut::new(&mut greeting)], &mut control, RecvFlags::CMSG_CLOEXEC)?;
-    if received.bytes == 0 || greeting != *GREETING {
+        recvmsg(&predecessor, &mut [IoSliceMut::new(&mut version)], &mut control, RecvFlags::CMSG_CLOEXEC)?;
+    if received.bytes == 0 || version != *PROTOCOL_VERSION {
         return Err(std::io::Error::other("it speaks another version"));
     }
     let descriptors = control.drain().filter_map(|message| match message {
@@ -84,12 +87,12 @@
     Ok(InheritedListeners { listeners, _predecessor: predecessor })
 }
 
-fn send(successor: &tokio::net::UnixStream, listeners: &[TcpListener]) -> Result<()> {
-    let descriptors: Vec<_> = listeners.iter().take(LISTENERS_MAX).map(AsFd::as_fd).collect();
-    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(LISTENERS_MAX))];
+fn send_listeners(successor: &tokio::net::UnixStream, listeners: &[TcpListener]) -> Result<()> {
+    let descriptors: Vec<_> = listeners.iter().take(MAX_LISTENERS).map(AsFd::as_fd).collect();
+    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_LISTENERS))];
     let mut control = SendAncillaryBuffer::new(&mut space);
     control.push(SendAncillaryMessage::ScmRights(&descriptors));
-    sendmsg(successor, &[IoSlice::new(GREETING)], &mut control, SendFlags::NOSIGNAL)?;
+    sendmsg(successor, &[IoSlice::new(PROTOCOL_VERSION)], &mut control, SendFlags::NOSIGNAL)?;
     Ok(())
 }
 
@@ -103,7 +106,7 @@
     /// Takes the place of whatever socket lies in the folder, as soon as the folder allows it.
     pub fn offer(folder: &Path, listeners: Arc<Vec<TcpListener>>, log: Logger) -> Self {
         let (count, successors) = watch::channel(0);
-        let task = tokio::spawn(pass_on(folder.to_path_buf(), listeners, Arc::new(count), log));
+        let task = tokio::spawn(serve_successors(folder.to_path_buf(), listeners, Arc::new(count), log));
         ListenerHandover { successors, task: AbortOnDropHandle::new(task) }
     }
 
@@ -122,54 +125,54 @@
 
 /// Puts a socket in the place of whatever lies in the folder.
 fn bind(folder: &Path) -> Result<UnixListener> {
-    let (path, own) = (path(folder), folder.join(format!("listeners.{}", std::process::id())));
+    let (path, temporary) = (socket_path(folder), folder.join(format!("listeners.{}", std::process::id())));
     // Left by a process that had this id before, or by an earlier try.
-    let _ = std::fs::remove_file(&own);
+    let _ = std::fs::remove_file(&temporary);
     state_dir::create(folder)?;
-    let socket = UnixListener::bind(&own)?;
-    std::fs::rename(&own, &path)?;
+    let socket = UnixListener::bind(&temporary)?;
+    std::fs::rename(&temporary, &path)?;
     Ok(socket)
 }
 
 /// Offers the listeners. A successor takes the place of the socket in the folder; where none is left, this
 /// process takes it again, for the next.
-async fn pass_on(
+async fn serve_successors(
     folder: PathBuf,
     listeners: Arc<Vec<TcpListener>>,
     successors: Arc<watch::Sender<usize>>,
     log: Logger,
 ) {
-    let mut failed = false;
+    let mut has_failed = false;
     loop {
         match bind(&folder) {
             Ok(socket) => {
-                failed = false;
-                let mut left = successors.subscribe();
+                has_failed = false;
+                let mut successor_count = successors.subscribe();
                 tokio::select! {
-                    () = accept(socket, &listeners, &successors, &log) => {}
-                    () = all_left(&mut left) => {}
+                    () = accept_successors(socket, &listeners, &successors, &log) => {}
+                    () = wait_until_successors_exit(&mut successor_count) => {}
                 }
             }
             Err(e) => {
                 // One line for each outage.
-                if !std::mem::replace(&mut failed, true) {
+                if !std::mem::replace(&mut has_failed, true) {
                     warn!(log, "listeners can't be passed on: an upgrade shares the address only";
                         "folder" => %folder.display(), "why" => %e);
                 }
-                sleep(OFFER_AGAIN).await;
+                sleep(BIND_RETRY_DELAY).await;
             }
         }
     }
 }
 
 /// Resolves once there was a successor and there is none any more.
-async fn all_left(successors: &mut watch::Receiver<usize>) {
+async fn wait_until_successors_exit(successors: &mut watch::Receiver<usize>) {
     // The sender lives as long as whoever waits here.
     let _ = successors.wait_for(|count| *count > 0).await;
     let _ = successors.wait_for(|count| *count == 0).await;
 }
 
-async fn accept(
+async fn accept_successors(
     socket: UnixListener,
     listeners: &[TcpListener],
     successors: &Arc<watch::Sender<usize>>,
@@ -180,11 +183,11 @@
             Ok((successor, _)) => successor,
             Err(e) => {
                 warn!(log, "listeners can't be passed on"; "why" => %e);
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
-        if let Err(e) = send(&successor, listeners) {
+        if let Err(e) = send_listeners(&successor, listeners) {
             warn!(log, "listeners were not passed on"; "why" => %e);
             continue;
         }
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -8,7 +8,7 @@
 
 use clap::error::ErrorKind;
 use clap::{Parser, Subcommand};
-use command::{serve, transfer, ServeError};
+use command::{serve, transfer, CommandError};
 
 /// A conductor for two-stage language-model servers, and the tools beside it.
 ///
@@ -32,38 +32,38 @@
 }
 
 fn main() -> ExitCode {
-    let line = match Cli::try_parse() {
-        Ok(line) => line,
-        Err(e) => return usage(&e),
+    let cli = match Cli::try_parse() {
+        Ok(cli) => cli,
+        Err(e) => return report_usage_error(&e),
     };
-    let run = match line.command {
-        None => serve::serve(line.serve),
+    let result = match cli.command {
+        None => serve::serve(cli.serve),
         Some(Command::Serve(options)) => serve::serve(options),
         Some(Command::Transfer(command)) => transfer::run(command),
     };
-    match run {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("frosttrail: {error}");
-            ServeError::code(&error)
+            CommandError::exit_code(&error)
         }
     }
 }
 
 /// Help and version as the library words them, a mistake on one line like all else that whoever started the
 /// program has to mend.
-fn usage(error: &clap::Error) -> ExitCode {
+fn report_usage_error(error: &clap::Error) -> ExitCode {
     match error.kind() {
         ErrorKind::DisplayHelp
         | ErrorKind::DisplayVersion
         | ErrorKind::DisplayHelpOnMissingArgumentOrSubcommand => error.exit(),
         _ => {
             let text = error.to_string();
-            let end = |line: &&str| !line.starts_with("Usage") && !line.starts_with("For more");
-            let said: Vec<&str> = text.lines().take_while(end).map(str::trim).collect();
-            let said = said.join(" ");
-            let said = said.trim().trim_start_matches("error: ");
-            eprintln!("frosttrail: {said}; see frosttrail --help");
+            let is_message = |line: &&str| !line.starts_with("Usage") && !line.starts_with("For more");
+            let message: Vec<&str> = text.lines().take_while(is_message).map(str::trim).collect();
+            let message = message.join(" ");
+            let message = message.trim().trim_start_matches("error: ");
+            eprintln!("frosttrail: {message}; see frosttrail --help");
             ExitCode::from(2)
         }
     }
--- a/daemon/src/ops/call.rs
+++ b/daemon/src/ops/call.rs
@@ -8,7 +8,7 @@
 use hyper::{Method, Response, StatusCode};
 
 /// The longest id of an instance.
-pub(super) const ID_BYTES_MAX: usize = 256;
+pub(super) const MAX_ID_BYTES: usize = 256;
 
 /// What the calls act on.
 pub trait Operations: Send + Sync + 'static {
@@ -27,13 +27,13 @@
 pub enum CallError {
     /// No such path.
     #[error("no such path; use GET /api/ready, GET /api/telemetry, POST /api/exclude or POST /api/include")]
-    Path,
+    UnknownPath,
     /// The path takes another method.
     #[error("this path takes {0} only")]
-    Method(Method),
+    MethodNotAllowed(Method),
     /// The body is not one id.
-    #[error("the body must be the id of one instance, of 1 to {ID_BYTES_MAX} visible ASCII characters")]
-    Id,
+    #[error("the body must be the id of one instance, of 1 to {MAX_ID_BYTES} visible ASCII characters")]
+    InvalidId,
     /// The exclusions do not allow it.
     #[error("{0}")]
     Exclusion(#[from] ExclusionError),
@@ -45,7 +45,7 @@
     Storage(#[from] std::io::Error),
     /// The figures could not be written out.
     #[error("the figures could not be written ({0}); ask again")]
-    Figures(#[from] prometheus::Error),
+    Metrics(#[from] prometheus::Error),
     /// This process can't serve yet, or no more.
     #[error("not ready: no instance is known yet, or the process is ending; ask again")]
     NotReady,
@@ -54,14 +54,14 @@
 impl CallError {
     fn status(&self) -> StatusCode {
         match self {
-            CallError::Path => StatusCode::NOT_FOUND,
+            CallError::UnknownPath => StatusCode::NOT_FOUND,
             CallError::Exclusion(ExclusionError::Unknown) => StatusCode::NOT_FOUND,
             CallError::Exclusion(ExclusionError::TooMany) => StatusCode::CONFLICT,
-            CallError::Method(_) => StatusCode::METHOD_NOT_ALLOWED,
-            CallError::Id => StatusCode::BAD_REQUEST,
+            CallError::MethodNotAllowed(_) => StatusCode::METHOD_NOT_ALLOWED,
+            CallError::InvalidId => StatusCode::BAD_REQUEST,
             CallError::Storage(_) => StatusCode::INSUFFICIENT_STORAGE,
             CallError::NotReady => StatusCode::SERVICE_UNAVAILABLE,
-            CallError::Figures(_) => StatusCode::INTERNAL_SERVER_ERROR,
+            CallError::Metrics(_) => StatusCode::INTERNAL_SERVER_ERROR,
         }
     }
 }
@@ -76,9 +76,9 @@
 
 impl Call {
     fn parse(method: &Method, path: &str, body: &[u8]) -> Result<Self, CallError> {
-        let takes = method_of(path).ok_or(CallError::Path)?;
-        if *method != takes {
-            return Err(CallError::Method(takes));
+        let allowed = method_of(path).ok_or(CallError::UnknownPath)?;
+        if *method != allowed {
+            return Err(CallError::MethodNotAllowed(allowed));
         }
         match path {
             "/api/ready" => Ok(Call::Ready),
@@ -99,10 +99,10 @@
 }
 
 fn instance_id(body: &[u8]) -> Result<Id, CallError> {
-    let id = std::str::from_utf8(body).map_err(|_| CallError::Id)?.trim();
-    let fits = (1..=ID_BYTES_MAX).contains(&id.len());
-    let visible = id.bytes().all(|byte| byte.is_ascii_graphic());
-    (fits && visible).then(|| id.into()).ok_or(CallError::Id)
+    let id = std::str::from_utf8(body).map_err(|_| CallError::InvalidId)?.trim();
+    let is_valid_length = (1..=MAX_ID_BYTES).contains(&id.len());
+    let is_visible = id.bytes().all(|byte| byte.is_ascii_graphic());
+    (is_valid_length && is_visible).then(|| id.into()).ok_or(CallError::InvalidId)
 }
 
 /// Whether a path's call brings a body.
@@ -117,14 +117,14 @@
     path: &str,
     body: &[u8],
 ) -> Response<Full<Bytes>> {
-    let done = Call::parse(method, path, body).and_then(|call| match call {
+    let result = Call::parse(method, path, body).and_then(|call| match call {
         Call::Ready if operations.is_ready() => Ok("ready\n".to_string()),
         Call::Ready => Err(CallError::NotReady),
         Call::Telemetry => operations.telemetry(),
         Call::Exclude(id) => operations.exclude(&id).map(|()| format!("excluded {id}\n")),
         Call::Include(id) => operations.include(&id).map(|()| format!("included {id}\n")),
     });
-    match done {
+    match result {
         Ok(text) => text_response(StatusCode::OK, text),
         Err(error) => error_response(&error),
     }
@@ -133,15 +133,15 @@
 fn text_response(status: StatusCode, text: String) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from(text)));
     *response.status_mut() = status;
-    let plain = HeaderValue::from_static("text/plain; version=0.0.4; charset=utf-8");
-    response.headers_mut().insert(CONTENT_TYPE, plain);
+    let content_type = HeaderValue::from_static("text/plain; version=0.0.4; charset=utf-8");
+    response.headers_mut().insert(CONTENT_TYPE, content_type);
     response
 }
 
 /// The error's status, and its one line.
 pub(super) fn error_response(error: &CallError) -> Response<Full<Bytes>> {
     let mut response = text_response(error.status(), format!("{error}\n"));
-    if let CallError::Method(method) = error {
+    if let CallError::MethodNotAllowed(method) = error {
         if let Ok(allowed) = HeaderValue::from_str(method.as_str()) {
             response.headers_mut().insert(ALLOW, allowed);
         }
--- a/daemon/src/ops/conductor.rs
+++ b/daemon/src/ops/conductor.rs
@@ -11,34 +11,34 @@
 use super::exclusion_store::ExclusionStore;
 
 /// A conductor, and where its exclusions are kept.
-pub struct ConductorOperations<B> {
-    conductor: Conductor<B>,
+pub struct ConductorOperations<U> {
+    conductor: Conductor<U>,
     store: ExclusionStore,
-    figures: Metrics,
+    metrics: Metrics,
     calls: CallMarks,
-    serving: Arc<AtomicBool>,
+    is_serving: Arc<AtomicBool>,
 }
 
-impl<B: Upstream> ConductorOperations<B> {
-    /// Calls on this conductor; `serving` is set while it takes requests.
+impl<U: Upstream> ConductorOperations<U> {
+    /// Calls on this conductor; `is_serving` is set while it takes requests.
     pub fn new(
-        conductor: Conductor<B>,
+        conductor: Conductor<U>,
         store: ExclusionStore,
-        figures: Metrics,
+        metrics: Metrics,
         calls: CallMarks,
-        serving: Arc<AtomicBool>,
+        is_serving: Arc<AtomicBool>,
     ) -> Self {
-        ConductorOperations { conductor, store, figures, calls, serving }
+        ConductorOperations { conductor, store, metrics, calls, is_serving }
     }
 }
 
-impl<B: Upstream> Operations for ConductorOperations<B> {
+impl<U: Upstream> Operations for ConductorOperations<U> {
     fn is_ready(&self) -> bool {
-        self.conductor.is_ready() && self.serving.load(Ordering::Relaxed)
+        self.conductor.is_ready() && self.is_serving.load(Ordering::Relaxed)
     }
 
     fn telemetry(&self) -> Result<String, CallError> {
-        Ok(self.figures.encode_text()?)
+        Ok(self.metrics.encode_text()?)
     }
 
     fn exclude(&self, id: &Id) -> Result<(), CallError> {
--- a/daemon/src/ops/exclusion_store.rs
+++ b/daemon/src/ops/exclusion_store.rs
@@ -11,23 +11,23 @@
 use frosttrail::Id;
 use slog::{warn, Logger};
 
-use super::call::ID_BYTES_MAX;
+use super::call::MAX_ID_BYTES;
 use crate::state_dir;
 
-const FOLDER: &str = "excluded";
+const FOLDER_NAME: &str = "excluded";
 
 /// The files of one conductor. Clones share what has been read.
 #[derive(Clone, Debug)]
 pub struct ExclusionStore {
     folder: PathBuf,
     /// What files hold, by their paths. A name is the hash of the content, so that neither ever changes.
-    read: Arc<Mutex<HashMap<PathBuf, Id>>>,
+    cache: Arc<Mutex<HashMap<PathBuf, Id>>>,
 }
 
 impl ExclusionStore {
     /// Uses a folder below this one, which is made once there is something to keep.
     pub fn in_folder(state: &Path) -> Self {
-        ExclusionStore { folder: state.join(FOLDER), read: Arc::default() }
+        ExclusionStore { folder: state.join(FOLDER_NAME), cache: Arc::default() }
     }
 
     /// Where they are kept.
@@ -47,20 +47,20 @@
     /// can't be read: it may not be taken for one that is not there. Those that could are not read again, so
     /// that hundreds of files come together while each now and then can't be read.
     pub fn load(&self, log: &Logger) -> Result<Vec<Id>> {
-        let (mut excluded, mut failed) = (HashMap::new(), None);
-        let before = self.read.lock().unwrap_or_else(PoisonError::into_inner).clone();
+        let (mut excluded, mut last_error) = (HashMap::new(), None);
+        let cached = self.cache.lock().unwrap_or_else(PoisonError::into_inner).clone();
         for file in fs::read_dir(&self.folder)? {
             let path = file?.path();
             if path.extension().is_some() {
                 // Being written, or left behind by a process that was killed as it wrote.
                 continue;
             }
-            let read = before.get(&path).map_or_else(|| self.read(&path), |id| Ok(id.clone()));
-            match read {
+            let id = cached.get(&path).map_or_else(|| self.read_id(&path), |id| Ok(id.clone()));
+            match id {
                 Ok(id) => drop(excluded.insert(path, id)),
                 // Included again meanwhile.
                 Err(e) if e.kind() == ErrorKind::NotFound => {}
-                Err(e) if e.kind() != ErrorKind::InvalidData => failed = Some(e),
+                Err(e) if e.kind() != ErrorKind::InvalidData => last_error = Some(e),
                 Err(e) => {
                     warn!(log, "an exclusion is passed over; exclude the instance again, remove the file";
                         "file" => %path.display(), "why" => %e);
@@ -68,12 +68,12 @@
             }
         }
         let ids = excluded.values().cloned().collect();
-        *self.read.lock().unwrap_or_else(PoisonError::into_inner) = excluded;
-        failed.map_or(Ok(ids), Err)
+        *self.cache.lock().unwrap_or_else(PoisonError::into_inner) = excluded;
+        last_error.map_or(Ok(ids), Err)
     }
 
     /// When the folder last changed, where the file system says so.
-    pub fn changed(&self) -> Option<SystemTime> {
+    pub fn last_modified(&self) -> Option<SystemTime> {
         fs::metadata(&self.folder).and_then(|folder| folder.modified()).ok()
     }
 
@@ -95,13 +95,13 @@
         self.folder.join(blake3::hash(id.as_bytes()).to_hex().as_str())
     }
 
-    fn read(&self, path: &Path) -> Result<Id> {
+    fn read_id(&self, path: &Path) -> Result<Id> {
         let invalid = |why| Error::new(ErrorKind::InvalidData, why);
         let file = fs::metadata(path)?;
         if file.is_dir() {
             return Err(ErrorKind::IsADirectory.into());
         }
-        if file.len() > ID_BYTES_MAX as u64 {
+        if file.len() > MAX_ID_BYTES as u64 {
             return Err(invalid("larger than an id"));
         }
         let id = String::from_utf8(fs::read(path)?).map_err(|_| invalid("not text"))?;
--- a/daemon/src/ops/server.rs
+++ b/daemon/src/ops/server.rs
@@ -22,16 +22,16 @@
 use crate::tcp::TcpConnection;
 use crate::transient::{is_shortage, retry_at_start};
 
-use super::call::{answer, error_response, takes_body, CallError, Operations, ID_BYTES_MAX};
+use super::call::{answer, error_response, takes_body, CallError, Operations, MAX_ID_BYTES};
 
 /// Connections at a time. One more ends the oldest, which has had its chance: a call takes milliseconds.
-const CONNECTIONS_MAX: usize = 16;
+const MAX_CONNECTIONS: usize = 16;
 /// A connection ends after this time, whether its call has come or not.
-const CONNECTION_TIME: Duration = Duration::from_secs(2);
+const CONNECTION_TIMEOUT: Duration = Duration::from_secs(2);
 /// After an accept that failed, as when descriptors have run out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 /// White space around an id.
-const BODY_BYTES_MAX: usize = ID_BYTES_MAX + 64;
+const MAX_BODY_BYTES: usize = MAX_ID_BYTES + 64;
 
 /// A bound address that answers operators' calls.
 pub struct OpsServer {
@@ -57,13 +57,13 @@
         };
         info!(log, "operators' address"; "at" => %address);
         // Taken by the thread that comes up: one that can't be made leaves it for the next try.
-        let work = Arc::new(Mutex::new(Some((runtime, accept(listener, operations, log)))));
+        let task = Arc::new(Mutex::new(Some((runtime, accept(listener, operations, log)))));
         retry_at_start(is_shortage, || {
-            let (work, thread) = (work.clone(), std::thread::Builder::new().name("ops".into()));
+            let (task, thread) = (task.clone(), std::thread::Builder::new().name("ops".into()));
             thread.spawn(move || {
-                let taken = work.lock().unwrap_or_else(PoisonError::into_inner).take();
-                if let Some((runtime, accepting)) = taken {
-                    runtime.block_on(accepting);
+                let task = task.lock().unwrap_or_else(PoisonError::into_inner).take();
+                if let Some((runtime, accept_loop)) = task {
+                    runtime.block_on(accept_loop);
                 }
             })
         })?;
@@ -78,16 +78,16 @@
             Ok((stream, _)) => stream,
             Err(e) => {
                 warn!(log, "operators' address: accept"; "why" => %e);
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
         connections.retain(|connection| !connection.is_finished());
-        if connections.len() >= CONNECTIONS_MAX {
+        if connections.len() >= MAX_CONNECTIONS {
             connections.pop_front();
         }
-        let served = serve(stream, operations.clone(), log.clone());
-        connections.push_back(AbortOnDropHandle::new(tokio::spawn(served)));
+        let connection = serve(stream, operations.clone(), log.clone());
+        connections.push_back(AbortOnDropHandle::new(tokio::spawn(connection)));
     }
 }
 
@@ -101,7 +101,7 @@
         .timer(TokioTimer::new())
         .keep_alive(false)
         .serve_connection(TokioIo::new(TcpConnection::new(stream)), service);
-    match timeout(CONNECTION_TIME, connection).await {
+    match timeout(CONNECTION_TIMEOUT, connection).await {
         Ok(Ok(())) => {}
         Ok(Err(e)) => debug!(log, "operators' address: connection"; "why" => %e),
         Err(_) => debug!(log, "operators' address: no whole call came in time"),
@@ -112,12 +112,12 @@
     let (head, body) = request.into_parts();
     let path = head.uri.path();
     let body = match takes_body(path) {
-        true => Limited::new(body, BODY_BYTES_MAX).collect().await,
+        true => Limited::new(body, MAX_BODY_BYTES).collect().await,
         // Whatever comes along says nothing here.
         false => return answer(operations, &head.method, path, &[]),
     };
     match body {
         Ok(body) => answer(operations, &head.method, path, &body.to_bytes()),
-        Err(_) => error_response(&CallError::Id),
+        Err(_) => error_response(&CallError::InvalidId),
     }
 }
--- a/daemon/src/reload.rs
+++ b/daemon/src/reload.rs
@@ -16,10 +16,10 @@
 
 /// A file that can't be read is tried again for so long. What a new configuration names counts as told 4 s
 /// after its signal, and the list of a new agent takes time of its own.
-const READ_WITHIN: Duration = Duration::from_millis(2_500);
+const READ_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// A file of this many bytes takes milliseconds to read, and is read on a thread of its own.
-const LARGE_FILE: u64 = 256 << 10;
+const LARGE_FILE_BYTES: u64 = 256 << 10;
 
 /// Why a file is turned down.
 #[derive(Debug, thiserror::Error)]
@@ -33,7 +33,7 @@
 }
 
 /// Everything that a new configuration reaches.
-pub struct Reload {
+pub struct ConfigReloader {
     /// The configuration in force.
     pub config: Config,
     /// The decisions, and with them the fronts.
@@ -43,25 +43,25 @@
     /// The source of members.
     pub discovery: watch::Sender<DiscoveryConfig>,
     /// What is counted.
-    pub figures: Metrics,
+    pub metrics: Metrics,
     /// The log.
     pub log: Logger,
 }
 
-fn read_successor(held: &Config) -> Result<Config, ReloadError> {
+fn read_successor(current: &Config) -> Result<Config, ReloadError> {
     let config = Config::from_env()?;
-    held.check_successor(&config)?;
+    current.check_successor(&config)?;
     Ok(config)
 }
 
-impl Reload {
+impl ConfigReloader {
     /// Reads the file again at each signal. A file that is no good changes nothing.
     pub async fn run(mut self, mut hangup: Signal) {
         while hangup.recv().await.is_some() {
-            match self.read_in_time().await {
+            match self.read_with_retries().await {
                 Ok(config) => self.apply(config),
                 Err(e) => {
-                    self.figures.conf_invalid.inc();
+                    self.metrics.conf_invalid.inc();
                     warn!(self.log, "SIGHUP: the old configuration stays in force"; "why" => %e);
                 }
             }
@@ -69,11 +69,11 @@
     }
 
     /// Reads the file; one that can't be read for a moment is tried again, as nobody sends the signal twice.
-    async fn read_in_time(&self) -> Result<Config, ReloadError> {
-        let until = Instant::now() + READ_WITHIN;
+    async fn read_with_retries(&self) -> Result<Config, ReloadError> {
+        let deadline = Instant::now() + READ_TIMEOUT;
         loop {
             match self.read().await {
-                Err(ReloadError::Config(e)) if e.is_transient() && Instant::now() < until => {
+                Err(ReloadError::Config(e)) if e.is_transient() && Instant::now() < deadline => {
                     sleep(RETRY_EVERY).await;
                 }
                 read => return read,
@@ -83,22 +83,22 @@
 
     /// The thread that serves does not wait for a file that names thousands of instances.
     async fn read(&self) -> Result<Config, ReloadError> {
-        let held = self.config.clone();
-        if Config::file_size() < LARGE_FILE {
-            return read_successor(&held);
+        let current = self.config.clone();
+        if Config::file_size() < LARGE_FILE_BYTES {
+            return read_successor(&current);
         }
-        let read = tokio::task::spawn_blocking(move || read_successor(&held));
+        let read = tokio::task::spawn_blocking(move || read_successor(&current));
         read.await.map_err(|e| ReloadError::Interrupted(e.to_string()))?
     }
 
     fn apply(&mut self, config: Config) {
-        let restart = self.config.needs_restart(&config).join(" ");
+        let restart_keys = self.config.keys_needing_restart(&config).join(" ");
         info!(self.log, "SIGHUP: configuration read"; "discovery" => %config.discovery,
-            "at restart" => restart);
+            "at restart" => restart_keys);
         self.conductor.reconfigure(config.settings.clone());
         self.upstream.reconfigure(&config.settings);
         self.discovery.send_replace(config.discovery_config());
         self.config = config;
-        self.figures.conf_loaded.inc();
+        self.metrics.conf_loaded.inc();
     }
 }
--- a/daemon/src/snapshot_file.rs
+++ b/daemon/src/snapshot_file.rs
@@ -13,9 +13,9 @@
 /// The first word of the file, and the version of what follows.
 const MAGIC: &str = "frosttrail-snapshot-2";
 /// No file is larger.
-const BYTES_MAX: usize = 4 << 20;
+const MAX_BODY_BYTES: usize = 4 << 20;
 /// What is older tells of another time.
-const AGE_MAX: Duration = Duration::from_secs(10);
+const MAX_AGE: Duration = Duration::from_secs(10);
 
 /// Why a snapshot is not used, or not written.
 #[derive(Debug, thiserror::Error)]
@@ -25,15 +25,15 @@
     Io(#[from] std::io::Error),
     /// It is not a snapshot, or one of another version.
     #[error("not a snapshot of this version; it will be replaced")]
-    Foreign,
+    UnknownFormat,
     /// It is not what was written.
     #[error("damaged; it will be replaced")]
     Damaged,
     /// It was written too long ago.
-    #[error("written over {AGE_MAX:?} ago, by a process that is no more; it will be replaced")]
-    Old,
+    #[error("written over {MAX_AGE:?} ago, by a process that is no more; it will be replaced")]
+    Expired,
     /// It has more bytes than are kept.
-    #[error("larger than {BYTES_MAX} bytes")]
+    #[error("larger than {MAX_BODY_BYTES} bytes")]
     TooLarge,
 }
 
@@ -62,9 +62,9 @@
     }
 
     /// Replaces the file at once.
-    pub fn write(&self, learned: &InheritedState) -> Result<(), SnapshotError> {
-        let body = serde_json::to_string(learned).map_err(|_| SnapshotError::Damaged)?;
-        if body.len() > BYTES_MAX {
+    pub fn write(&self, state: &InheritedState) -> Result<(), SnapshotError> {
+        let body = serde_json::to_string(state).map_err(|_| SnapshotError::Damaged)?;
+        if body.len() > MAX_BODY_BYTES {
             return Err(SnapshotError::TooLarge);
         }
         let hash = blake3::hash(body.as_bytes()).to_hex();
@@ -77,25 +77,25 @@
         match fs::metadata(&self.0) {
             Err(e) if e.kind() == std::io::ErrorKind::NotFound => return Ok(None),
             Err(e) => return Err(e.into()),
-            Ok(file) if file.len() > 2 * BYTES_MAX as u64 => return Err(SnapshotError::TooLarge),
+            Ok(file) if file.len() > 2 * MAX_BODY_BYTES as u64 => return Err(SnapshotError::TooLarge),
             Ok(_) => {}
         }
         let text = String::from_utf8(fs::read(&self.0)?).map_err(|_| SnapshotError::Damaged)?;
-        let (head, body) = text.split_once('\n').ok_or(SnapshotError::Foreign)?;
-        let mut words = head.split(' ');
+        let (header, body) = text.split_once('\n').ok_or(SnapshotError::UnknownFormat)?;
+        let mut words = header.split(' ');
         if words.next() != Some(MAGIC) {
-            return Err(SnapshotError::Foreign);
+            return Err(SnapshotError::UnknownFormat);
         }
         if words.next() != Some(blake3::hash(body.as_bytes()).to_hex().as_str()) {
             return Err(SnapshotError::Damaged);
         }
-        let same_boot = words.next() == Some(boot_id()?.as_str());
-        let written = words.next().and_then(|ms| ms.parse().ok()).ok_or(SnapshotError::Damaged)?;
-        let age = uptime().saturating_sub(Duration::from_millis(written));
-        if !same_boot || age > AGE_MAX {
-            return Err(SnapshotError::Old);
+        let is_same_boot = words.next() == Some(boot_id()?.as_str());
+        let written_ms = words.next().and_then(|ms| ms.parse().ok()).ok_or(SnapshotError::Damaged)?;
+        let age = uptime().saturating_sub(Duration::from_millis(written_ms));
+        if !is_same_boot || age > MAX_AGE {
+            return Err(SnapshotError::Expired);
         }
-        let learned = serde_json::from_str(body).map_err(|_| SnapshotError::Foreign)?;
-        Ok(Some((learned, age)))
+        let state = serde_json::from_str(body).map_err(|_| SnapshotError::UnknownFormat)?;
+        Ok(Some((state, age)))
     }
 }
--- a/daemon/src/state_dir.rs
+++ b/daemon/src/state_dir.rs
@@ -8,9 +8,9 @@
 use std::path::{Path, PathBuf};
 
 /// Hexadecimal digits of a hash that tell conductors apart on one machine.
-const DIGITS: usize = 16;
+const HASH_DIGITS: usize = 16;
 /// For this user alone: what lies there takes instances out of use.
-const MODE: u32 = 0o700;
+const FOLDER_MODE: u32 = 0o700;
 
 /// Where the folder of the conductor of this name and address is, below `$TMPDIR`. It need not be there.
 pub fn path(name: &str, listen: SocketAddr) -> PathBuf {
@@ -20,12 +20,12 @@
 /// The same below another folder.
 pub fn path_below(parent: &Path, name: &str, listen: SocketAddr) -> PathBuf {
     let hash = blake3::hash(format!("{name} {listen}").as_bytes()).to_hex();
-    parent.join(format!("frosttrail-{}", &hash[..DIGITS]))
+    parent.join(format!("frosttrail-{}", &hash[..HASH_DIGITS]))
 }
 
 /// Makes a folder and those above it, where they are not there.
 pub fn create(folder: &Path) -> Result<()> {
-    DirBuilder::new().recursive(true).mode(MODE).create(folder)
+    DirBuilder::new().recursive(true).mode(FOLDER_MODE).create(folder)
 }
 
 /// Replaces a file at once: whoever reads it finds all of it or what was there before. Until then it has the
--- a/daemon/tests/ending.rs
+++ b/daemon/tests/ending.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use frosttrail::setup::{settings, ConfiguredNames};
-use frosttrail_daemon::ending::Ending;
+use frosttrail_daemon::ending::ShutdownSchedule;
 use serde_json::{json, Value};
 use support::*;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -33,10 +33,10 @@
 fn all_is_done_before_sigkill_whatever_the_deadlines() {
     for deadline in [1].into_iter().chain((50..=9_000).step_by(50)) {
         let setup = with_deadline(deadline);
-        let Ending { notice, answer_all, last } =
-            Ending::new(&settings(&setup, &ConfiguredNames::new(&setup).unwrap()).unwrap());
-        assert!(notice <= answer_all && answer_all < last, "{deadline} ms");
-        assert!(last + Duration::from_millis(250) <= killed_after(deadline), "{deadline} ms");
+        let ShutdownSchedule { close_listeners_after, answer_all_after, exit_after } =
+            ShutdownSchedule::new(&settings(&setup, &ConfiguredNames::new(&setup).unwrap()).unwrap());
+        assert!(close_listeners_after <= answer_all_after && answer_all_after < exit_after, "{deadline} ms");
+        assert!(exit_after + Duration::from_millis(250) <= killed_after(deadline), "{deadline} ms");
     }
     // No time at all is no deadline.
     let setup = with_deadline(0);
