--- a/daemon/src/command/mod.rs
+++ b/daemon/src/command/mod.rs
@@ -1,4 +1,4 @@
-//! The program's commands.
+//! The commands of the `frosttrail` binary, and what they share.
 
 mod operations;
 pub mod serve;
@@ -12,7 +12,7 @@
 use slog::{o, Drain, Logger};
 use tokio::runtime::Runtime;
 
-/// Why a command ends otherwise than well.
+/// Why a command fails.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
     #[error("{0}")]
@@ -26,7 +26,7 @@
 }
 
 impl CommandError {
-    /// 2 for whoever started it to mend, 1 for the rest.
+    /// The exit code: 2 for errors in the configuration, 1 for all others.
     pub fn exit_code(&self) -> ExitCode {
         match self {
             CommandError::Config(_) => ExitCode::from(2),
@@ -35,7 +35,7 @@
     }
 }
 
-/// A process's name, which no other has.
+/// Draws a random id that tells this process from all others.
 fn random_incarnation() -> Result<u64, CommandError> {
     let number = rand::rngs::OsRng.try_next_u64();
     Ok(number.map_err(|e| std::io::Error::other(e.to_string()))?)
@@ -45,7 +45,7 @@
     tokio::runtime::Builder::new_current_thread().enable_all().build()
 }
 
-/// A log that never holds the program up: lines that find no room are counted and dropped.
+/// A logger that never blocks the program: lines that do not fit into its queue are counted and dropped.
 fn logger(name: &str) -> (Logger, slog_async::AsyncGuard) {
     let decorator = slog_term::PlainDecorator::new(std::io::stderr());
     let formatter = slog_term::FullFormat::new(decorator).build().fuse();
@@ -54,6 +54,6 @@
         _ => slog::Level::Info,
     };
     let (drain, guard) = slog_async::Async::new(formatter).build_with_guard();
-    // Before the channel: what nobody reads must neither be put into words here nor push out other lines.
+    // Filters before the queue, so that lines below the level are neither formatted nor displace other lines.
     (Logger::root(drain.filter_level(level).fuse(), o!("name" => name.to_string())), guard)
 }
--- a/daemon/src/command/operations.rs
+++ b/daemon/src/command/operations.rs
@@ -1,5 +1,5 @@
-//! What serving adds where operators call: their address, what outlives the process, and the process that
-//! takes over.
+//! The parts of `frosttrail serve` that run when an operators' address is configured: the operators' server,
+//! the state that outlives the process, and the handover to a new process.
 
 use std::io::ErrorKind;
 use std::net::{SocketAddr, TcpListener};
@@ -25,20 +25,21 @@
 
 use super::CommandError;
 
-/// What was learned is written this often.
+/// How often the learned state is written.
 const SNAPSHOT_INTERVAL: Duration = Duration::from_millis(500);
-/// What is open at instances is told to other processes this often.
+/// How often the open work at servers is exchanged with other processes.
 const OPEN_WORK_INTERVAL: Duration = Duration::from_millis(100);
-/// What another process was told of exclusions is read this often, well within the rule on drains.
+/// How often the exclusions are read that another process has stored. It must be well below the time within
+/// which a drain has to take effect.
 const EXCLUSIONS_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How often a folder that can't be read is tried again before anything is served.
+/// How often reading the exclusions is retried at startup, before requests are served.
 const FOLDER_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What was learned by the process before, and how long ago that was written.
+/// The state that the previous process learned, and its age.
 pub type PreviousState = Option<(InheritedState, Duration)>;
 
-/// The operators' address, bound, and what the process before has left.
+/// The bound operators' server, and what was taken over from the previous process.
 pub struct OpsSetup {
     server: Option<OpsServer>,
     folder: PathBuf,
@@ -50,7 +51,7 @@
 }
 
 impl OpsSetup {
-    /// Binds the address and takes over what there is.
+    /// Binds the address, then requests the listeners and reads the snapshot of the previous process.
     pub fn open(address: SocketAddr, config: &Config, log: &Logger) -> Result<Self, CommandError> {
         let server = OpsServer::bind(address).map_err(|e| CommandError::Bind(address, e))?;
         let folder = state_dir::path(&config.name, config.listen);
@@ -59,24 +60,24 @@
         state_dir::remove_leftovers(&folder);
         state_dir::remove_leftovers(store.folder());
         let previous_state = snapshot.read().unwrap_or_else(|e| {
-            warn!(log, "what the process before has learned is passed over"; "why" => %e);
+            warn!(log, "the snapshot of the previous process is passed over"; "why" => %e);
             None
         });
         let (server, calls) = (Some(server), CallMarks::default());
         Ok(OpsSetup { server, folder, store, snapshot, previous_state, inherited, calls })
     }
 
-    /// What is for the conductor; once.
+    /// Takes the state for the conductor; later calls return `None`.
     pub fn take_previous_state(&mut self) -> PreviousState {
         self.previous_state.take()
     }
 
-    /// The listeners that were passed on; once.
+    /// Takes the listeners of the previous process; later calls return `None`.
     pub fn take_inherited_listeners(&mut self) -> Option<InheritedListeners> {
         self.inherited.take()
     }
 
-    /// Answers calls from now on; `serving` is set while the process takes requests.
+    /// Starts to answer operators' calls; `is_serving` is set while the process accepts requests.
     pub fn answer_calls(
         &mut self,
         conductor: &Conductor<HttpUpstream>,
@@ -92,8 +93,8 @@
         }
     }
 
-    /// Takes over which instances are excluded. Resolves once that is known: a folder that can't be read says
-    /// nothing, and may not be taken for one that holds nothing.
+    /// Restores the stored exclusions. Resolves once they have been read: a folder that can't be read must
+    /// not be treated as an empty one.
     pub async fn restore_exclusions(&self, conductor: &Conductor<HttpUpstream>, log: &Logger) {
         let mut is_logged = false;
         loop {
@@ -115,14 +116,15 @@
                 Err(e) => e.to_string(),
             };
             if !std::mem::replace(&mut is_logged, true) {
-                warn!(log, "nothing is served until exclusions can be read; see that $TMPDIR can be";
+                warn!(log, "no requests are served until exclusions can be read; check $TMPDIR";
                     "folder" => %self.store.folder().display(), "why" => why);
             }
             sleep(FOLDER_RETRY_INTERVAL).await;
         }
     }
 
-    /// Keeps what the next process needs.
+    /// Starts the tasks that offer the listeners, write the snapshot, share the open work and follow the
+    /// exclusions that other processes store.
     pub fn start(
         self,
         conductor: &Conductor<HttpUpstream>,
@@ -146,21 +148,21 @@
     }
 }
 
-/// The clients' listeners: those that were passed on, else new ones.
+/// The listeners for clients: inherited from the previous process, or newly bound.
 pub struct Listeners {
     client_listeners: ClientListeners,
     inherited: Option<InheritedListeners>,
-    /// A descriptor of each, to pass on.
+    /// A duplicate of each listener, for the handover.
     duplicates: Vec<TcpListener>,
 }
 
 impl Listeners {
-    /// None is bound yet.
+    /// Starts without any listener.
     pub fn new(client_listeners: &ClientListeners, inherited: Option<InheritedListeners>) -> Self {
         Listeners { client_listeners: client_listeners.clone(), inherited, duplicates: Vec::new() }
     }
 
-    /// The listener of an address.
+    /// Takes the inherited listener of an address, or binds a new one.
     pub fn bind(&mut self, address: SocketAddr) -> Result<TcpListener, CommandError> {
         let inherited = self.inherited.as_mut().and_then(|inherited| inherited.take(address));
         let listener = match inherited {
@@ -172,27 +174,27 @@
     }
 }
 
-/// The running parts.
+/// The running tasks. Dropping this stops them and removes the open work file.
 pub struct OpsService {
     handover: Option<ListenerHandover>,
     snapshot_task: Option<AbortOnDropHandle<()>>,
     _exclusions_task: AbortOnDropHandle<()>,
     _open_work_task: AbortOnDropHandle<()>,
     open_work: OpenWorkFiles,
-    /// For the process before, to which it says that this one lives.
+    /// Its open connection shows the previous process that this one runs.
     _inherited: Option<InheritedListeners>,
 }
 
 impl OpsService {
-    /// An end is planned: the process that takes over writes what is learned from now on, while what is
-    /// excluded still binds this one. Gives what passes the listeners on.
+    /// Begins a graceful shutdown: stops writing snapshots, which the next process does from now on, but
+    /// still follows changes of the exclusions. Returns the handover of the listeners.
     pub fn begin_shutdown(&mut self) -> Option<ListenerHandover> {
         self.snapshot_task = None;
         self.handover.take()
     }
 }
 
-/// Writes what was learned again and again, for the process that takes over.
+/// Writes the learned state at intervals, for the next process.
 async fn write_snapshots(conductor: Conductor<HttpUpstream>, file: SnapshotFile, log: Logger) {
     let mut has_failed = false;
     loop {
@@ -202,9 +204,9 @@
         let written = tokio::task::spawn_blocking(move || file.write(&state)).await;
         let Ok(written) = written else { return };
         if let Err(e) = &written {
-            // One line for each outage.
+            // Logs once per outage.
             if !has_failed {
-                warn!(log, "what was learned could not be written"; "why" => %e);
+                warn!(log, "could not write the snapshot"; "why" => %e);
             }
         }
         has_failed = written.is_err();
@@ -217,7 +219,8 @@
     }
 }
 
-/// Tells the other processes of the same conductor what this one has open, and counts what they have.
+/// Shares the open work of this process with the other processes of the conductor, and passes theirs to the
+/// decisions.
 async fn share_open_work(conductor: Conductor<HttpUpstream>, files: OpenWorkFiles, log: Logger) {
     let (mut applied, mut has_failed) = (OpenWork::default(), false);
     loop {
@@ -237,9 +240,9 @@
                 has_failed = false;
             }
             Err(e) => {
-                // One line for each outage.
+                // Logs once per outage.
                 if !has_failed {
-                    warn!(log, "open work can't be told to other processes"; "why" => %e);
+                    warn!(log, "could not share open work with other processes"; "why" => %e);
                 }
                 has_failed = true;
             }
@@ -247,7 +250,7 @@
     }
 }
 
-/// Whether a folder has to be read again, by the time at which it changed last.
+/// Decides by a folder's modification time whether it has to be read again.
 #[derive(Clone, Copy, Default)]
 struct ChangeWatch {
     last_change: Option<SystemTime>,
@@ -255,8 +258,8 @@
 }
 
 impl ChangeWatch {
-    /// What changes twice within the file system's smallest step looks like one change, so that each is read
-    /// a few times.
+    /// Two changes within the resolution of the file system's clock look like one, so that the folder is read
+    /// a few times after each change.
     const READS_PER_CHANGE: u32 = 3;
 
     fn is_due(&mut self, changed: Option<SystemTime>) -> bool {
@@ -267,7 +270,7 @@
     }
 }
 
-/// Takes over what another process of the same conductor was told of exclusions.
+/// Applies the exclusions that other processes of the same conductor have stored.
 async fn poll_exclusions(
     conductor: Conductor<HttpUpstream>,
     store: ExclusionStore,
@@ -294,13 +297,13 @@
                 watch.reads += u32::from(is_applied);
                 has_failed = false;
             }
-            // Never made: nothing has been excluded yet, by any process.
+            // The folder does not exist until a process stores the first exclusion.
             Some(Err(e)) if e.kind() == ErrorKind::NotFound => {}
             Some(Err(e)) => {
                 let is_first = !std::mem::replace(&mut has_failed, true);
-                // One line for each outage.
+                // Logs once per outage.
                 if is_first {
-                    warn!(log, "exclusions could not be read again, and stay as they are"; "why" => %e);
+                    warn!(log, "could not read exclusions; those in force stay"; "why" => %e);
                 }
             }
         }
--- a/daemon/src/command/serve.rs
+++ b/daemon/src/command/serve.rs
@@ -1,5 +1,5 @@
-//! The conductor: reads its configuration, opens its listeners, rereads the configuration on SIGHUP, and on
-//! SIGTERM closes its listeners in good order.
+//! `frosttrail serve`: runs the conductor, reloads its configuration on SIGHUP and shuts down gracefully on
+//! SIGTERM.
 
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -27,23 +27,24 @@
 use super::operations::{Listeners, OpsService, OpsSetup, PreviousState};
 use super::{logger, random_incarnation, runtime, CommandError};
 
-/// How long clients may take: a request is small and comes from near, idle connections cost memory and
-/// descriptors, and a client on a bad line may fall silent for some seconds while its answer streams.
+/// Timeouts of client connections. Requests are small and come from nearby. Idle connections cost memory and
+/// descriptors. A client on a bad connection may stall for some seconds while its answer streams.
 const CLIENT_TIMEOUTS: ClientTimeouts = ClientTimeouts {
     arrive: Duration::from_millis(2_200),
     idle: Duration::from_secs(5),
     stall: Duration::from_secs(20),
 };
-/// A server's connection rests this long after an answer, in which what follows right behind has come.
+/// How long a connection to a server rests after an answer before it is used again, so that data that follows
+/// the answer directly has arrived.
 const SETTLE_TIME: Duration = Duration::from_millis(10);
-/// A reset comes back from a server, or from what lies before it, within this time.
+/// A reset of a stale connection arrives from the server, or from a proxy before it, within this time.
 const STALE_RESET_WINDOW: Duration = Duration::from_millis(20);
-/// Descriptors for all that is neither a client nor a server: log, timers, discovery, listeners.
+/// Descriptors reserved for everything but clients and servers: log, timers, discovery, listeners.
 const RESERVED_SOCKETS: usize = 48;
 
-/// Requests are counted this often, for this instance's share of the traffic.
+/// How often requests are counted to determine this instance's share of the traffic.
 const REQUEST_COUNT_INTERVAL: Duration = Duration::from_millis(500);
-/// For a goodbye to those that share the servers.
+/// The time limit for telling the other instances of the membership that this one leaves.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// The files that switch parts on.
@@ -64,7 +65,7 @@
 pub fn serve(options: Options) -> Result<(), CommandError> {
     await_socket_pairs()?;
     let runtime = retry_at_start(is_shortage, runtime)?;
-    // Before all else: a signal that comes early must find its handler.
+    // Handlers are installed first, so that an early signal does not kill the process.
     let signals = {
         let _entered = runtime.enter();
         Signals { terminate: signal(SignalKind::terminate())?, hangup: signal(SignalKind::hangup())? }
@@ -78,7 +79,7 @@
     runtime.block_on(run(signals, config, OptionalFeatures { chat, xds, membership }, log))
 }
 
-/// The parts that files have switched on.
+/// The features that command line options enable.
 struct OptionalFeatures {
     chat: Option<ChatConfig>,
     xds: Option<XdsConfig>,
@@ -114,7 +115,7 @@
         metrics: metrics.clone(),
         log: log.clone(),
     };
-    // It goes on beside an end that is planned: until then, drains are still learned of.
+    // Reloads continue during a graceful shutdown, so that drains still take effect.
     let _reload_task = AbortOnDropHandle::new(tokio::spawn(reloader.run(signals.hangup)));
     let serving = Arc::new(AtomicBool::new(false));
     if let Some(ops) = &mut ops {
@@ -137,7 +138,7 @@
     let mut service = match ops {
         Some(ops) => Some(ops.start(&conductor, listeners, &log)),
         None => {
-            // A descriptor that stays open would keep the queue of a listener that has closed.
+            // An open duplicate would keep a listener's queue alive after the listener is closed.
             drop(listeners);
             None
         }
@@ -174,16 +175,17 @@
         }
     });
     if shutdown.await.is_err() {
-        info!(log, "closed before all was done"; "connections" => client_listeners.connections());
+        info!(log, "shutdown timed out"; "connections" => client_listeners.connections());
     }
     if let Some((membership, _quota_task)) = membership {
-        // Nothing is sent from here any more: what it had is the others'.
+        // This instance sends nothing more, so the others take over its share.
         let _ = timeout(LEAVE_TIMEOUT, membership.leave()).await;
     }
     Ok(())
 }
 
-/// Takes part among those that share the servers, and tells the decisions what part is theirs.
+/// Joins the membership of the instances that share the servers, and passes this instance's share of the
+/// quota to the conductor.
 async fn join_membership(
     config: service::MembershipConfig,
     conductor: &Conductor<HttpUpstream>,
@@ -235,7 +237,7 @@
     let upstream = Arc::new(HttpUpstream::new(addresses.clone(), limits, metrics.sends.clone()));
     let Config { name, known_members, names, settings, seed, .. } = config;
     let (log, shared_upstream, metrics) = (log.clone(), upstream.clone(), metrics.clone());
-    // They are known before anything is served.
+    // The exclusions are restored later, before any request is served.
     let excluded = Vec::new();
     let conductor = match xds {
         Some(xds) => {
--- a/daemon/src/command/transfer.rs
+++ b/daemon/src/command/transfer.rs
@@ -1,4 +1,4 @@
-//! `frosttrail transfer`: a node beside a server, and tools to hand it states and to look at it.
+//! `frosttrail transfer`: runs a transfer node beside a server, and sends, fetches and inspects KV caches.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -19,23 +19,23 @@
 
 use super::{logger, random_incarnation, runtime, CommandError};
 
-/// What of an id stays as it is in a file's name.
+/// The characters of a request id that are not percent-encoded in a file name.
 const UNESCAPED: &AsciiSet = &NON_ALPHANUMERIC.remove(b'-').remove(b'_');
-/// Longer names are named by their hash: file systems allow 255 bytes.
+/// A longer file name is replaced with the hash of the id, because file systems allow 255 bytes.
 const MAX_FILE_NAME_BYTES: usize = 200;
 
-/// Why a transfer's command fails.
+/// Why a transfer command fails.
 #[derive(Debug, thiserror::Error)]
 pub enum TransferError {
     #[error("{0}: {1}")]
     File(PathBuf, std::io::Error),
-    #[error("{0} holds no state: {1}")]
+    #[error("{0}: can't be sent as a KV cache: {1}")]
     Store(PathBuf, StoreError),
-    #[error("{0} was not taken: {1}")]
+    #[error("{0}: could not be sent: {1}")]
     Push(RequestId, Cause),
-    #[error("{0} was not had: {1}")]
+    #[error("{0}: could not be fetched: {1}")]
     Fetch(RequestId, FetchError),
-    #[error("{0} was not moved within {1} s")]
+    #[error("{0}: not transferred within {1} s; try again with a larger --within")]
     TimedOut(RequestId, u64),
     #[error("{0}: {1}")]
     Status(SocketAddr, StatusError),
@@ -105,7 +105,7 @@
     RequestId::new(text)
 }
 
-/// Runs one of them.
+/// Runs a transfer command.
 pub fn run(command: Command) -> Result<(), CommandError> {
     let runtime = runtime()?;
     match command {
@@ -136,7 +136,7 @@
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
-            _ = hangup.recv() => info!(log, "SIGHUP: nothing can be changed while it runs"),
+            _ = hangup.recv() => info!(log, "SIGHUP: ignored; restart to change settings"),
             Some(cache) = pushed.recv() => store_pushed(&node, cache, config.store.as_deref(), &log).await,
         }
     }
@@ -156,12 +156,13 @@
         }
     };
     if timeout(config.drain_timeout + config.drain_timeout / 10, drain).await.is_err() {
-        info!(log, "closed before all was done"; "states" => node.status().states);
+        info!(log, "drain timed out"; "states" => node.status().states);
     }
     Ok(())
 }
 
-/// Keeps in the folder what has arrived. Where that fails, or there is no folder, it is held for a taker.
+/// Stores a received KV cache in the folder. If that fails, or there is no folder, holds it in memory to be
+/// fetched.
 async fn store_pushed(
     node: &Node,
     PushedCache { id, cache: state }: PushedCache,
@@ -172,8 +173,10 @@
     if let Some(folder) = store {
         let file = folder.join(file_name(&id));
         match write_atomically(&file, &state).await {
-            Ok(()) => return info!(log, "stored"; "request" => %id, "bytes" => bytes, "file" => ?file),
-            Err(e) => error!(log, "not stored"; "request" => %id, "file" => ?file, "why" => %e),
+            Ok(()) => {
+                return info!(log, "KV cache stored"; "request" => %id, "bytes" => bytes, "file" => ?file)
+            }
+            Err(e) => error!(log, "KV cache not stored"; "request" => %id, "file" => ?file, "why" => %e),
         }
     }
     let held = match node.begin_prefill(id.clone()) {
@@ -181,12 +184,12 @@
         Err(cause) => Err(cause.into()),
     };
     match held {
-        Ok(()) => info!(log, "held"; "request" => %id, "bytes" => bytes),
-        Err(e) => error!(log, "lost"; "request" => %id, "bytes" => bytes, "why" => %e),
+        Ok(()) => info!(log, "KV cache held in memory"; "request" => %id, "bytes" => bytes),
+        Err(e) => error!(log, "KV cache lost"; "request" => %id, "bytes" => bytes, "why" => %e),
     }
 }
 
-/// A name that stays in its folder, whatever the id.
+/// A file name that can't refer outside its folder, whatever the id.
 fn file_name(id: &RequestId) -> String {
     let name = utf8_percent_encode(id.as_str(), UNESCAPED).to_string();
     match name.len() {
@@ -195,7 +198,7 @@
     }
 }
 
-/// Writes a state beside the file, then gives it its name: whoever looks sees all of it or nothing.
+/// Writes a KV cache to a temporary file and renames it, so that readers see the complete file or none.
 async fn write_atomically(file: &Path, state: &ReceivedCache) -> std::io::Result<()> {
     let mut part = file.as_os_str().to_owned();
     part.push(format!(".{}.part", std::process::id()));
--- a/daemon/src/config.rs
+++ b/daemon/src/config.rs
@@ -1,4 +1,5 @@
-//! What a conductor is told at its start: the JSON file that `EDGE_CONFIG` names.
+//! Reads and checks configuration files: the JSON file that `EDGE_CONFIG` names, and those of the chat front,
+//! xDS, the membership and the transfer node.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -17,46 +18,46 @@
 use crate::discovery::{DiscoveryConfig, Listing};
 use crate::transient::is_read_failure;
 
-/// Why the daemon can't start.
+/// Why a configuration is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// The environment names no file.
-    #[error("EDGE_CONFIG is not set: it names the configuration file")]
+    /// `EDGE_CONFIG` is not set.
+    #[error("EDGE_CONFIG is not set; set it to the path of the configuration file")]
     MissingVariable,
     /// The file can't be read.
-    #[error("{0}: {1}")]
+    #[error("{0}: can't read the file: {1}; check that it exists and is readable")]
     Unreadable(PathBuf, std::io::Error),
-    /// It is not what it should be.
-    #[error("{0}: {1}")]
+    /// The file is not JSON, or has missing, unknown or invalid fields.
+    #[error("{0}: {1}; correct the file")]
     Malformed(PathBuf, serde_json::Error),
-    /// The seed is no hexadecimal number.
-    #[error("{0}: seed: not a hexadecimal number of at most 16 digits")]
+    /// The seed is not a hexadecimal number.
+    #[error("{0}: seed: must be a hexadecimal number of at most 16 digits")]
     InvalidSeed(PathBuf),
-    /// A line of the list that was last known can't be read.
-    #[error("{0}: known.targets: {1}")]
+    /// An entry of the last known member list is invalid.
+    #[error("{0}: known.targets: {1}; correct or remove this entry")]
     KnownMembers(PathBuf, String),
-    /// The settings lack something.
-    #[error("{0}: settings: {1}")]
+    /// A setting is missing or invalid.
+    #[error("{0}: settings: {1}; correct the file")]
     Settings(PathBuf, SetupError),
-    /// A file of ours under `deploy/` is not what it should be.
-    #[error("{0}: {1}")]
+    /// A chat, xDS, membership or transfer file, such as those under `deploy/`, is invalid.
+    #[error("{0}: {1}; correct the file")]
     DeployFile(PathBuf, String),
-    /// The environment names an operators' address that is none.
-    #[error("EDGE_OPS: {0}: not an address such as 127.0.0.1:9800")]
+    /// `EDGE_OPS` is not a socket address.
+    #[error("EDGE_OPS: {0}: must be an address and a port, such as 127.0.0.1:9800")]
     OpsAddress(String),
-    /// Too few descriptors to serve anything.
-    #[error("{0}: limits.sockets: {1} are too few, {MIN_SOCKETS} are needed")]
+    /// The limit on descriptors is too low to serve clients.
+    #[error("{0}: limits.sockets: {1} is too low; set it to at least {MIN_SOCKETS}")]
     TooFewSockets(PathBuf, usize),
 }
 
 impl ConfigError {
-    /// Whether the file may be readable a moment later.
+    /// Whether reading the file again may succeed.
     pub fn is_transient(&self) -> bool {
         matches!(self, ConfigError::Unreadable(_, e) if is_read_failure(e))
     }
 }
 
-/// Fewer descriptors than this leave nothing for clients.
+/// With fewer descriptors, none are left for clients.
 const MIN_SOCKETS: usize = 64;
 
 #[derive(Deserialize)]
@@ -80,45 +81,45 @@
 /// A conductor's configuration.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Its name.
+    /// The conductor's name.
     pub name: String,
-    /// Where clients connect.
+    /// The address on which it accepts clients.
     pub listen: SocketAddr,
-    /// Where discovery's agent is.
+    /// The address of the discovery agent.
     pub discovery: SocketAddr,
-    /// Where operators call; without one nothing is opened for them.
+    /// The address of the operators' server, which is not started without one.
     pub ops: Option<SocketAddr>,
-    /// For random numbers.
+    /// Seeds the random number generator.
     pub seed: u64,
-    /// Descriptors that it may hold.
+    /// How many descriptors the process may have open.
     pub max_sockets: usize,
-    /// The list of members as it last had it.
+    /// The last known list of members, used until discovery answers.
     pub known_members: Listing,
     /// The settings.
     pub settings: Settings,
-    /// What the settings' indices stand for.
+    /// The names behind the indices in the settings.
     pub names: ConfiguredNames,
-    /// The file as it was, without the list: what its successor may not lack.
+    /// The file's content without the list of members. A newer configuration must have all of its keys.
     document: Value,
 }
 
-/// Why a configuration can't follow the one in force. Both leave that one in force.
+/// Why a newer configuration can't replace the one in force, which then stays in force.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum SuccessionError {
-    /// It lacks what the one in force has.
+    /// A key of the configuration in force is missing.
     #[error(
-        "{0}: missing, though the configuration in force has it; write the file whole and send SIGHUP again"
+        "{0}: missing, but set in the configuration in force; write the complete file and send SIGHUP again"
     )]
     Missing(String),
-    /// It changes what servers are already known by.
-    #[error("settings.{0}: can't change while the program runs; start the new configuration as an upgrade")]
+    /// A setting differs by which servers are already identified.
+    #[error("settings.{0}: can't change at run time; start a new process with it, as for an upgrade")]
     Fixed(&'static str),
 }
 
-/// Keys that a successor may leave out.
+/// Keys that a newer configuration may omit.
 const OPTIONAL_KEYS: [&str; 4] = ["ops", "aim-stretch", "dedup-scope", "dedup-window"];
 
-/// The first key of an object, or of one within it, that its successor lacks.
+/// Finds the first key of `current`, at any depth, that is missing from `newer`.
 fn missing_key(current: &Value, newer: &Value, path: &str) -> Option<String> {
     let Value::Object(keys) = current else { return None };
     keys.iter().filter(|(key, _)| !OPTIONAL_KEYS.contains(&key.as_str())).find_map(|(key, value)| {
@@ -130,7 +131,7 @@
     })
 }
 
-/// The first key that all classes in force have and one of the successor lacks.
+/// Finds the first key that all current classes have and that one of the newer classes lacks.
 fn missing_class_key(current: &Value, newer: &Value) -> Option<String> {
     let classes = |settings: &Value| settings["grades"].as_array().cloned().unwrap_or_default();
     let (current, newer) = (classes(current), classes(newer));
@@ -142,7 +143,7 @@
 }
 
 impl Config {
-    /// Reads the file that the environment names.
+    /// Reads the file that `EDGE_CONFIG` names; `EDGE_OPS`, if it is not empty, replaces `ops`.
     pub fn from_env() -> Result<Self, ConfigError> {
         let path = std::env::var_os("EDGE_CONFIG").ok_or(ConfigError::MissingVariable)?;
         let config = Config::read(Path::new(&path))?;
@@ -155,13 +156,13 @@
         Ok(Config { ops, ..config })
     }
 
-    /// The size of the file that `EDGE_CONFIG` names; 0 where that can't be told.
+    /// The size in bytes of the file that `EDGE_CONFIG` names; 0 if its metadata can't be read.
     pub fn file_size() -> u64 {
         let path = std::env::var_os("EDGE_CONFIG").unwrap_or_default();
         std::fs::metadata(path).map_or(0, |file| file.len())
     }
 
-    /// Whether a newer configuration is whole and may follow this one while requests are open.
+    /// Checks that a newer configuration is complete and can replace this one while requests are in flight.
     pub fn check_successor(&self, newer: &Config) -> Result<(), SuccessionError> {
         let missing = missing_key(&self.document, &newer.document, "");
         let missing =
@@ -183,8 +184,8 @@
         }
     }
 
-    /// What differs in a newer configuration and can't change while the program runs. The seed and the
-    /// known list are of use at a start only, so that they may differ.
+    /// The keys that differ in a newer configuration and take effect only after a restart. The seed and the
+    /// known members are used only at startup, so they may differ.
     pub fn keys_needing_restart(&self, newer: &Config) -> Vec<&'static str> {
         let differs = [
             ("name", self.name != newer.name),
@@ -195,12 +196,12 @@
         differs.into_iter().filter(|(_, differs)| *differs).map(|(key, _)| key).collect()
     }
 
-    /// What the source of members needs.
+    /// The part of the configuration that service discovery uses.
     pub fn discovery_config(&self) -> DiscoveryConfig {
         DiscoveryConfig { agent: self.discovery, conductors: self.settings.conductors }
     }
 
-    /// Reads a file.
+    /// Reads and checks a configuration file.
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
         let owned_path = || path.to_path_buf();
         let mut raw: Value = read_json(path)?;
@@ -232,14 +233,14 @@
     }
 }
 
-/// Reads a file of JSON.
+/// Reads and deserializes a JSON file.
 fn read_json<T: DeserializeOwned>(path: &Path) -> Result<T, ConfigError> {
     let owned_path = || path.to_path_buf();
     let text = std::fs::read(path).map_err(|e| ConfigError::Unreadable(owned_path(), e))?;
     serde_json::from_slice(&text).map_err(|e| ConfigError::Malformed(owned_path(), e))
 }
 
-/// Where the chat front listens, and what it assumes of requests that do not say.
+/// The fields of the chat front's configuration file.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ChatFile {
@@ -252,27 +253,27 @@
 /// The chat front's configuration.
 #[derive(Debug)]
 pub struct ChatConfig {
-    /// Where it listens.
+    /// The address on which it listens.
     pub listen: SocketAddr,
-    /// Models that clients may name.
+    /// The models that clients may request.
     pub models: Vec<String>,
-    /// The class of a request that names none.
+    /// The class of requests that do not name one.
     pub class: String,
-    /// The answer's limit where none is named.
+    /// The limit on output tokens of requests that do not set one.
     pub max_tokens: u64,
 }
 
-/// Reads a file of ours under `deploy/`, in the older form.
+/// Reads and deserializes a TOML file. The files of the chat front and of xDS are TOML.
 fn read_toml<T: DeserializeOwned>(path: &Path) -> Result<T, ConfigError> {
     let owned_path = || path.to_path_buf();
     let text = std::fs::read_to_string(path).map_err(|e| ConfigError::Unreadable(owned_path(), e))?;
-    // One line for whoever started it: the message without the excerpt that goes with it.
+    // Configuration errors are one line, so the excerpt of the file that follows the message is left out.
     let invalid = |e: toml::de::Error| ConfigError::DeployFile(owned_path(), e.message().replace('\n', " "));
     toml::from_str(&text).map_err(invalid)
 }
 
 impl ChatConfig {
-    /// Reads the file; its class is one of the settings' own.
+    /// Reads the file and checks that the settings define its class.
     pub fn read(path: &Path, settings: &Settings) -> Result<Self, ConfigError> {
         let file: ChatFile = read_toml(path)?;
         if settings.class(&file.class).is_none() {
@@ -295,24 +296,24 @@
     refresh_ms: u64,
 }
 
-/// Where members come from in place of the platform's discovery.
+/// The xDS server that provides the members in place of the platform's discovery.
 #[derive(Clone, Debug)]
 pub struct XdsConfig {
-    /// The server.
+    /// Its address.
     pub server: SocketAddr,
-    /// How often it is asked.
+    /// The interval between its queries.
     pub refresh: Duration,
 }
 
 impl XdsConfig {
-    /// Reads the file.
+    /// Reads the file; an interval of 0 counts as 1 ms.
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
         let XdsFile { server, refresh_ms } = read_toml(path)?;
         Ok(XdsConfig { server, refresh: Duration::from_millis(refresh_ms.max(1)) })
     }
 }
 
-/// A node of the transfer service, as its file has it. Sizes are in KiB and MiB, times in milliseconds.
+/// The fields of a transfer node's configuration file. Absent fields keep the node's defaults.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct TransferFile {
@@ -342,23 +343,23 @@
     drain_ms: Option<u64>,
 }
 
-/// A node of the transfer service.
+/// The configuration of a transfer node.
 #[derive(Clone, Debug)]
 pub struct TransferConfig {
-    /// Its name, in the log.
+    /// Its name in the log.
     pub name: String,
-    /// Where other nodes connect.
+    /// The address on which it accepts other nodes.
     pub listen: SocketAddr,
-    /// The folder for states that arrive; without one they are held for whoever fetches them.
+    /// The folder in which received KV caches are stored; without one they are held in memory to be fetched.
     pub store: Option<PathBuf>,
-    /// How long SIGTERM leaves to what is held.
+    /// How long held KV caches stay available after SIGTERM.
     pub drain_timeout: Duration,
-    /// The node's own settings.
+    /// The settings of the transfer service.
     pub node: NodeConfig,
 }
 
 impl TransferConfig {
-    /// Reads the file.
+    /// Reads and checks the file.
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
         let invalid = |what: &str| ConfigError::DeployFile(path.to_path_buf(), what.to_string());
         let file: TransferFile = read_json(path)?;
@@ -384,7 +385,7 @@
         set_scaled(&mut node.timeouts.silence_timeout, file.silence_ms, 1_000);
         node.max_connections = file.connections.unwrap_or(node.max_connections);
         if let Some(store) = file.store.as_ref().filter(|s| !s.is_dir()) {
-            return Err(invalid(&format!("store: {} is no folder", store.display())));
+            return Err(invalid(&format!("store: {} is no folder or does not exist", store.display())));
         }
         node.check().map_err(|e| invalid(&e.to_string()))?;
         Ok(TransferConfig {
@@ -397,7 +398,7 @@
     }
 }
 
-/// How the conductor takes part among those that share its servers.
+/// The fields of the membership's configuration file.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct MembershipFile {
@@ -407,7 +408,7 @@
     most: u32,
 }
 
-/// Reads how the conductor takes part in a membership.
+/// Reads and checks the configuration of the membership, among whose instances the servers' quota is divided.
 pub fn read_membership(path: &Path) -> Result<MembershipConfig, ConfigError> {
     let file: MembershipFile = read_json(path)?;
     let config = MembershipConfig {
--- a/daemon/src/lib.rs
+++ b/daemon/src/lib.rs
@@ -1,5 +1,6 @@
-//! The conductor's daemon: configuration, fronts, the way to the servers, and discovery. Fronts only
-//! translate; what becomes of a request is settled in `frosttrail-core`.
+//! The conductor's daemon: configuration, fronts for clients, connections to servers, service discovery and
+//! operations. The fronts only translate between protocols; `frosttrail-core` decides how each request is
+//! served.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/daemon/src/listener_handover.rs
+++ b/daemon/src/listener_handover.rs
@@ -1,4 +1,5 @@
-//! Passing the listeners on from one process of a conductor to the next, so that both accept from one queue.
+//! Passes the listening sockets from one process of a conductor to the next over a Unix socket, so that both
+//! accept from the same queue during an upgrade.
 
 use std::io::{IoSlice, IoSliceMut, Result};
 use std::mem::MaybeUninit;
@@ -22,25 +23,25 @@
 
 use crate::state_dir;
 
-/// What goes along with the descriptors; the version of this exchange.
+/// The byte sent along with the descriptors.
 const PROTOCOL_VERSION: &[u8; 1] = b"1";
-/// No process has more listeners.
+/// The most descriptors that are passed; no process has more listeners.
 const MAX_LISTENERS: usize = 4;
-/// A process that has not answered by then is paused or hangs.
+/// A process that does not reply within this time is paused or hangs.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(500);
-/// After a socket that could not be made.
+/// The pause after the handover socket could not be created.
 const BIND_RETRY_DELAY: Duration = Duration::from_millis(500);
-/// After an accept that failed.
+/// The pause after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Listeners that the process before has passed on, and the connection that tells it that this one lives.
+/// Listeners received from the previous process. The connection stays open to show it that this process runs.
 pub struct InheritedListeners {
     listeners: Vec<TcpListener>,
     _predecessor: UnixStream,
 }
 
 impl InheritedListeners {
-    /// Asks the process whose socket lies in this folder; `None` where nobody answers.
+    /// Requests the listeners of the process whose socket is in this folder; `None` if there is no reply.
     pub fn request(folder: &Path, log: &Logger) -> Option<Self> {
         let reply = UnixStream::connect(socket_path(folder)).and_then(receive_listeners);
         match reply {
@@ -55,7 +56,7 @@
         }
     }
 
-    /// The listener of an address, if it is among them.
+    /// Removes and returns the listener bound to an address, if there is one.
     pub fn take(&mut self, address: SocketAddr) -> Option<TcpListener> {
         let index = self
             .listeners
@@ -77,7 +78,7 @@
     let received =
         recvmsg(&predecessor, &mut [IoSliceMut::new(&mut version)], &mut control, RecvFlags::CMSG_CLOEXEC)?;
     if received.bytes == 0 || version != *PROTOCOL_VERSION {
-        return Err(std::io::Error::other("it speaks another version"));
+        return Err(std::io::Error::other("the process uses another version of the handover protocol"));
     }
     let descriptors = control.drain().filter_map(|message| match message {
         RecvAncillaryMessage::ScmRights(descriptors) => Some(descriptors),
@@ -96,37 +97,38 @@
     Ok(())
 }
 
-/// Passes listeners on to whoever asks, for as long as this lives.
+/// Passes the listeners to every process that requests them, until dropped.
 pub struct ListenerHandover {
     successors: watch::Receiver<usize>,
     task: AbortOnDropHandle<()>,
 }
 
 impl ListenerHandover {
-    /// Takes the place of whatever socket lies in the folder, as soon as the folder allows it.
+    /// Starts to offer the listeners on a socket that replaces any socket in the folder. A folder that can't
+    /// be written is tried again.
     pub fn offer(folder: &Path, listeners: Arc<Vec<TcpListener>>, log: Logger) -> Self {
         let (count, successors) = watch::channel(0);
         let task = tokio::spawn(serve_successors(folder.to_path_buf(), listeners, Arc::new(count), log));
         ListenerHandover { successors, task: AbortOnDropHandle::new(task) }
     }
 
-    /// Resolves once its descriptors of the listeners are closed.
+    /// Stops the handover; resolves once its copies of the descriptors are closed.
     pub async fn close(self) {
         self.task.abort();
-        // An error says that it was ended, as it should.
+        // The only expected error is the cancellation.
         let _ = self.task.await;
     }
 
-    /// Whether a process lives that has the listeners too.
+    /// Whether a process runs that has received the listeners.
     pub fn has_successor(&self) -> bool {
         *self.successors.borrow() > 0
     }
 }
 
-/// Puts a socket in the place of whatever lies in the folder.
+/// Binds a socket under a temporary name and renames it over any socket in the folder.
 fn bind(folder: &Path) -> Result<UnixListener> {
     let (path, temporary) = (socket_path(folder), folder.join(format!("listeners.{}", std::process::id())));
-    // Left by a process that had this id before, or by an earlier try.
+    // May be left over from a process with the same id, or from an earlier attempt.
     let _ = std::fs::remove_file(&temporary);
     state_dir::create(folder)?;
     let socket = UnixListener::bind(&temporary)?;
@@ -134,8 +136,8 @@
     Ok(socket)
 }
 
-/// Offers the listeners. A successor takes the place of the socket in the folder; where none is left, this
-/// process takes it again, for the next.
+/// Offers the listeners. A successor replaces the socket in the folder with its own; once all successors have
+/// exited, this process binds the socket again for the next one.
 async fn serve_successors(
     folder: PathBuf,
     listeners: Arc<Vec<TcpListener>>,
@@ -154,9 +156,9 @@
                 }
             }
             Err(e) => {
-                // One line for each outage.
+                // Logs once per outage.
                 if !std::mem::replace(&mut has_failed, true) {
-                    warn!(log, "listeners can't be passed on: an upgrade shares the address only";
+                    warn!(log, "can't offer the listeners: an upgrade shares the address only";
                         "folder" => %folder.display(), "why" => %e);
                 }
                 sleep(BIND_RETRY_DELAY).await;
@@ -165,9 +167,9 @@
     }
 }
 
-/// Resolves once there was a successor and there is none any more.
+/// Resolves once there has been a successor and all successors have exited.
 async fn wait_until_successors_exit(successors: &mut watch::Receiver<usize>) {
-    // The sender lives as long as whoever waits here.
+    // The sender is not dropped while this waits, so these never fail.
     let _ = successors.wait_for(|count| *count > 0).await;
     let _ = successors.wait_for(|count| *count == 0).await;
 }
@@ -182,19 +184,19 @@
         let successor = match socket.accept().await {
             Ok((successor, _)) => successor,
             Err(e) => {
-                warn!(log, "listeners can't be passed on"; "why" => %e);
+                warn!(log, "can't accept on the handover socket"; "why" => %e);
                 sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
         if let Err(e) = send_listeners(&successor, listeners) {
-            warn!(log, "listeners were not passed on"; "why" => %e);
+            warn!(log, "could not send the listeners to another process"; "why" => %e);
             continue;
         }
         let (mut successor, successors) = (successor, successors.clone());
         tokio::spawn(async move {
             successors.send_modify(|count| *count += 1);
-            // It sends nothing: the end of this connection is that of its process.
+            // The successor sends nothing: this connection closes when its process exits.
             while matches!(successor.read(&mut [0]).await, Ok(1..)) {}
             successors.send_modify(|count| *count -= 1);
         });
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! The program: what it is told on its command line, and what its end tells.
+//! The `frosttrail` binary: parses the command line, runs the command and reports its exit status.
 
 #![forbid(unsafe_code)]
 
@@ -50,8 +50,8 @@
     }
 }
 
-/// Help and version as the library words them, a mistake on one line like all else that whoever started the
-/// program has to mend.
+/// Prints help and version as clap does. Prints a usage error as one line and exits with status 2, like a
+/// configuration error.
 fn report_usage_error(error: &clap::Error) -> ExitCode {
     match error.kind() {
         ErrorKind::DisplayHelp
--- a/daemon/src/open_work_files.rs
+++ b/daemon/src/open_work_files.rs
@@ -1,4 +1,5 @@
-//! What each process of a conductor has open at servers, in files that the others read.
+//! Shares the open work at servers among the processes of a conductor: each writes a file that the others
+//! read.
 
 use std::collections::HashMap;
 use std::fs::{self, Metadata};
@@ -11,24 +12,24 @@
 
 use crate::state_dir;
 
-/// A process that lives writes more often than this.
+/// A running process writes its file more often than this.
 const MAX_REPORT_AGE: Duration = Duration::from_secs(1);
-/// A file this old is that of a process that was killed.
+/// A file that has not changed for this long belongs to a process that was killed.
 const ABANDONED_FILE_AGE: Duration = Duration::from_secs(30);
-/// No file is larger.
+/// Larger files are ignored.
 const MAX_FILE_BYTES: u64 = 4 << 20;
 
-/// The folder of such files, and this process's own.
+/// The folder with the files of all processes of a conductor.
 #[derive(Clone, Debug)]
 pub struct OpenWorkFiles {
     folder: PathBuf,
     own_file: PathBuf,
-    /// Which version of each file was seen last, and since when. By this process's clock: the wall clock, and
-    /// with it what a file says of its age, may be stepped.
+    /// The last version seen of each file, and when it was first seen. Uses this process's monotonic clock,
+    /// because the wall clock, and with it a file's modification time, may be stepped.
     versions: Arc<Mutex<HashMap<PathBuf, (FileVersion, Instant)>>>,
 }
 
-/// Tells one writing of a file from the next: each makes a new file.
+/// The inode and modification time of a file, which tell one write from the next: each creates a new file.
 type FileVersion = (u64, i64, i64);
 
 fn file_version(file: &Metadata) -> FileVersion {
@@ -36,14 +37,14 @@
 }
 
 impl OpenWorkFiles {
-    /// Uses a folder below this one, which is made with the first file.
+    /// Uses a subfolder of the state folder, which is created with the first file.
     pub fn in_folder(state: &Path) -> Self {
         let folder = state.join("open-work");
         let own_file = folder.join(std::process::id().to_string());
         OpenWorkFiles { folder, own_file, versions: Arc::default() }
     }
 
-    /// Writes what this process has open, and gives what the others have.
+    /// Writes the open work of this process and returns the sum of that of the others.
     pub fn exchange(&self, own: &OpenWork, now: Instant) -> std::io::Result<OpenWork> {
         state_dir::replace(&self.own_file, serde_json::to_vec(own)?)?;
         let mut versions = self.versions.lock().unwrap_or_else(PoisonError::into_inner);
@@ -71,14 +72,14 @@
         Ok(others)
     }
 
-    /// This process has nothing open any more.
+    /// Removes the file of this process.
     pub fn remove(&self) {
-        // Where it stays, it is passed over soon for its age.
+        // If that fails, the other processes soon ignore the file because of its age.
         let _ = fs::remove_file(&self.own_file);
     }
 }
 
-/// `None` for a file that has gone meanwhile or can't be read.
+/// Returns `None` for a file that has been removed meanwhile or can't be read.
 fn read_file(path: &Path) -> Option<OpenWork> {
     serde_json::from_slice(&fs::read(path).ok()?).ok()
 }
--- a/daemon/src/ops/call.rs
+++ b/daemon/src/ops/call.rs
@@ -1,4 +1,4 @@
-//! What operators may ask, and how each call is answered.
+//! Parses operators' calls and answers them.
 
 use bytes::Bytes;
 use frosttrail::Id;
@@ -7,14 +7,14 @@
 use hyper::header::{HeaderValue, ALLOW, CONTENT_TYPE};
 use hyper::{Method, Response, StatusCode};
 
-/// The longest id of an instance.
+/// The maximum length of an instance's id.
 pub(super) const MAX_ID_BYTES: usize = 256;
 
-/// What the calls act on.
+/// The operations behind the calls.
 pub trait Operations: Send + Sync + 'static {
     /// Whether this process can serve clients now.
     fn is_ready(&self) -> bool;
-    /// The figures, in the text form that Prometheus reads.
+    /// The metrics, in Prometheus' text format.
     fn telemetry(&self) -> Result<String, CallError>;
     /// Takes an instance out of use until it is included again.
     fn exclude(&self, id: &Id) -> Result<(), CallError>;
@@ -22,31 +22,31 @@
     fn include(&self, id: &Id) -> Result<(), CallError>;
 }
 
-/// Why a call is answered with a no. Each says what its caller can do.
+/// Why a call is rejected. Each text tells the caller what to do.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// No such path.
+    /// There is no such path.
     #[error("no such path; use GET /api/ready, GET /api/telemetry, POST /api/exclude or POST /api/include")]
     UnknownPath,
     /// The path takes another method.
     #[error("this path takes {0} only")]
     MethodNotAllowed(Method),
-    /// The body is not one id.
+    /// The body is not a valid id.
     #[error("the body must be the id of one instance, of 1 to {MAX_ID_BYTES} visible ASCII characters")]
     InvalidId,
-    /// The exclusions do not allow it.
+    /// The instance is unknown, or too many would be excluded.
     #[error("{0}")]
     Exclusion(#[from] ExclusionError),
-    /// The decision could not be kept, so that it would not outlive this process.
+    /// The exclusion could not be stored or removed, so the change would not outlive this process.
     #[error(
         "the exclusion could not be stored or removed ({0}), and nothing has changed; see that $TMPDIR can \
          be written and has room, then call again"
     )]
     Storage(#[from] std::io::Error),
-    /// The figures could not be written out.
+    /// The metrics could not be encoded.
     #[error("the figures could not be written ({0}); ask again")]
     Metrics(#[from] prometheus::Error),
-    /// This process can't serve yet, or no more.
+    /// This process does not serve requests yet, or is shutting down.
     #[error("not ready: no instance is known yet, or the process is ending; ask again")]
     NotReady,
 }
@@ -66,7 +66,7 @@
     }
 }
 
-/// A call that has come whole.
+/// A parsed call.
 enum Call {
     Ready,
     Telemetry,
@@ -89,7 +89,7 @@
     }
 }
 
-/// The method that a path takes; `None` where there is no such path.
+/// The method that a path accepts; `None` for an unknown path.
 fn method_of(path: &str) -> Option<Method> {
     match path {
         "/api/ready" | "/api/telemetry" => Some(Method::GET),
@@ -105,12 +105,12 @@
     (is_valid_length && is_visible).then(|| id.into()).ok_or(CallError::InvalidId)
 }
 
-/// Whether a path's call brings a body.
+/// Whether calls to a path have a body.
 pub(super) fn takes_body(path: &str) -> bool {
     method_of(path) == Some(Method::POST)
 }
 
-/// Answers one call.
+/// Carries out a call and builds the response.
 pub(super) fn answer<O: Operations>(
     operations: &O,
     method: &Method,
@@ -138,7 +138,7 @@
     response
 }
 
-/// The error's status, and its one line.
+/// The response for an error: its status, its text as one line, and `Allow` where the method was wrong.
 pub(super) fn error_response(error: &CallError) -> Response<Full<Bytes>> {
     let mut response = text_response(error.status(), format!("{error}\n"));
     if let CallError::MethodNotAllowed(method) = error {
--- a/daemon/src/ops/call_marks.rs
+++ b/daemon/src/ops/call_marks.rs
@@ -1,5 +1,5 @@
-//! Calls of operators beside readings of the folder: what was read before a call, or during one, must not
-//! replace what the call has brought about.
+//! Orders operators' calls and reads of the exclusion folder: exclusions that were read before or during a
+//! call must not overwrite the result of that call.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -9,15 +9,15 @@
     ended: u64,
 }
 
-/// Counts calls that change exclusions; clones share the count.
+/// Counts the calls that change exclusions; clones share the counts.
 #[derive(Clone, Debug, Default)]
 pub struct CallMarks(Arc<Mutex<Counts>>);
 
-/// A moment in which no call was under way.
+/// A point in time at which no call was in progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Mark(u64);
 
-/// A call under way, until it is dropped.
+/// A call in progress, until dropped.
 #[derive(Debug)]
 pub struct CallUnderWay(CallMarks);
 
@@ -26,20 +26,20 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A call begins.
+    /// Records the beginning of a call.
     pub fn begin(&self) -> CallUnderWay {
         self.lock().begun += 1;
         CallUnderWay(self.clone())
     }
 
-    /// Now; `None` while a call is under way.
+    /// Marks the current time; `None` while a call is in progress.
     pub fn mark(&self) -> Option<Mark> {
         let counts = self.lock();
         (counts.begun == counts.ended).then_some(Mark(counts.begun))
     }
 
-    /// Applies what was read since a mark, unless a call has begun since; says whether it did. No call
-    /// begins meanwhile, so that `apply` must be short.
+    /// Runs `apply`, for exclusions read after the mark, unless a call has begun since the mark; returns
+    /// whether it ran. `apply` must be short, because no call can begin meanwhile.
     pub fn apply_since(&self, mark: Mark, apply: impl FnOnce()) -> bool {
         let counts = self.lock();
         let unchanged = counts.begun == mark.0;
--- a/daemon/src/ops/conductor.rs
+++ b/daemon/src/ops/conductor.rs
@@ -1,4 +1,4 @@
-//! Operators' calls as a running conductor carries them out.
+//! Carries out operators' calls on a running conductor.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -10,7 +10,7 @@
 use super::call_marks::CallMarks;
 use super::exclusion_store::ExclusionStore;
 
-/// A conductor, and where its exclusions are kept.
+/// The operations of a conductor and of the store of its exclusions.
 pub struct ConductorOperations<U> {
     conductor: Conductor<U>,
     store: ExclusionStore,
@@ -20,7 +20,7 @@
 }
 
 impl<U: Upstream> ConductorOperations<U> {
-    /// Calls on this conductor; `is_serving` is set while it takes requests.
+    /// Operates on this conductor; `is_serving` is set while it accepts requests.
     pub fn new(
         conductor: Conductor<U>,
         store: ExclusionStore,
@@ -44,10 +44,10 @@
     fn exclude(&self, id: &Id) -> Result<(), CallError> {
         self.conductor.check_known(id)?;
         let _call = self.calls.begin();
-        // Kept before it is said: it must hold over an upgrade that begins right now.
+        // Stored before it takes effect, so that it outlives an upgrade that begins right now.
         self.store.insert(id)?;
         self.conductor.exclude(id).map_err(|error| {
-            // What was not taken must not come back with the next process.
+            // A rejected exclusion must not be restored by the next process.
             let _ = self.store.remove(id);
             error.into()
         })
@@ -56,7 +56,8 @@
     fn include(&self, id: &Id) -> Result<(), CallError> {
         self.conductor.check_known(id)?;
         let _call = self.calls.begin();
-        // In this order: where it can't be removed, it stays out, and its caller hears a no.
+        // Removed from the store first: if that fails, the instance stays excluded, and the caller gets an
+        // error.
         self.store.remove(id)?;
         Ok(self.conductor.include(id)?)
     }
--- a/daemon/src/ops/exclusion_store.rs
+++ b/daemon/src/ops/exclusion_store.rs
@@ -1,5 +1,5 @@
-//! Exclusions as they are kept in a folder: one file for each excluded instance, so that two processes that
-//! share the folder never write over each other, and what was said outlives the process that said it.
+//! Stores exclusions in a folder, so that they outlive the process. There is one file for each excluded
+//! instance, so that two processes that share the folder never overwrite each other's changes.
 
 use std::collections::HashMap;
 use std::fs;
@@ -16,26 +16,27 @@
 
 const FOLDER_NAME: &str = "excluded";
 
-/// The files of one conductor. Clones share what has been read.
+/// The stored exclusions of a conductor. Clones share the cache.
 #[derive(Clone, Debug)]
 pub struct ExclusionStore {
     folder: PathBuf,
-    /// What files hold, by their paths. A name is the hash of the content, so that neither ever changes.
+    /// The ids read from files, by path. The name of a file is the hash of its content, so that entries never
+    /// change.
     cache: Arc<Mutex<HashMap<PathBuf, Id>>>,
 }
 
 impl ExclusionStore {
-    /// Uses a folder below this one, which is made once there is something to keep.
+    /// Uses a subfolder of the state folder, which is created with the first exclusion.
     pub fn in_folder(state: &Path) -> Self {
         ExclusionStore { folder: state.join(FOLDER_NAME), cache: Arc::default() }
     }
 
-    /// Where they are kept.
+    /// The folder of the files.
     pub fn folder(&self) -> &Path {
         &self.folder
     }
 
-    /// What a process that starts finds: nothing, where the folder has never been made.
+    /// Loads the exclusions when a process starts; a folder that does not exist counts as empty.
     pub fn load_at_start(&self, log: &Logger) -> Result<Vec<Id>> {
         match self.load(log) {
             Err(e) if e.kind() == ErrorKind::NotFound => Ok(Vec::new()),
@@ -43,26 +44,26 @@
         }
     }
 
-    /// All that are kept. A file that is damaged is passed over, with a line in the log. Fails where one
-    /// can't be read: it may not be taken for one that is not there. Those that could are not read again, so
-    /// that hundreds of files come together while each now and then can't be read.
+    /// Loads all stored exclusions. Skips damaged files and logs them. Fails if any file can't be read, which
+    /// must not be treated as missing. Files that were read are cached and not read again, so that retries
+    /// succeed in loading hundreds of files even if reads fail now and then.
     pub fn load(&self, log: &Logger) -> Result<Vec<Id>> {
         let (mut excluded, mut last_error) = (HashMap::new(), None);
         let cached = self.cache.lock().unwrap_or_else(PoisonError::into_inner).clone();
         for file in fs::read_dir(&self.folder)? {
             let path = file?.path();
             if path.extension().is_some() {
-                // Being written, or left behind by a process that was killed as it wrote.
+                // A temporary file: being written, or left over from a process that was killed as it wrote.
                 continue;
             }
             let id = cached.get(&path).map_or_else(|| self.read_id(&path), |id| Ok(id.clone()));
             match id {
                 Ok(id) => drop(excluded.insert(path, id)),
-                // Included again meanwhile.
+                // The instance was included again meanwhile.
                 Err(e) if e.kind() == ErrorKind::NotFound => {}
                 Err(e) if e.kind() != ErrorKind::InvalidData => last_error = Some(e),
                 Err(e) => {
-                    warn!(log, "an exclusion is passed over; exclude the instance again, remove the file";
+                    warn!(log, "damaged exclusion file skipped; remove it and exclude the instance again";
                         "file" => %path.display(), "why" => %e);
                 }
             }
@@ -72,17 +73,17 @@
         last_error.map_or(Ok(ids), Err)
     }
 
-    /// When the folder last changed, where the file system says so.
+    /// The folder's modification time, if the file system provides it.
     pub fn last_modified(&self) -> Option<SystemTime> {
         fs::metadata(&self.folder).and_then(|folder| folder.modified()).ok()
     }
 
-    /// Keeps an exclusion; it is whole once this has returned.
+    /// Stores an exclusion; its file is complete when this returns.
     pub fn insert(&self, id: &Id) -> Result<()> {
         state_dir::replace(&self.path(id), id.as_bytes())
     }
 
-    /// Forgets an exclusion, if it is kept.
+    /// Removes an exclusion, if it is stored.
     pub fn remove(&self, id: &Id) -> Result<()> {
         match fs::remove_file(self.path(id)) {
             Err(e) if e.kind() != ErrorKind::NotFound => Err(e),
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Named by the id's hash: ids may hold what file names may not.
+    /// The file is named by the id's hash, because ids may contain characters that file names can't.
     fn path(&self, id: &str) -> PathBuf {
         self.folder.join(blake3::hash(id.as_bytes()).to_hex().as_str())
     }
@@ -102,12 +103,12 @@
             return Err(ErrorKind::IsADirectory.into());
         }
         if file.len() > MAX_ID_BYTES as u64 {
-            return Err(invalid("larger than an id"));
+            return Err(invalid("the file is larger than an id"));
         }
-        let id = String::from_utf8(fs::read(path)?).map_err(|_| invalid("not text"))?;
+        let id = String::from_utf8(fs::read(path)?).map_err(|_| invalid("the content is not UTF-8"))?;
         match self.path(&id) == path {
             true => Ok(id.into()),
-            false => Err(invalid("its name is not the hash of what it holds")),
+            false => Err(invalid("the file name is not the hash of the content")),
         }
     }
 }
--- a/daemon/src/ops/mod.rs
+++ b/daemon/src/ops/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' address: readiness, figures, and instances taken out of use by hand.
+//! The operators' HTTP server: readiness, metrics, and excluding instances from use.
 
 mod call;
 mod call_marks;
--- a/daemon/src/ops/server.rs
+++ b/daemon/src/ops/server.rs
@@ -1,5 +1,5 @@
-//! The server of the operators' address: a thread and a runtime of its own, so that no load of requests
-//! delays an answer, with a bound on connections and on the time of each.
+//! The operators' HTTP server. It has its own thread and runtime, so that the load of client requests never
+//! delays an answer, and limits the number of connections and the duration of each.
 
 use std::collections::VecDeque;
 use std::convert::Infallible;
@@ -24,22 +24,23 @@
 
 use super::call::{answer, error_response, takes_body, CallError, Operations, MAX_ID_BYTES};
 
-/// Connections at a time. One more ends the oldest, which has had its chance: a call takes milliseconds.
+/// The maximum number of open connections. A new connection beyond it closes the oldest, which has had enough
+/// time: a call takes milliseconds.
 const MAX_CONNECTIONS: usize = 16;
-/// A connection ends after this time, whether its call has come or not.
+/// A connection is closed after this time, whether its call has arrived or not.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(2);
-/// After an accept that failed, as when descriptors have run out.
+/// The pause after a failed accept, for example when descriptors have run out.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
-/// White space around an id.
+/// The maximum size of a body: an id with white space around it.
 const MAX_BODY_BYTES: usize = MAX_ID_BYTES + 64;
 
-/// A bound address that answers operators' calls.
+/// A server that is bound to the operators' address.
 pub struct OpsServer {
     listener: TcpListener,
 }
 
 impl OpsServer {
-    /// Binds the address; nothing is answered before [`OpsServer::start`].
+    /// Binds the address; calls are answered only after [`OpsServer::start`].
     pub fn bind(address: SocketAddr) -> std::io::Result<Self> {
         let listener = retry_at_start(is_shortage, || TcpListener::bind(address))?;
         listener.set_nonblocking(true)?;
@@ -56,7 +57,7 @@
             tokio::net::TcpListener::from_std(self.listener)?
         };
         info!(log, "operators' address"; "at" => %address);
-        // Taken by the thread that comes up: one that can't be made leaves it for the next try.
+        // Taken by the thread that starts, so that a failed spawn leaves it for the next attempt.
         let task = Arc::new(Mutex::new(Some((runtime, accept(listener, operations, log)))));
         retry_at_start(is_shortage, || {
             let (task, thread) = (task.clone(), std::thread::Builder::new().name("ops".into()));
@@ -77,7 +78,7 @@
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(e) => {
-                warn!(log, "operators' address: accept"; "why" => %e);
+                warn!(log, "operators' address: accept failed"; "why" => %e);
                 sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
@@ -91,7 +92,7 @@
     }
 }
 
-/// One call, then the end of the connection.
+/// Answers one call, then closes the connection.
 async fn serve<O: Operations>(stream: TcpStream, operations: Arc<O>, log: Logger) {
     let service = service_fn(move |request| {
         let operations = operations.clone();
@@ -103,8 +104,8 @@
         .serve_connection(TokioIo::new(TcpConnection::new(stream)), service);
     match timeout(CONNECTION_TIMEOUT, connection).await {
         Ok(Ok(())) => {}
-        Ok(Err(e)) => debug!(log, "operators' address: connection"; "why" => %e),
-        Err(_) => debug!(log, "operators' address: no whole call came in time"),
+        Ok(Err(e)) => debug!(log, "operators' address: connection failed"; "why" => %e),
+        Err(_) => debug!(log, "operators' address: no complete call arrived in time"),
     }
 }
 
@@ -113,7 +114,7 @@
     let path = head.uri.path();
     let body = match takes_body(path) {
         true => Limited::new(body, MAX_BODY_BYTES).collect().await,
-        // Whatever comes along says nothing here.
+        // The body of any other call is ignored.
         false => return answer(operations, &head.method, path, &[]),
     };
     match body {
--- a/daemon/src/reload.rs
+++ b/daemon/src/reload.rs
@@ -1,4 +1,5 @@
-//! A new configuration for a program that serves: taken whole or not at all.
+//! Reloads the configuration on SIGHUP, without a restart. A new configuration is applied completely or not
+//! at all.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,37 +15,37 @@
 use crate::transient::RETRY_EVERY;
 use crate::upstream::HttpUpstream;
 
-/// A file that can't be read is tried again for so long. What a new configuration names counts as told 4 s
-/// after its signal, and the list of a new agent takes time of its own.
+/// How long an unreadable file is retried. A new configuration counts as known 4 s after its signal, and
+/// getting the member list from a new agent takes time of its own.
 const READ_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// A file of this many bytes takes milliseconds to read, and is read on a thread of its own.
+/// Files of at least this size take milliseconds to read and are read on a separate thread.
 const LARGE_FILE_BYTES: u64 = 256 << 10;
 
-/// Why a file is turned down.
+/// Why a new configuration is rejected.
 #[derive(Debug, thiserror::Error)]
 enum ReloadError {
     #[error("{0}")]
     Config(#[from] ConfigError),
     #[error("{0}")]
     Succession(#[from] SuccessionError),
-    #[error("the file was not read to its end: {0}; send SIGHUP again")]
+    #[error("reading the file was interrupted: {0}; send SIGHUP again")]
     Interrupted(String),
 }
 
-/// Everything that a new configuration reaches.
+/// Reads the configuration again at each signal and applies it to the parts of the daemon.
 pub struct ConfigReloader {
     /// The configuration in force.
     pub config: Config,
-    /// The decisions, and with them the fronts.
+    /// The conductor, and through it the fronts.
     pub conductor: Conductor<HttpUpstream>,
-    /// Connections to instances.
+    /// The connections to servers.
     pub upstream: Arc<HttpUpstream>,
-    /// The source of members.
+    /// Passes new settings to service discovery.
     pub discovery: watch::Sender<DiscoveryConfig>,
-    /// What is counted.
+    /// Counts the configurations that were loaded and rejected.
     pub metrics: Metrics,
-    /// The log.
+    /// Logs the outcome of each reload.
     pub log: Logger,
 }
 
@@ -55,7 +56,7 @@
 }
 
 impl ConfigReloader {
-    /// Reads the file again at each signal. A file that is no good changes nothing.
+    /// Reads the file at each signal. An invalid file changes nothing.
     pub async fn run(mut self, mut hangup: Signal) {
         while hangup.recv().await.is_some() {
             match self.read_with_retries().await {
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Reads the file; one that can't be read for a moment is tried again, as nobody sends the signal twice.
+    /// Reads the file. Transient read errors are retried, because the signal is not sent again.
     async fn read_with_retries(&self) -> Result<Config, ReloadError> {
         let deadline = Instant::now() + READ_TIMEOUT;
         loop {
@@ -81,7 +82,8 @@
         }
     }
 
-    /// The thread that serves does not wait for a file that names thousands of instances.
+    /// Reads large files, which name thousands of instances, on a separate thread so as not to block the
+    /// thread that serves requests.
     async fn read(&self) -> Result<Config, ReloadError> {
         let current = self.config.clone();
         if Config::file_size() < LARGE_FILE_BYTES {
--- a/daemon/src/snapshot_file.rs
+++ b/daemon/src/snapshot_file.rs
@@ -1,4 +1,4 @@
-//! What a process has learned, in a file for the process that takes its place.
+//! Stores the learned state of a conductor in a file, for the process that replaces this one.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -10,58 +10,58 @@
 
 use crate::state_dir;
 
-/// The first word of the file, and the version of what follows.
+/// The first word of the file, which includes the version of the format.
 const MAGIC: &str = "frosttrail-snapshot-2";
-/// No file is larger.
+/// A larger state is not written. A file of more than twice this size is not read.
 const MAX_BODY_BYTES: usize = 4 << 20;
-/// What is older tells of another time.
+/// An older snapshot no longer describes the current state of the servers.
 const MAX_AGE: Duration = Duration::from_secs(10);
 
 /// Why a snapshot is not used, or not written.
 #[derive(Debug, thiserror::Error)]
 pub enum SnapshotError {
-    /// It can't be read or written.
-    #[error("{0}; check that $TMPDIR has room and belongs to this user")]
+    /// The file can't be read or written.
+    #[error("{0}; check that $TMPDIR has free space and belongs to this user")]
     Io(#[from] std::io::Error),
-    /// It is not a snapshot, or one of another version.
+    /// The file is not a snapshot, or has another version.
     #[error("not a snapshot of this version; it will be replaced")]
     UnknownFormat,
-    /// It is not what was written.
+    /// The content does not match its checksum, or the file is incomplete.
     #[error("damaged; it will be replaced")]
     Damaged,
-    /// It was written too long ago.
+    /// The snapshot was written too long ago, or before the machine was last booted.
     #[error("written over {MAX_AGE:?} ago, by a process that is no more; it will be replaced")]
     Expired,
-    /// It has more bytes than are kept.
-    #[error("larger than {MAX_BODY_BYTES} bytes")]
+    /// The snapshot exceeds the size limit.
+    #[error("the snapshot is larger than {MAX_BODY_BYTES} bytes")]
     TooLarge,
 }
 
-/// The file of one conductor.
+/// The snapshot file of a conductor.
 #[derive(Clone, Debug)]
 pub struct SnapshotFile(PathBuf);
 
-/// Where the kernel says which start of the machine this is.
+/// The kernel's random id of the current boot.
 const BOOT_ID: &str = "/proc/sys/kernel/random/boot_id";
 
-/// Since the machine has started: all its processes have this clock, and nobody steps it.
+/// The monotonic clock, which all processes of the machine share and which is never stepped.
 fn uptime() -> Duration {
     let now = clock_gettime(ClockId::Monotonic);
     Duration::new(now.tv_sec.unsigned_abs(), now.tv_nsec.unsigned_abs() as u32)
 }
 
-/// Which start of the machine this is; its clock begins anew with each.
+/// Identifies the current boot: uptimes of different boots are not comparable.
 fn boot_id() -> Result<String, SnapshotError> {
     Ok(fs::read_to_string(BOOT_ID)?.trim().to_string())
 }
 
 impl SnapshotFile {
-    /// The file in a conductor's folder.
+    /// The snapshot file in a conductor's state folder.
     pub fn in_folder(folder: &Path) -> Self {
         SnapshotFile(folder.join("snapshot"))
     }
 
-    /// Replaces the file at once.
+    /// Replaces the file atomically.
     pub fn write(&self, state: &InheritedState) -> Result<(), SnapshotError> {
         let body = serde_json::to_string(state).map_err(|_| SnapshotError::Damaged)?;
         if body.len() > MAX_BODY_BYTES {
@@ -72,7 +72,7 @@
         Ok(state_dir::replace(&self.0, text)?)
     }
 
-    /// What was written last, and how long ago; `None` where nothing was.
+    /// The state that was last written, and its age; `None` if there is no file.
     pub fn read(&self) -> Result<Option<(InheritedState, Duration)>, SnapshotError> {
         match fs::metadata(&self.0) {
             Err(e) if e.kind() == std::io::ErrorKind::NotFound => return Ok(None),
--- a/daemon/src/state_dir.rs
+++ b/daemon/src/state_dir.rs
@@ -1,5 +1,5 @@
-//! The folder in which a conductor keeps what must outlive its process. It may fail for a while: nothing here
-//! is made before it is needed, and what failed half way is cleared away.
+//! The folder in which a conductor stores data that outlives its process. The file system may fail for a
+//! while: folders are created only when needed, and incomplete writes are removed.
 
 use std::fs::{self, DirBuilder};
 use std::io::{ErrorKind, Result};
@@ -7,29 +7,29 @@
 use std::os::unix::fs::DirBuilderExt;
 use std::path::{Path, PathBuf};
 
-/// Hexadecimal digits of a hash that tell conductors apart on one machine.
+/// How many hexadecimal digits of a hash distinguish the conductors of one machine.
 const HASH_DIGITS: usize = 16;
-/// For this user alone: what lies there takes instances out of use.
+/// Access for this user only: the files in the folder can take instances out of use.
 const FOLDER_MODE: u32 = 0o700;
 
-/// Where the folder of the conductor of this name and address is, below `$TMPDIR`. It need not be there.
+/// The path of the state folder of the conductor with this name and address, in `$TMPDIR`. It may not exist.
 pub fn path(name: &str, listen: SocketAddr) -> PathBuf {
     path_below(&std::env::temp_dir(), name, listen)
 }
 
-/// The same below another folder.
+/// The path of the state folder in another parent folder.
 pub fn path_below(parent: &Path, name: &str, listen: SocketAddr) -> PathBuf {
     let hash = blake3::hash(format!("{name} {listen}").as_bytes()).to_hex();
     parent.join(format!("frosttrail-{}", &hash[..HASH_DIGITS]))
 }
 
-/// Makes a folder and those above it, where they are not there.
+/// Creates a folder and its missing parents.
 pub fn create(folder: &Path) -> Result<()> {
     DirBuilder::new().recursive(true).mode(FOLDER_MODE).create(folder)
 }
 
-/// Replaces a file at once: whoever reads it finds all of it or what was there before. Until then it has the
-/// process's id for an extension. A folder that is not there is made.
+/// Replaces a file atomically: readers see either the complete new content or the old one. The temporary file
+/// has the process's id as its extension. A missing folder is created.
 pub fn replace(path: &Path, bytes: impl AsRef<[u8]>) -> Result<()> {
     let temporary = path.with_extension(std::process::id().to_string());
     let written = match fs::write(&temporary, &bytes) {
@@ -40,12 +40,12 @@
         written => written,
     };
     written.and_then(|()| fs::rename(&temporary, path)).inspect_err(|_| {
-        // Half a file would take room that may be what is lacking.
+        // The write may have failed for lack of space, which an incomplete file would use up.
         let _ = fs::remove_file(&temporary);
     })
 }
 
-/// Removes from a folder what processes that are gone were writing when they were killed.
+/// Removes temporary files of processes that no longer run, which were killed as they wrote.
 pub fn remove_leftovers(folder: &Path) {
     let Ok(files) = fs::read_dir(folder) else { return };
     for file in files.flatten() {
