--- a/daemon/src/command/serve.rs
+++ b/daemon/src/command/serve.rs
@@ -117,9 +117,9 @@
     };
     // Reloads continue during a graceful shutdown, so that drains still take effect.
     let _reload_task = AbortOnDropHandle::new(tokio::spawn(reloader.run(signals.hangup)));
-    let serving = Arc::new(AtomicBool::new(false));
+    let is_serving = Arc::new(AtomicBool::new(false));
     if let Some(ops) = &mut ops {
-        ops.answer_calls(&conductor, metrics, serving.clone(), &log)?;
+        ops.answer_calls(&conductor, metrics, is_serving.clone(), &log)?;
         tokio::select! {
             () = ops.restore_exclusions(&conductor, &log) => {}
             _ = signals.terminate.recv() => return Ok(()),
@@ -143,9 +143,9 @@
             None
         }
     };
-    serving.store(true, Ordering::Relaxed);
+    is_serving.store(true, Ordering::Relaxed);
     signals.terminate.recv().await;
-    serving.store(false, Ordering::Relaxed);
+    is_serving.store(false, Ordering::Relaxed);
     let handover = service.as_mut().and_then(OpsService::begin_shutdown);
     let ShutdownSchedule { close_listeners_after, answer_all_after, exit_after } =
         ShutdownSchedule::new(&conductor.settings());
--- a/daemon/src/command/transfer.rs
+++ b/daemon/src/command/transfer.rs
@@ -165,25 +165,25 @@
 /// fetched.
 async fn store_pushed(
     node: &Node,
-    PushedCache { id, cache: state }: PushedCache,
+    PushedCache { id, cache }: PushedCache,
     store: Option<&Path>,
     log: &Logger,
 ) {
-    let bytes = state.length();
+    let bytes = cache.length();
     if let Some(folder) = store {
         let file = folder.join(file_name(&id));
-        match write_atomically(&file, &state).await {
+        match write_atomically(&file, &cache).await {
             Ok(()) => {
                 return info!(log, "KV cache stored"; "request" => %id, "bytes" => bytes, "file" => ?file)
             }
             Err(e) => error!(log, "KV cache not stored"; "request" => %id, "file" => ?file, "why" => %e),
         }
     }
-    let held = match node.begin_prefill(id.clone()) {
-        Ok(prefill) => prefill.store(state.chunks().concat().into()).await,
+    let stored = match node.begin_prefill(id.clone()) {
+        Ok(prefill) => prefill.store(cache.chunks().concat().into()).await,
         Err(cause) => Err(cause.into()),
     };
-    match held {
+    match stored {
         Ok(()) => info!(log, "KV cache held in memory"; "request" => %id, "bytes" => bytes),
         Err(e) => error!(log, "KV cache lost"; "request" => %id, "bytes" => bytes, "why" => %e),
     }
@@ -199,34 +199,34 @@
 }
 
 /// Writes a KV cache to a temporary file and renames it, so that readers see the complete file or none.
-async fn write_atomically(file: &Path, state: &ReceivedCache) -> std::io::Result<()> {
-    let mut part = file.as_os_str().to_owned();
-    part.push(format!(".{}.part", std::process::id()));
+async fn write_atomically(file: &Path, cache: &ReceivedCache) -> std::io::Result<()> {
+    let mut temporary = file.as_os_str().to_owned();
+    temporary.push(format!(".{}.part", std::process::id()));
     let written = async {
-        let mut out = tokio::fs::File::create(&part).await?;
-        for chunk in state.chunks() {
+        let mut out = tokio::fs::File::create(&temporary).await?;
+        for chunk in cache.chunks() {
             out.write_all(chunk).await?;
         }
         out.sync_all().await?;
-        tokio::fs::rename(&part, file).await
+        tokio::fs::rename(&temporary, file).await
     };
     let written: std::io::Result<()> = written.await;
     if written.is_err() {
-        let _ = tokio::fs::remove_file(&part).await;
+        let _ = tokio::fs::remove_file(&temporary).await;
     }
     written
 }
 
 async fn send(args: Send) -> Result<(), CommandError> {
     let Send { file, id, to, chunk, within } = args;
-    let state = std::fs::read(&file).map_err(|e| TransferError::File(file.clone(), e))?;
+    let cache = std::fs::read(&file).map_err(|e| TransferError::File(file.clone(), e))?;
     let (log, _guard) = logger("send");
     let node = Node::new(Config { chunk_bytes: chunk, ..Config::default() }, random_incarnation()?, log);
-    let bytes = state.len();
+    let bytes = cache.len();
     let transfer = async {
         let store_error = |e| TransferError::Store(file.clone(), e);
         let prefill = node.begin_prefill(id.clone()).map_err(|e| store_error(e.into()))?;
-        prefill.store(state.into()).await.map_err(store_error)?;
+        prefill.store(cache.into()).await.map_err(store_error)?;
         node.push(&id, to).await.map_err(|e| TransferError::Push(id.clone(), e))
     };
     let result = timeout(Duration::from_secs(within), transfer).await;
@@ -242,9 +242,9 @@
     let limit = Duration::from_secs(within);
     let result = timeout(limit, node.fetch(&id, &from, Some(limit))).await;
     let result = result.map_err(|_| TransferError::TimedOut(id.clone(), within))?;
-    let state = result.map_err(|e| TransferError::Fetch(id.clone(), e))?;
-    write_atomically(&out, &state).await.map_err(|e| TransferError::File(out.clone(), e))?;
-    println!("{id}: {} bytes are in {}", state.length(), out.display());
+    let cache = result.map_err(|e| TransferError::Fetch(id.clone(), e))?;
+    write_atomically(&out, &cache).await.map_err(|e| TransferError::File(out.clone(), e))?;
+    println!("{id}: {} bytes are in {}", cache.length(), out.display());
     Ok(())
 }
 
