--- a/daemon/src/ops/call.rs
+++ b/daemon/src/ops/call.rs
@@ -1,4 +1,4 @@
-//! What operators may ask, and how each call is answered.
+//! Parses operators' calls and answers them.
 
 use bytes::Bytes;
 use frosttrail::Id;
@@ -7,14 +7,14 @@
 use hyper::header::{HeaderValue, ALLOW, CONTENT_TYPE};
 use hyper::{Method, Response, StatusCode};
 
-/// The longest id of an instance.
-pub(super) const ID_BYTES_MAX: usize = 256;
+/// The maximum length of an instance's id.
+pub(super) const MAX_ID_BYTES: usize = 256;
 
-/// What the calls act on.
+/// The operations behind the calls.
 pub trait Operations: Send + Sync + 'static {
     /// Whether this process can serve clients now.
     fn is_ready(&self) -> bool;
-    /// The figures, in the text form that Prometheus reads.
+    /// The metrics, in Prometheus' text format.
     fn telemetry(&self) -> Result<String, CallError>;
     /// Takes an instance out of use until it is included again.
     fn exclude(&self, id: &Id) -> Result<(), CallError>;
@@ -22,31 +22,31 @@
     fn include(&self, id: &Id) -> Result<(), CallError>;
 }
 
-/// Why a call is answered with a no. Each says what its caller can do.
+/// Why a call is rejected. Each text tells the caller what to do.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// No such path.
+    /// There is no such path.
     #[error("no such path; use GET /api/ready, GET /api/telemetry, POST /api/exclude or POST /api/include")]
-    Path,
+    UnknownPath,
     /// The path takes another method.
     #[error("this path takes {0} only")]
-    Method(Method),
-    /// The body is not one id.
-    #[error("the body must be the id of one instance, of 1 to {ID_BYTES_MAX} visible ASCII characters")]
-    Id,
-    /// The exclusions do not allow it.
+    MethodNotAllowed(Method),
+    /// The body is not a valid id.
+    #[error("the body must be the id of one instance, of 1 to {MAX_ID_BYTES} visible ASCII characters")]
+    InvalidId,
+    /// The instance is unknown, or too many would be excluded.
     #[error("{0}")]
     Exclusion(#[from] ExclusionError),
-    /// The decision could not be kept, so that it would not outlive this process.
+    /// The exclusion could not be stored or removed, so the change would not outlive this process.
     #[error(
         "the exclusion could not be stored or removed ({0}), and nothing has changed; see that $TMPDIR can \
          be written and has room, then call again"
     )]
     Storage(#[from] std::io::Error),
-    /// The figures could not be written out.
+    /// The metrics could not be encoded.
     #[error("the figures could not be written ({0}); ask again")]
-    Figures(#[from] prometheus::Error),
-    /// This process can't serve yet, or no more.
+    Metrics(#[from] prometheus::Error),
+    /// This process does not serve requests yet, or is shutting down.
     #[error("not ready: no instance is known yet, or the process is ending; ask again")]
     NotReady,
 }
@@ -54,19 +54,19 @@
 impl CallError {
     fn status(&self) -> StatusCode {
         match self {
-            CallError::Path => StatusCode::NOT_FOUND,
+            CallError::UnknownPath => StatusCode::NOT_FOUND,
             CallError::Exclusion(ExclusionError::Unknown) => StatusCode::NOT_FOUND,
             CallError::Exclusion(ExclusionError::TooMany) => StatusCode::CONFLICT,
-            CallError::Method(_) => StatusCode::METHOD_NOT_ALLOWED,
-            CallError::Id => StatusCode::BAD_REQUEST,
+            CallError::MethodNotAllowed(_) => StatusCode::METHOD_NOT_ALLOWED,
+            CallError::InvalidId => StatusCode::BAD_REQUEST,
             CallError::Storage(_) => StatusCode::INSUFFICIENT_STORAGE,
             CallError::NotReady => StatusCode::SERVICE_UNAVAILABLE,
-            CallError::Figures(_) => StatusCode::INTERNAL_SERVER_ERROR,
+            CallError::Metrics(_) => StatusCode::INTERNAL_SERVER_ERROR,
         }
     }
 }
 
-/// A call that has come whole.
+/// A parsed call.
 enum Call {
     Ready,
     Telemetry,
@@ -76,9 +76,9 @@
 
 impl Call {
     fn parse(method: &Method, path: &str, body: &[u8]) -> Result<Self, CallError> {
-        let takes = method_of(path).ok_or(CallError::Path)?;
-        if *method != takes {
-            return Err(CallError::Method(takes));
+        let allowed = method_of(path).ok_or(CallError::UnknownPath)?;
+        if *method != allowed {
+            return Err(CallError::MethodNotAllowed(allowed));
         }
         match path {
             "/api/ready" => Ok(Call::Ready),
@@ -89,7 +89,7 @@
     }
 }
 
-/// The method that a path takes; `None` where there is no such path.
+/// The method that a path accepts; `None` for an unknown path.
 fn method_of(path: &str) -> Option<Method> {
     match path {
         "/api/ready" | "/api/telemetry" => Some(Method::GET),
@@ -99,32 +99,32 @@
 }
 
 fn instance_id(body: &[u8]) -> Result<Id, CallError> {
-    let id = std::str::from_utf8(body).map_err(|_| CallError::Id)?.trim();
-    let fits = (1..=ID_BYTES_MAX).contains(&id.len());
-    let visible = id.bytes().all(|byte| byte.is_ascii_graphic());
-    (fits && visible).then(|| id.into()).ok_or(CallError::Id)
+    let id = std::str::from_utf8(body).map_err(|_| CallError::InvalidId)?.trim();
+    let is_valid_length = (1..=MAX_ID_BYTES).contains(&id.len());
+    let is_visible = id.bytes().all(|byte| byte.is_ascii_graphic());
+    (is_valid_length && is_visible).then(|| id.into()).ok_or(CallError::InvalidId)
 }
 
-/// Whether a path's call brings a body.
+/// Whether calls to a path have a body.
 pub(super) fn takes_body(path: &str) -> bool {
     method_of(path) == Some(Method::POST)
 }
 
-/// Answers one call.
+/// Carries out a call and builds the response.
 pub(super) fn answer<O: Operations>(
     operations: &O,
     method: &Method,
     path: &str,
     body: &[u8],
 ) -> Response<Full<Bytes>> {
-    let done = Call::parse(method, path, body).and_then(|call| match call {
+    let result = Call::parse(method, path, body).and_then(|call| match call {
         Call::Ready if operations.is_ready() => Ok("ready\n".to_string()),
         Call::Ready => Err(CallError::NotReady),
         Call::Telemetry => operations.telemetry(),
         Call::Exclude(id) => operations.exclude(&id).map(|()| format!("excluded {id}\n")),
         Call::Include(id) => operations.include(&id).map(|()| format!("included {id}\n")),
     });
-    match done {
+    match result {
         Ok(text) => text_response(StatusCode::OK, text),
         Err(error) => error_response(&error),
     }
@@ -133,15 +133,15 @@
 fn text_response(status: StatusCode, text: String) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from(text)));
     *response.status_mut() = status;
-    let plain = HeaderValue::from_static("text/plain; version=0.0.4; charset=utf-8");
-    response.headers_mut().insert(CONTENT_TYPE, plain);
+    let content_type = HeaderValue::from_static("text/plain; version=0.0.4; charset=utf-8");
+    response.headers_mut().insert(CONTENT_TYPE, content_type);
     response
 }
 
-/// The error's status, and its one line.
+/// The response for an error: its status, its text as one line, and `Allow` where the method was wrong.
 pub(super) fn error_response(error: &CallError) -> Response<Full<Bytes>> {
     let mut response = text_response(error.status(), format!("{error}\n"));
-    if let CallError::Method(method) = error {
+    if let CallError::MethodNotAllowed(method) = error {
         if let Ok(allowed) = HeaderValue::from_str(method.as_str()) {
             response.headers_mut().insert(ALLOW, allowed);
         }
--- a/daemon/src/ops/server.rs
+++ b/daemon/src/ops/server.rs
@@ -1,5 +1,5 @@
-//! The server of the operators' address: a thread and a runtime of its own, so that no load of requests
-//! delays an answer, with a bound on connections and on the time of each.
+//! The operators' HTTP server. It has its own thread and runtime, so that the load of client requests never
+//! delays an answer, and limits the number of connections and the duration of each.
 
 use std::collections::VecDeque;
 use std::convert::Infallible;
@@ -22,24 +22,25 @@
 use crate::tcp::TcpConnection;
 use crate::transient::{is_resource_shortage, retry_at_start};
 
-use super::call::{answer, error_response, takes_body, CallError, Operations, ID_BYTES_MAX};
+use super::call::{answer, error_response, takes_body, CallError, Operations, MAX_ID_BYTES};
 
-/// Connections at a time. One more ends the oldest, which has had its chance: a call takes milliseconds.
-const CONNECTIONS_MAX: usize = 16;
-/// A connection ends after this time, whether its call has come or not.
-const CONNECTION_TIME: Duration = Duration::from_secs(2);
-/// After an accept that failed, as when descriptors have run out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
-/// White space around an id.
-const BODY_BYTES_MAX: usize = ID_BYTES_MAX + 64;
+/// The maximum number of open connections. A new connection beyond it closes the oldest, which has had enough
+/// time: a call takes milliseconds.
+const MAX_CONNECTIONS: usize = 16;
+/// A connection is closed after this time, whether its call has arrived or not.
+const CONNECTION_TIMEOUT: Duration = Duration::from_secs(2);
+/// The pause after a failed accept, for example when descriptors have run out.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
+/// The maximum size of a body: an id with white space around it.
+const MAX_BODY_BYTES: usize = MAX_ID_BYTES + 64;
 
-/// A bound address that answers operators' calls.
+/// A server that is bound to the operators' address.
 pub struct OpsServer {
     listener: TcpListener,
 }
 
 impl OpsServer {
-    /// Binds the address; nothing is answered before [`OpsServer::start`].
+    /// Binds the address; calls are answered only after [`OpsServer::start`].
     pub fn bind(address: SocketAddr) -> std::io::Result<Self> {
         let listener = retry_at_start(is_resource_shortage, || TcpListener::bind(address))?;
         listener.set_nonblocking(true)?;
@@ -56,14 +57,14 @@
             tokio::net::TcpListener::from_std(self.listener)?
         };
         info!(log, "operators' address"; "at" => %address);
-        // Taken by the thread that comes up: one that can't be made leaves it for the next try.
-        let work = Arc::new(Mutex::new(Some((runtime, accept(listener, operations, log)))));
+        // Taken by the thread that starts, so that a failed spawn leaves it for the next attempt.
+        let task = Arc::new(Mutex::new(Some((runtime, accept(listener, operations, log)))));
         retry_at_start(is_resource_shortage, || {
-            let (work, thread) = (work.clone(), std::thread::Builder::new().name("ops".into()));
+            let (task, thread) = (task.clone(), std::thread::Builder::new().name("ops".into()));
             thread.spawn(move || {
-                let taken = work.lock().unwrap_or_else(PoisonError::into_inner).take();
-                if let Some((runtime, accepting)) = taken {
-                    runtime.block_on(accepting);
+                let task = task.lock().unwrap_or_else(PoisonError::into_inner).take();
+                if let Some((runtime, accept_loop)) = task {
+                    runtime.block_on(accept_loop);
                 }
             })
         })?;
@@ -77,21 +78,21 @@
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(e) => {
-                warn!(log, "operators' address: accept"; "why" => %e);
-                sleep(ACCEPT_PAUSE).await;
+                warn!(log, "operators' address: accept failed"; "why" => %e);
+                sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
         connections.retain(|connection| !connection.is_finished());
-        if connections.len() >= CONNECTIONS_MAX {
+        if connections.len() >= MAX_CONNECTIONS {
             connections.pop_front();
         }
-        let served = serve(stream, operations.clone(), log.clone());
-        connections.push_back(AbortOnDropHandle::new(tokio::spawn(served)));
+        let connection = serve(stream, operations.clone(), log.clone());
+        connections.push_back(AbortOnDropHandle::new(tokio::spawn(connection)));
     }
 }
 
-/// One call, then the end of the connection.
+/// Answers one call, then closes the connection.
 async fn serve<O: Operations>(stream: TcpStream, operations: Arc<O>, log: Logger) {
     let service = service_fn(move |request| {
         let operations = operations.clone();
@@ -101,10 +102,10 @@
         .timer(TokioTimer::new())
         .keep_alive(false)
         .serve_connection(TokioIo::new(TcpConnection::new(stream)), service);
-    match timeout(CONNECTION_TIME, connection).await {
+    match timeout(CONNECTION_TIMEOUT, connection).await {
         Ok(Ok(())) => {}
-        Ok(Err(e)) => debug!(log, "operators' address: connection"; "why" => %e),
-        Err(_) => debug!(log, "operators' address: no whole call came in time"),
+        Ok(Err(e)) => debug!(log, "operators' address: connection failed"; "why" => %e),
+        Err(_) => debug!(log, "operators' address: no complete call arrived in time"),
     }
 }
 
@@ -112,12 +113,12 @@
     let (head, body) = request.into_parts();
     let path = head.uri.path();
     let body = match takes_body(path) {
-        true => Limited::new(body, BODY_BYTES_MAX).collect().await,
-        // Whatever comes along says nothing here.
+        true => Limited::new(body, MAX_BODY_BYTES).collect().await,
+        // The body of any other call is ignored.
         false => return answer(operations, &head.method, path, &[]),
     };
     match body {
         Ok(body) => answer(operations, &head.method, path, &body.to_bytes()),
-        Err(_) => error_response(&CallError::Id),
+        Err(_) => error_response(&CallError::InvalidId),
     }
 }
