--- a/daemon/tests/chat.rs
+++ b/daemon/tests/chat.rs
@@ -30,7 +30,7 @@
     assert_eq!((answer.status, answer.whole), (200, true));
     assert_eq!(answer.body, [EVENT, LAST, USAGE, DONE].concat());
     assert_eq!(answer.header("x-request-id"), Some("t-1"));
-    let (read, wrote) = (site.reader.posts(), site.writer.posts());
+    let (read, wrote) = (site.prefill.posts(), site.decode.posts());
     assert_eq!((read.len(), wrote.len()), (1, 1));
     assert_eq!(wrote[0].body, body.to_string(), "the body passes unchanged");
 }
@@ -52,7 +52,7 @@
     assert_eq!(object["choices"][0]["message"], json!({"role": "assistant", "content": "Table booked"}));
     assert_eq!(object["choices"][0]["finish_reason"], "stop");
     assert_eq!(object["usage"]["total_tokens"], 14);
-    let sent: Value = serde_json::from_str(&site.writer.posts()[0].body).unwrap();
+    let sent: Value = serde_json::from_str(&site.decode.posts()[0].body).unwrap();
     assert_eq!((&sent["stream"], &sent["stream_options"]["include_usage"]), (&json!(true), &json!(true)));
 }
 
@@ -61,7 +61,7 @@
     let site = Site::start().await;
     exchange(site.chat, &ask("authorization: Bearer secret\r\n", true)).await;
     exchange(site.chat, &ask("x-lane: ask\r\nx-remaining: 4000m\r\n", true)).await;
-    let got = site.reader.posts();
+    let got = site.prefill.posts();
     let value = |n: usize, name: &str| {
         let line = got[n].head.lines().find_map(|l| l.strip_prefix(name)).unwrap();
         line.trim_start_matches(": ").to_string()
@@ -81,81 +81,81 @@
 #[tokio::test]
 async fn a_client_that_drops_while_a_book_is_written_ends_the_one_attempt() {
     let mut site = Site::start().await;
-    site.writer.next(Does::StallsAfter(&[EVENT]));
+    site.decode.next(Behavior::StallsAfter(&[EVENT]));
     let mut client = send(site.chat, &ask("x-lane: book\r\n", true)).await;
     let mut seen = Vec::new();
     while !String::from_utf8_lossy(&seen).contains("Table") {
         assert!(client.read_buf(&mut seen).await.unwrap() > 0);
     }
     drop(client);
-    site.writer.given_up.recv().await.unwrap();
+    site.decode.aborts.recv().await.unwrap();
     // The conductor is as able as before, and the book went to the writer once.
     assert_eq!(exchange(site.chat, &ask("x-lane: ask\r\n", true)).await.status, 200);
-    let books = site.writer.posts().iter().filter(|g| g.head.contains("x-lane: book")).count();
+    let books = site.decode.posts().iter().filter(|g| g.head.contains("x-lane: book")).count();
     assert_eq!(books, 1);
 }
 
 #[tokio::test]
 async fn a_client_that_drops_before_the_answer_begins_lets_go_of_the_state() {
     let mut site = Site::start().await;
-    site.writer.next(Does::Silent);
+    site.decode.next(Behavior::StaysSilent);
     let client = send(site.chat, &ask("x-lane: book\r\nx-txn: t-9\r\n", true)).await;
-    while site.writer.posts().is_empty() {
+    while site.decode.posts().is_empty() {
         tokio::task::yield_now().await;
     }
     drop(client);
-    site.writer.given_up.recv().await.unwrap();
+    site.decode.aborts.recv().await.unwrap();
     // The reader was heard last, so it is asked first; any server lets go of state wherever it is.
-    let released = tokio::time::timeout(Duration::from_secs(30), site.reader.released.recv()).await;
+    let released = tokio::time::timeout(Duration::from_secs(30), site.prefill.releases.recv()).await;
     assert!(released.unwrap().is_some());
-    let deletes = |g: &Got| g.line == "DELETE /state/t-9 HTTP/1.1";
-    assert!(site.reader.got.lock().unwrap().iter().any(deletes));
-    assert_eq!(site.writer.posts().len(), 1);
+    let deletes = |g: &ReceivedRequest| g.line == "DELETE /state/t-9 HTTP/1.1";
+    assert!(site.prefill.requests.lock().unwrap().iter().any(deletes));
+    assert_eq!(site.decode.posts().len(), 1);
 }
 
 #[tokio::test]
 async fn a_stream_without_a_final_event_is_never_completed() {
-    for does in [Does::Streams(&[EVENT, LAST]), Does::BreaksAfter(&[EVENT])] {
+    for does in [Behavior::Streams(&[EVENT, LAST]), Behavior::BreaksAfter(&[EVENT])] {
         let site = Site::start().await;
-        site.writer.next(does.clone());
+        site.decode.next(does.clone());
         let answer = exchange(site.chat, &ask("x-lane: book\r\n", true)).await;
         assert_eq!((answer.status, answer.whole), (200, false), "{does:?}");
         assert!(answer.body.starts_with(EVENT) && !answer.body.contains("[DONE]"));
-        assert_eq!(site.writer.posts().len(), 1, "{does:?}");
+        assert_eq!(site.decode.posts().len(), 1, "{does:?}");
 
-        site.writer.next(does.clone());
+        site.decode.next(does.clone());
         let answer = exchange(site.chat, &ask("x-lane: book\r\n", false)).await;
         assert_eq!((answer.status, &answer.json()["error"]["type"]), (502, &json!("server_error")));
         assert_eq!(answer.header("x-should-retry"), Some("false"));
-        assert_eq!(site.writer.posts().len(), 2, "{does:?}");
+        assert_eq!(site.decode.posts().len(), 2, "{does:?}");
     }
 }
 
 #[tokio::test]
 async fn a_book_that_may_have_run_fails_and_an_ask_is_tried_again() {
-    for does in [Does::Resets, Does::Says(500, false, "{}"), Does::Streams(&[])] {
+    for does in [Behavior::Disconnects, Behavior::Responds(500, false, "{}"), Behavior::Streams(&[])] {
         let site = Site::start().await;
-        site.writer.next(does.clone());
+        site.decode.next(does.clone());
         let answer = exchange(site.chat, &ask("x-lane: book\r\n", true)).await;
         assert_eq!((answer.status, answer.header("retry-after")), (502, None), "{does:?}");
-        assert_eq!(site.writer.posts().len(), 1, "{does:?}");
+        assert_eq!(site.decode.posts().len(), 1, "{does:?}");
 
-        site.writer.next(does.clone());
+        site.decode.next(does.clone());
         assert_eq!(exchange(site.chat, &ask("x-lane: ask\r\n", true)).await.status, 200, "{does:?}");
-        assert_eq!(site.writer.posts().len(), 3, "{does:?}");
+        assert_eq!(site.decode.posts().len(), 3, "{does:?}");
     }
 }
 
 #[tokio::test]
 async fn deadlines_bring_the_one_answer_that_the_class_allows() {
     let mut site = Site::start().await;
-    site.writer.next(Does::Silent);
+    site.decode.next(Behavior::StaysSilent);
     let book = exchange(site.chat, &ask("x-lane: book\r\nx-remaining: 200m\r\n", true)).await;
     assert_eq!((book.status, &book.json()["error"]["code"]), (504, &json!("timeout")));
-    assert_eq!(site.writer.posts().len(), 1);
-    site.writer.given_up.recv().await.unwrap();
+    assert_eq!(site.decode.posts().len(), 1);
+    site.decode.aborts.recv().await.unwrap();
 
-    site.reader.next(Does::Silent);
+    site.prefill.next(Behavior::StaysSilent);
     let ask = exchange(site.chat, &ask("x-lane: ask\r\nx-remaining: 200m\r\n", true)).await;
     assert_eq!((ask.status, &ask.json()["error"]["code"]), (429, &json!("rate_limit_exceeded")));
     // The advice of the decisions: at most 2 s by the settings; whole seconds are rounded up.
@@ -168,7 +168,7 @@
 async fn a_request_that_was_turned_away_everywhere_is_refused_with_advice() {
     let site = Site::start().await;
     for _ in 0..4 {
-        site.writer.next(Does::Says(503, true, ""));
+        site.decode.next(Behavior::Responds(503, true, ""));
     }
     let answer = exchange(site.chat, &ask("x-lane: book\r\n", true)).await;
     assert_eq!((answer.status, answer.header("x-should-retry")), (429, Some("true")));
@@ -178,7 +178,7 @@
 #[tokio::test]
 async fn refusals_tell_a_fleet_out_of_reach_from_a_full_one() {
     let mut site = Site::start().await;
-    site.reader.refuse_all().await;
+    site.prefill.refuse_all().await;
     let answer = exchange(site.chat, &ask("x-remaining: 200m\r\n", true)).await;
     assert_eq!((answer.status, &answer.json()["error"]["code"]), (503, &json!("service_unavailable")));
     assert!(answer.header("retry-after").is_some());
@@ -212,5 +212,5 @@
         assert_eq!(error["type"], "invalid_request_error");
         assert!(!error["message"].as_str().unwrap().is_empty());
     }
-    assert!(site.reader.posts().is_empty(), "nothing of this reaches a box");
+    assert!(site.prefill.posts().is_empty(), "nothing of this reaches a box");
 }
--- a/daemon/tests/closes.rs
+++ b/daemon/tests/closes.rs
@@ -17,7 +17,7 @@
 const LATEST: Duration = Duration::from_secs(20);
 
 fn request(id: &str) -> String {
-    kept(&chat(id, "ask", 7_000))
+    keep_alive(&chat(id, "ask", 7_000))
 }
 
 /// Reads all there is; an error is a reset, which may have destroyed what came before it.
@@ -64,7 +64,7 @@
 }
 
 async fn resting(to: SocketAddr) -> TcpStream {
-    let mut client = send(to, &kept(READY)).await;
+    let mut client = send(to, &keep_alive(READY)).await;
     let mut seen = Vec::new();
     while !seen.ends_with(b"ready\n") {
         assert!(client.read_buf(&mut seen).await.unwrap() > 0);
@@ -79,7 +79,7 @@
         let (mut answered, mut sent_on) = (0, 0);
         for round in 0..12 {
             let idle = if closes { LATEST } else { Duration::from_millis(40) };
-            let site = Site::with(ClientTimeouts { idle, ..CLIENT_TIMEOUTS }).await;
+            let site = Site::with_timeouts(ClientTimeouts { idle, ..CLIENT_TIMEOUTS }).await;
             let mut asks = JoinSet::new();
             for n in 0..7 {
                 let client = resting(site.platform).await;
@@ -88,10 +88,10 @@
             }
             if closes {
                 sleep(Duration::from_micros(900)).await;
-                timeout(LATEST, site.doors.close()).await.expect("the end in time");
+                timeout(LATEST, site.listeners.close()).await.expect("the end in time");
             }
             answered += asks.join_all().await.into_iter().filter(|answered| *answered).count();
-            sent_on += site.writer.posts().len();
+            sent_on += site.decode.posts().len();
         }
         assert_eq!(
             answered, sent_on,
@@ -104,7 +104,7 @@
 #[tokio::test]
 async fn small_events_pass_as_they_come() {
     let site = Site::start().await;
-    site.writer.next(Does::Ticks(80, 5));
+    site.decode.next(Behavior::StreamsTimestamps(80, 5));
     let mut client = send(site.platform, &request("ticks")).await;
     let (mut seen, mut lags) = (String::new(), Vec::new());
     while !seen.contains("[DONE]") {
@@ -114,7 +114,7 @@
         let read = timeout(LATEST, client.read(&mut bytes)).await.expect("events").unwrap();
         assert!(read > 0, "{seen:?}");
         seen.push_str(std::str::from_utf8(&bytes[..read]).unwrap());
-        let now = micros();
+        let now = unix_micros();
         let known = lags.len();
         let times =
             seen.split("{\"at\":").skip(1 + known).filter_map(|t| t.split_once('}')?.0.parse::<u64>().ok());
@@ -132,7 +132,8 @@
     for evicts in [false, true] {
         let (mut answered, mut sent_on, mut ended) = (0, 0, 0);
         for round in 0..6u64 {
-            let site = Site::with(ClientTimeouts { idle: Duration::from_secs(1), ..CLIENT_TIMEOUTS }).await;
+            let site =
+                Site::with_timeouts(ClientTimeouts { idle: Duration::from_secs(1), ..CLIENT_TIMEOUTS }).await;
             let mut asks = JoinSet::new();
             for n in 0..7u64 {
                 let id = format!("{evicts}-{round}-{n}");
@@ -153,7 +154,7 @@
             let all = asks.join_all().await;
             ended += all.iter().filter(|answered| !**answered).count();
             answered += all.iter().filter(|answered| **answered).count();
-            sent_on += site.writer.posts().len();
+            sent_on += site.decode.posts().len();
         }
         assert_eq!(answered, sent_on, "evicts: {evicts}: sent on, and ended without the answer");
         assert!(
--- a/daemon/tests/commands.rs
+++ b/daemon/tests/commands.rs
@@ -90,12 +90,12 @@
         let mut child = program().args(serve).stderr(Stdio::piped()).spawn().unwrap();
         let log = BufReader::new(child.stderr.take().unwrap());
         let mut serving = Serving { child, log, at: String::new() };
-        let line = serving.logs("listening, at: ");
+        let line = serving.wait_for_log("listening, at: ");
         serving.at = line.split_once("at: ").unwrap().1.split(',').next().unwrap().to_string();
         serving
     }
 
-    fn logs(&mut self, words: &str) -> String {
+    fn wait_for_log(&mut self, words: &str) -> String {
         let mut line = String::new();
         while !line.contains(words) {
             line.clear();
@@ -108,7 +108,7 @@
         assert!(Command::new("kill").args([name, &self.child.id().to_string()]).status().unwrap().success());
     }
 
-    fn ends_well(mut self) {
+    fn expect_clean_exit(mut self) {
         self.signal("-TERM");
         assert_eq!(self.child.wait().unwrap().code(), Some(0));
     }
@@ -132,7 +132,7 @@
     let (from, out, at) = (from.to_str().unwrap(), to.to_str().unwrap(), serving.at.clone());
     let sent = run(&["transfer", "send", from, "--id", "r-1", "--to", &at]);
     assert_eq!(sent.status.code(), Some(0), "{}", says(&sent));
-    serving.logs("held");
+    serving.wait_for_log("held");
     let had = run(&["transfer", "fetch", "--id", "r-1", "--from", &at, "--out", out]);
     assert_eq!(had.status.code(), Some(0), "{}", says(&had));
     assert!(std::fs::read(&to).unwrap() == state);
@@ -142,8 +142,8 @@
     let status = run(&["transfer", "status", "--at", &at]);
     assert!(String::from_utf8_lossy(&status.stdout).contains("\"given\": 1"));
     serving.signal("-HUP");
-    serving.logs("SIGHUP");
-    serving.ends_well();
+    serving.wait_for_log("SIGHUP");
+    serving.expect_clean_exit();
     let nobody = run(&["transfer", "status", "--at", &at]);
     assert_eq!((nobody.status.code(), says(&nobody).lines().count()), (Some(1), 1));
 }
@@ -159,7 +159,7 @@
         let sent = run(&["transfer", "send", file.to_str().unwrap(), "--id", id, "--to", &serving.at]);
         assert_eq!(sent.status.code(), Some(0), "{}", says(&sent));
     }
-    serving.ends_well();
+    serving.expect_clean_exit();
     let mut names: Vec<String> = std::fs::read_dir(&store)
         .unwrap()
         .map(|entry| {
--- a/daemon/tests/connection.rs
+++ b/daemon/tests/connection.rs
@@ -91,30 +91,36 @@
 }
 
 impl Happens {
-    fn does(self) -> Does {
+    fn does(self) -> Behavior {
         match self {
-            Read => READ,
-            Served => WHOLE,
-            TurnedAway => Does::Says(503, true, ""),
-            StateGone => Does::Says(410, true, "gone"),
-            GoneUnmarked => Does::Says(410, false, ""),
-            Unmarked => Does::Says(504, false, ""),
-            Error => Does::Says(500, false, "{}"),
-            Resets => Does::Resets,
-            NoEvents => Does::Streams(&[]),
-            BreaksOff => Does::BreaksAfter(&[EVENT]),
-            Noise => Does::Raw("\u{1}\u{2} of the sea\r\n\r\n"),
-            EndlessHead => Does::RawOn("HTTP/1.1 200 OK\r\nx-more: and more"),
-            StalledHead => Does::Raw("HTTP/1.1 200 OK\r\ntransfer-enc"),
-            UnreadableSize => Does::Raw(concat!(stream!(), "10\r\ndata: Table {}\n\n\r\nzz\r\n")),
-            WrongSize => Does::Raw(concat!(stream!(), "12\r\ndata: Table {}\n\n\r\n10\r\ndata: booked\n\n")),
-            HugeChunk => Does::RawOn(concat!(stream!(), "c0000000\r\ndata: Table {}\n\ndata: x")),
-            NoEvent => Does::Raw(concat!(stream!(), "10\r\nTable for two!\n\n\r\n")),
-            Early => Does::RawWhole(concat!("HTTP/1.1 103 Early Hints\r\n\r\n", answer!(""))),
-            BadReport => Does::RawWhole(answer!("x-pressure: {\"inflight\":\r\n")),
-            BadReportAtEnd => Does::RawWhole(concat!(stream!(), "11\r\n: X-Pressure: {\n\n\r\n0\r\n\r\n")),
-            SecondAnswer => Does::RawWhole(concat!(answer!(""), answer!(""))),
-            GivenUp | BoxClosesIdle => Does::Silent,
+            Read => PREFILL_RESPONSE,
+            Served => COMPLETE_STREAM,
+            TurnedAway => Behavior::Responds(503, true, ""),
+            StateGone => Behavior::Responds(410, true, "gone"),
+            GoneUnmarked => Behavior::Responds(410, false, ""),
+            Unmarked => Behavior::Responds(504, false, ""),
+            Error => Behavior::Responds(500, false, "{}"),
+            Resets => Behavior::Disconnects,
+            NoEvents => Behavior::Streams(&[]),
+            BreaksOff => Behavior::BreaksAfter(&[EVENT]),
+            Noise => Behavior::SendsRaw("\u{1}\u{2} of the sea\r\n\r\n"),
+            EndlessHead => Behavior::RepeatsLastByte("HTTP/1.1 200 OK\r\nx-more: and more"),
+            StalledHead => Behavior::SendsRaw("HTTP/1.1 200 OK\r\ntransfer-enc"),
+            UnreadableSize => Behavior::SendsRaw(concat!(stream!(), "10\r\ndata: Table {}\n\n\r\nzz\r\n")),
+            WrongSize => {
+                Behavior::SendsRaw(concat!(stream!(), "12\r\ndata: Table {}\n\n\r\n10\r\ndata: booked\n\n"))
+            }
+            HugeChunk => {
+                Behavior::RepeatsLastByte(concat!(stream!(), "c0000000\r\ndata: Table {}\n\ndata: x"))
+            }
+            NoEvent => Behavior::SendsRaw(concat!(stream!(), "10\r\nTable for two!\n\n\r\n")),
+            Early => Behavior::SendsRawResponse(concat!("HTTP/1.1 103 Early Hints\r\n\r\n", answer!(""))),
+            BadReport => Behavior::SendsRawResponse(answer!("x-pressure: {\"inflight\":\r\n")),
+            BadReportAtEnd => {
+                Behavior::SendsRawResponse(concat!(stream!(), "11\r\n: X-Pressure: {\n\n\r\n0\r\n\r\n"))
+            }
+            SecondAnswer => Behavior::SendsRawResponse(concat!(answer!(""), answer!(""))),
+            GivenUp | BoxClosesIdle => Behavior::StaysSilent,
         }
     }
 
@@ -188,7 +194,7 @@
 }
 
 async fn walk(steps: Vec<Happens>) {
-    let mut stand_in = StandIn::start(READ).await;
+    let mut stand_in = StandIn::start(PREFILL_RESPONSE).await;
     let upstream = upstream(&[("box", 0, stand_in.address)]);
     let (mut kept, mut attempts, mut distrusted) = (Kept::default(), 0, false);
     for what in steps {
@@ -211,7 +217,7 @@
             None => {
                 let waited = tokio::time::timeout(Duration::from_millis(20), attempt(&upstream)).await;
                 assert!(waited.is_err(), "{what:?}");
-                stand_in.given_up.recv().await.unwrap();
+                stand_in.aborts.recv().await.unwrap();
             }
         }
         assert_eq!(stand_in.posts().len(), attempts, "every attempt reaches the box once: {what:?}");
@@ -239,11 +245,11 @@
 
 #[tokio::test]
 async fn after_one_that_was_dead_connections_as_old_are_not_used() {
-    let stand_in = StandIn::start(READ).await;
+    let stand_in = StandIn::start(PREFILL_RESPONSE).await;
     let upstream = upstream(&[("box", 0, stand_in.address)]);
     let idle = || tokio::time::sleep(Duration::from_millis(40));
     let mut came = Vec::new();
-    for what in [READ, Does::Resets, READ, READ] {
+    for what in [PREFILL_RESPONSE, Behavior::Disconnects, PREFILL_RESPONSE, PREFILL_RESPONSE] {
         stand_in.next(what);
         came.push(attempt(&upstream).await);
         idle().await;
@@ -266,9 +272,9 @@
 /// second one would cost the server a handshake for each read, and servers take few.
 #[tokio::test]
 async fn the_request_behind_a_probe_goes_out_on_the_probes_connection() {
-    let stand_in = StandIn::start(READ).await;
-    let upstream = upstream_that_settles(&[("box", 0, stand_in.address)], Duration::from_secs(5));
-    stand_in.next(Does::Says(200, false, "{\"inflight\":3,\"x0\":0.5}"));
+    let stand_in = StandIn::start(PREFILL_RESPONSE).await;
+    let upstream = upstream_with_settle_time(&[("box", 0, stand_in.address)], Duration::from_secs(5));
+    stand_in.next(Behavior::Responds(200, false, "{\"inflight\":3,\"x0\":0.5}"));
     let (outcome, load) = upstream.probe(&Id::from("box")).await;
     assert_eq!((outcome, load.and_then(|l| l.outstanding)), (Outcome::Served, Some(3.0)));
     assert_eq!(attempt(&upstream).await, Outcome::PrefillDone);
@@ -281,8 +287,8 @@
 #[tokio::test]
 async fn the_time_told_is_what_is_left_as_the_head_is_written() {
     let wait = Duration::from_secs(8);
-    let shut = Shut::start().await;
-    let upstream = upstream_that_connects_within(&[("decode", 1, shut.address)], Duration::from_secs(7));
+    let shut = FullBacklogServer::start().await;
+    let upstream = upstream_with_connect_timeout(&[("decode", 1, shut.address)], Duration::from_secs(7));
     let begin = Instant::now();
     let attempt = tokio::spawn(async move {
         let permit = SendPermit::unconditional();
@@ -302,8 +308,8 @@
 /// What is known of the way to a server goes with its address.
 #[tokio::test]
 async fn the_way_to_a_server_is_measured_by_the_connections_that_come_up() {
-    let (first, second) = (StandIn::start(READ).await, StandIn::start(READ).await);
-    let (upstream, book) = upstream_and_book(&[("box", 0, first.address)]);
+    let (first, second) = (StandIn::start(PREFILL_RESPONSE).await, StandIn::start(PREFILL_RESPONSE).await);
+    let (upstream, book) = upstream_and_addresses(&[("box", 0, first.address)]);
     let id = Id::from("box");
     assert_eq!(upstream.cancellation_delay(&id), Duration::ZERO, "nothing has been heard of it");
     assert_eq!(attempt(&upstream).await, Outcome::PrefillDone);
@@ -319,8 +325,8 @@
 /// A server that is back under another address is reached there, though a connection to the old one was kept.
 #[tokio::test]
 async fn a_kept_connection_is_left_when_its_server_has_moved() {
-    let (first, second) = (StandIn::start(READ).await, StandIn::start(READ).await);
-    let (upstream, book) = upstream_and_book(&[("box", 0, first.address)]);
+    let (first, second) = (StandIn::start(PREFILL_RESPONSE).await, StandIn::start(PREFILL_RESPONSE).await);
+    let (upstream, book) = upstream_and_addresses(&[("box", 0, first.address)]);
     for _ in 0..2 {
         assert_eq!(attempt(&upstream).await, Outcome::PrefillDone);
     }
@@ -336,11 +342,11 @@
 /// A connection that breaks right after its last answer tells of its server, not of the age of all others.
 #[tokio::test]
 async fn a_reset_soon_after_an_answer_costs_no_other_server_its_connections() {
-    let (hasty, steady) = (StandIn::start(READ).await, StandIn::start(READ).await);
+    let (hasty, steady) = (StandIn::start(PREFILL_RESPONSE).await, StandIn::start(PREFILL_RESPONSE).await);
     let upstream = upstream(&[("hasty", 0, hasty.address), ("steady", 0, steady.address)]);
     assert_eq!(attempt_at(&upstream, "steady").await, Outcome::PrefillDone);
     assert_eq!(attempt_at(&upstream, "hasty").await, Outcome::PrefillDone);
-    hasty.next(Does::Resets);
+    hasty.next(Behavior::Disconnects);
     assert_eq!(attempt_at(&upstream, "hasty").await, Outcome::StaleConnection);
     for _ in 0..5 {
         sleep(Duration::from_millis(40)).await;
--- a/daemon/tests/crowds.rs
+++ b/daemon/tests/crowds.rs
@@ -20,7 +20,7 @@
 
 fn config(name: &str, discovery: &str, servers: &[(&str, &str, &StandIn)]) -> String {
     let servers: Vec<_> = servers.iter().map(|(uid, kind, at)| (*uid, *kind, at.address)).collect();
-    config_of(name, discovery, DESCRIPTORS, &servers, &setup())
+    config_json(name, discovery, DESCRIPTORS, &servers, &setup())
 }
 
 fn request(id: &str) -> String {
@@ -29,26 +29,27 @@
 
 /// Idle clients: some have never asked, some once, some sent half a request.
 async fn idle(to: std::net::SocketAddr, n: usize) -> TcpStream {
-    let asked = kept(READY);
+    let asked = keep_alive(READY);
     send(to, ["", &asked, "POST /v1/ch"][n % 3]).await
 }
 
 #[tokio::test]
 async fn idle_clients_that_take_every_descriptor_keep_nobody_from_his_own() {
-    let (mut prefill, mut decode) = (StandIn::start(READ).await, StandIn::start(WHOLE).await);
-    let agent = StandIn::start(Does::StallsAfter(&[NOBODY])).await;
+    let (mut prefill, mut decode) =
+        (StandIn::start(PREFILL_RESPONSE).await, StandIn::start(COMPLETE_STREAM).await);
+    let agent = StandIn::start(Behavior::StallsAfter(&[NOBODY])).await;
     // It falls silent: the first watch brings nothing, and what hangs is never answered.
-    (0..3).for_each(|_| agent.next(Does::Silent));
+    (0..3).for_each(|_| agent.next(Behavior::StaysSilent));
     let servers = [("p", "prefill", &prefill), ("d", "decode", &decode)];
     let config = config("n1", &agent.address.to_string(), &servers);
-    let running = Running::start(program_with(DESCRIPTORS, "crowds", &config));
+    let running = DaemonProcess::start(program_with_descriptor_limit(DESCRIPTORS, "crowds", &config));
     let mut crowd = Vec::new();
     for n in 0..3 * DESCRIPTORS {
         crowd.push(idle(running.listen, n).await);
     }
     // Attempts and new clients get theirs, and what is let go of finds its way while others ask.
     for round in 0..6 {
-        decode.next(Does::Says(500, false, ""));
+        decode.next(Behavior::Responds(500, false, ""));
         let book = chat(&format!("book-{round}"), "book", 7_000);
         let failed = timeout(LATEST, exchange(running.listen, &book)).await.expect("an answer in time");
         assert_eq!(failed.status, 502, "it may have run");
@@ -61,8 +62,8 @@
         }
         let released = async {
             tokio::select! {
-                _ = prefill.released.recv() => {}
-                _ = decode.released.recv() => {}
+                _ = prefill.releases.recv() => {}
+                _ = decode.releases.recv() => {}
             }
         };
         timeout(LATEST, released).await.expect("what a failed attempt left is let go");
@@ -71,7 +72,7 @@
         }
     }
     // Discovery is heard in time as it comes back, with the crowd still there.
-    while agent.got.lock().unwrap().len() < 4 {
+    while agent.requests.lock().unwrap().len() < 4 {
         sleep(Duration::from_millis(5)).await;
     }
     let back = Instant::now();
@@ -80,14 +81,15 @@
         sleep(Duration::from_millis(20)).await;
     }
     running.signal("-TERM");
-    running.ends_well().await;
+    running.expect_clean_exit().await;
 }
 
 /// An agent that refuses, one that hangs, one that is there late: who starts knows the list it had.
 #[tokio::test]
 async fn processes_that_start_together_are_ready_in_time_whatever_discovery_does() {
-    let (prefill, decode) = (StandIn::start(READ).await, StandIn::start(WHOLE).await);
-    let (hangs, resets) = (StandIn::start(Does::Silent).await, StandIn::start(Does::Resets).await);
+    let (prefill, decode) = (StandIn::start(PREFILL_RESPONSE).await, StandIn::start(COMPLETE_STREAM).await);
+    let (hangs, resets) =
+        (StandIn::start(Behavior::StaysSilent).await, StandIn::start(Behavior::Disconnects).await);
     let agents = ["127.0.0.1:9".to_string(), hangs.address.to_string(), resets.address.to_string()];
     let begin = Instant::now();
     let mut starting = tokio::task::JoinSet::new();
@@ -95,7 +97,11 @@
         let servers = [("p", "prefill", &prefill), ("d", "decode", &decode)];
         let config = config(&format!("n{n}"), &agents[n % 3], &servers);
         starting.spawn_blocking(move || {
-            Running::start(program_with(DESCRIPTORS, &format!("together-{n}"), &config))
+            DaemonProcess::start(program_with_descriptor_limit(
+                DESCRIPTORS,
+                &format!("together-{n}"),
+                &config,
+            ))
         });
     }
     let mut all = Vec::new();
@@ -110,7 +116,7 @@
     assert!(begin.elapsed() < Duration::from_secs(10), "{:?}", begin.elapsed());
     for running in all {
         running.signal("-TERM");
-        running.ends_well().await;
+        running.expect_clean_exit().await;
     }
 }
 
@@ -122,7 +128,7 @@
     was_read: impl Fn() -> bool,
 ) -> Answer {
     loop {
-        if let Some(answer) = answer_on(send(to, text).await).await {
+        if let Some(answer) = try_read_answer(send(to, text).await).await {
             return answer;
         }
         assert!(!was_read(), "a request that had been read was closed without an answer");
@@ -133,17 +139,21 @@
 /// and memory does not grow with what was sent.
 #[tokio::test]
 async fn floods_leave_others_served_and_memory_bounded() {
-    let (prefill, decode) = (StandIn::start(READ).await, StandIn::start(WHOLE).await);
+    let (prefill, decode) = (StandIn::start(PREFILL_RESPONSE).await, StandIn::start(COMPLETE_STREAM).await);
     let servers = [("p", "prefill", &prefill), ("d", "decode", &decode)];
-    let running = Running::start(program_with(DESCRIPTORS, "floods", &config("n1", "127.0.0.1:9", &servers)));
-    let before = running.memory_kb();
+    let running = DaemonProcess::start(program_with_descriptor_limit(
+        DESCRIPTORS,
+        "floods",
+        &config("n1", "127.0.0.1:9", &servers),
+    ));
+    let before = running.resident_kib();
     for round in 0..6 {
         let mut bad = Vec::new();
         for n in 0..12 {
             let (to, id) = (running.listen, format!("flood-{round}-{n}"));
             bad.push(tokio::spawn(async move {
                 let mut client = send(to, "").await;
-                let many = kept(&request(&id)).repeat(400);
+                let many = keep_alive(&request(&id)).repeat(400);
                 let text = if n % 2 == 0 { many } else { "x".repeat(1 << 20) };
                 let sent = tokio::io::AsyncWriteExt::write_all(&mut client, text.as_bytes());
                 let _ = timeout(Duration::from_millis(400), sent).await;
@@ -162,19 +172,24 @@
             flood.await.unwrap();
         }
     }
-    let after = running.memory_kb();
+    let after = running.resident_kib();
     assert!(after < before + (24 << 10), "{before} KiB before, {after} KiB after 40 MiB of floods");
     running.signal("-TERM");
-    running.ends_well().await;
+    running.expect_clean_exit().await;
 }
 
 /// Every place for clients is taken by an answer that runs: whoever comes then is told so in his time. What
 /// is written to a connection that this machine has accepted is owed an answer.
 #[tokio::test]
 async fn a_request_beside_answers_that_take_every_place_gets_its_own() {
-    let (prefill, decode) = (StandIn::start(READ).await, StandIn::start(Does::StreamsOn).await);
+    let (prefill, decode) =
+        (StandIn::start(PREFILL_RESPONSE).await, StandIn::start(Behavior::StreamsEndlessly).await);
     let servers = [("p", "prefill", &prefill), ("d", "decode", &decode)];
-    let running = Running::start(program_with(DESCRIPTORS, "places", &config("n1", "127.0.0.1:9", &servers)));
+    let running = DaemonProcess::start(program_with_descriptor_limit(
+        DESCRIPTORS,
+        "places",
+        &config("n1", "127.0.0.1:9", &servers),
+    ));
     let mut streams = Vec::new();
     for n in 0..(DESCRIPTORS - 48) / 2 {
         let mut client = send(running.listen, &request(&format!("stream-{n}"))).await;
@@ -190,5 +205,5 @@
     assert!(prefill.posts().iter().all(|got| !got.head.contains("x-txn: beside")), "sent on");
     drop(streams);
     running.signal("-TERM");
-    running.ends_well().await;
+    running.expect_clean_exit().await;
 }
--- a/daemon/tests/discovery.rs
+++ b/daemon/tests/discovery.rs
@@ -56,11 +56,11 @@
 
 #[tokio::test]
 async fn the_watch_goes_on_from_the_version_held() {
-    let agent = StandIn::start(Does::Silent).await;
+    let agent = StandIn::start(Behavior::StaysSilent).await;
     // The first watch brings a change and ends; the second a line that can't be read; the third a list.
-    agent.next(Does::BreaksAfter(&[EMPTY, LEAVES, EMPTY]));
-    agent.next(Does::Streams(&[HALF, "\n"]));
-    agent.next(Does::StallsAfter(&[WHOLE_LIST_PARTS.0, WHOLE_LIST_PARTS.1]));
+    agent.next(Behavior::BreaksAfter(&[EMPTY, LEAVES, EMPTY]));
+    agent.next(Behavior::Streams(&[HALF, "\n"]));
+    agent.next(Behavior::StallsAfter(&[WHOLE_LIST_PARTS.0, WHOLE_LIST_PARTS.1]));
     let book = Arc::new(AddressTable::default());
     let (_address, at) = watch::channel(told_agent(agent.address));
     let mut list = Discovery::new(
@@ -81,17 +81,18 @@
     let third = list.next().await.unwrap();
     assert_eq!((third.kind, third.entries.len()), (ListUpdateKind::Full, 0));
     let watched = |rev: u32| format!("GET /catalog/members?stream=1&index={rev} HTTP/1.1");
-    let lines: Vec<String> = agent.got.lock().unwrap().iter().map(|g| g.line.clone()).collect();
+    let lines: Vec<String> = agent.requests.lock().unwrap().iter().map(|g| g.line.clone()).collect();
     assert_eq!(lines, [watched(7), watched(8), watched(8)]);
 }
 
 #[tokio::test]
 async fn the_watch_moves_at_once_and_starts_afresh() {
-    let (mut old, new) = (StandIn::start(Does::Silent).await, StandIn::start(Does::Silent).await);
+    let (mut old, new) =
+        (StandIn::start(Behavior::StaysSilent).await, StandIn::start(Behavior::StaysSilent).await);
     // The new agent counts its versions from elsewhere; asked for changes since 8, it might never answer.
-    new.next(Does::Says(200, false, "{\"rev\":2,\"all\":true,\"targets\":[]}"));
-    new.next(Does::StallsAfter(&[LEAVES]));
-    old.next(Does::StallsAfter(&[LEAVES]));
+    new.next(Behavior::Responds(200, false, "{\"rev\":2,\"all\":true,\"targets\":[]}"));
+    new.next(Behavior::StallsAfter(&[LEAVES]));
+    old.next(Behavior::StallsAfter(&[LEAVES]));
     let (address, at) = watch::channel(told_agent(old.address));
     let book = Arc::new(AddressTable::default());
     let mut list =
@@ -103,8 +104,8 @@
         forms,
         [ListUpdateKind::StaleCopy, ListUpdateKind::Changes, ListUpdateKind::Full, ListUpdateKind::Changes]
     );
-    old.given_up.recv().await.unwrap();
-    let lines: Vec<String> = new.got.lock().unwrap().iter().map(|g| g.line.clone()).collect();
+    old.aborts.recv().await.unwrap();
+    let lines: Vec<String> = new.requests.lock().unwrap().iter().map(|g| g.line.clone()).collect();
     let paths = ["/catalog/members", "/catalog/members?stream=1&index=2"];
     assert_eq!(lines, paths.map(|path| format!("GET {path} HTTP/1.1")));
 }
@@ -114,10 +115,10 @@
 
 #[tokio::test]
 async fn lists_may_come_indented_whole_and_in_a_watch() {
-    let agent = StandIn::start(Does::Silent).await;
-    agent.next(Does::StallsAfter(&[EMPTY, INDENTED_PARTS.0, INDENTED_PARTS.1, EMPTY, LEAVES]));
-    let moved = StandIn::start(Does::Silent).await;
-    moved.next(Does::Says(200, false, INDENTED));
+    let agent = StandIn::start(Behavior::StaysSilent).await;
+    agent.next(Behavior::StallsAfter(&[EMPTY, INDENTED_PARTS.0, INDENTED_PARTS.1, EMPTY, LEAVES]));
+    let moved = StandIn::start(Behavior::StaysSilent).await;
+    moved.next(Behavior::Responds(200, false, INDENTED));
     let (address, at) = watch::channel(told_agent(agent.address));
     let (book, backoff) = (Arc::new(AddressTable::default()), Backoff::new(2, 7));
     let mut list = Discovery::new(at, known("decode", 0), backoff, names(), Clock::new(), book, log());
@@ -129,7 +130,7 @@
     address.send(told_agent(moved.address)).unwrap();
     let whole = timeout(LATEST, list.next()).await.expect("a list in time").unwrap();
     assert_eq!((whole.kind, whole.entries.len()), (ListUpdateKind::Full, 0));
-    assert_eq!(agent.posts().len() + agent.got.lock().unwrap().len(), 1, "one watch has brought all");
+    assert_eq!(agent.posts().len() + agent.requests.lock().unwrap().len(), 1, "one watch has brought all");
 }
 
 #[tokio::test]
@@ -137,9 +138,9 @@
     let mut watches = tokio::task::JoinSet::new();
     for seed in 0..8 {
         watches.spawn(async move {
-            let agent = StandIn::start(Does::Silent).await;
-            agent.next(Does::StallsAfter(&[EMPTY]));
-            agent.next(Does::StallsAfter(&[LEAVES]));
+            let agent = StandIn::start(Behavior::StaysSilent).await;
+            agent.next(Behavior::StallsAfter(&[EMPTY]));
+            agent.next(Behavior::StallsAfter(&[LEAVES]));
             let (_address, at) = watch::channel(told_agent(agent.address));
             // As in a fleet of 300, where waits between calls are longest.
             let (book, backoff) = (Arc::new(AddressTable::default()), Backoff::new(300, seed));
@@ -170,9 +171,12 @@
     for seed in 0..8 {
         lists.spawn(async move {
             // It takes the connection and says nothing; or a head, of which nothing more comes.
-            let agent = StandIn::start(Does::Silent).await;
-            agent.next([Does::Silent, Does::Raw("HTTP/1.1 200 OK\r\ncontent-")][seed as usize % 2].clone());
-            agent.next(Does::StallsAfter(&[LEAVES]));
+            let agent = StandIn::start(Behavior::StaysSilent).await;
+            agent.next(
+                [Behavior::StaysSilent, Behavior::SendsRaw("HTTP/1.1 200 OK\r\ncontent-")][seed as usize % 2]
+                    .clone(),
+            );
+            agent.next(Behavior::StallsAfter(&[LEAVES]));
             let (_address, at) = watch::channel(told_agent(agent.address));
             let mut list = started(at, seed).await;
             let begin = std::time::Instant::now();
@@ -187,9 +191,9 @@
 
 #[tokio::test]
 async fn a_watch_whose_list_does_not_end_is_silent_whatever_follows() {
-    let agent = StandIn::start(Does::Silent).await;
-    agent.next(Does::Pulses("HTTP/1.1 200 OK\r\n\r\n{\"rev\":8,\"all\":false,\n"));
-    agent.next(Does::StallsAfter(&[LEAVES]));
+    let agent = StandIn::start(Behavior::StaysSilent).await;
+    agent.next(Behavior::SendsNewlines("HTTP/1.1 200 OK\r\n\r\n{\"rev\":8,\"all\":false,\n"));
+    agent.next(Behavior::StallsAfter(&[LEAVES]));
     let (_address, at) = watch::channel(told_agent(agent.address));
     let mut list = started(at, 5).await;
     let begin = std::time::Instant::now();
@@ -204,25 +208,26 @@
 
 #[tokio::test]
 async fn a_line_that_cant_be_read_does_not_keep_the_others_from_being_heard() {
-    let agent = StandIn::start(Does::StallsAfter(&[PARTLY])).await;
+    let agent = StandIn::start(Behavior::StallsAfter(&[PARTLY])).await;
     let (_address, at) = watch::channel(told_agent(agent.address));
     let mut list = started(at, 1).await;
     let news = timeout(LATEST, list.next()).await.expect("a change in time").unwrap();
     assert_eq!(states(&news), [("a", Health::Draining)]);
-    assert_eq!(agent.got.lock().unwrap().len(), 1, "by the first watch");
+    assert_eq!(agent.requests.lock().unwrap().len(), 1, "by the first watch");
 }
 
 /// What went wrong at the old agent must not make the new one wait: after SIGHUP, time runs anew.
 #[tokio::test]
 async fn failures_at_one_agent_do_not_hold_back_the_call_to_the_next() {
-    let (old, new) = (StandIn::start(Does::Resets).await, StandIn::start(Does::Silent).await);
-    new.next(Does::Resets);
-    new.next(Does::Says(200, false, "{\"rev\":2,\"all\":true,\"targets\":[]}"));
+    let (old, new) =
+        (StandIn::start(Behavior::Disconnects).await, StandIn::start(Behavior::StaysSilent).await);
+    new.next(Behavior::Disconnects);
+    new.next(Behavior::Responds(200, false, "{\"rev\":2,\"all\":true,\"targets\":[]}"));
     let (address, at) = watch::channel(told_agent(old.address));
     let mut list = started(at, 3).await;
     let moved = tokio::spawn(async move { list.next().await.unwrap().kind });
     // By then its waits have grown.
-    while old.got.lock().unwrap().len() < 3 {
+    while old.requests.lock().unwrap().len() < 3 {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     let begin = std::time::Instant::now();
@@ -283,7 +288,7 @@
 
 #[tokio::test]
 async fn clusters_and_endpoints_become_members_and_draining_drains() {
-    let server = StandIn::start(Does::Says(304, false, "")).await;
+    let server = StandIn::start(Behavior::Responds(304, false, "")).await;
     let inline = json!({"clusterName": "decode", "endpoints": [{"locality": {"zone": "z", "subZone": "r1"},
         "lbEndpoints": [{"endpoint": {"hostname": "w-1",
             "address": {"socketAddress": {"address": "127.0.0.1", "portValue": 21}}},
@@ -300,14 +305,14 @@
     };
     let two = pool(json!([endpoint(11, json!("HEALTHY")), endpoint(12, json!(1))]));
     let drains = pool(json!([endpoint(11, json!("DRAINING")), endpoint(12, json!("UNHEALTHY"))]));
-    server.next(Does::Says(200, false, resources("c1", clusters)));
-    server.next(Does::Says(200, false, resources("e1", two)));
+    server.next(Behavior::Responds(200, false, resources("c1", clusters)));
+    server.next(Behavior::Responds(200, false, resources("e1", two)));
     // Nothing new; then a failure; then a drain.
-    server.next(Does::Says(304, false, ""));
-    server.next(Does::Says(304, false, ""));
-    server.next(Does::Says(500, false, ""));
-    server.next(Does::Says(304, false, ""));
-    server.next(Does::Says(200, false, resources("e2", drains)));
+    server.next(Behavior::Responds(304, false, ""));
+    server.next(Behavior::Responds(304, false, ""));
+    server.next(Behavior::Responds(500, false, ""));
+    server.next(Behavior::Responds(304, false, ""));
+    server.next(Behavior::Responds(200, false, resources("e2", drains)));
     let config = XdsConfig { server: server.address, refresh: Duration::from_millis(1) };
     let book = Arc::new(AddressTable::default());
     let mut list = Xds::new(config, "n1".into(), names(), Clock::new(), book.clone(), log());
@@ -331,18 +336,18 @@
 }
 
 fn unix_ms() -> u64 {
-    micros() / 1_000
+    unix_micros() / 1_000
 }
 
 /// The wall clock of this machine is an hour behind the fleet's, or the fleet's an hour ahead of it.
 #[tokio::test]
 async fn no_start_lies_in_the_future_and_a_list_told_again_moves_none() {
     let boot_ms = unix_ms() + 3_600_000;
-    let agent = StandIn::start(Does::Silent).await;
+    let agent = StandIn::start(Behavior::StaysSilent).await;
     let again = json!({"rev": 8, "all": true, "targets": [{"uid": "a", "endpoint": "127.0.0.1:9", "az": "z",
         "model": "decode", "pod_group": 3, "state": "active", "capacity_hint": 1.0, "boot_ms": boot_ms}]});
     let again: &'static str = Box::leak(format!("{again}\n").into_boxed_str());
-    agent.next(Does::StallsAfter(Box::leak(Box::new([again]))));
+    agent.next(Behavior::StallsAfter(Box::leak(Box::new([again]))));
     let (_address, at) = watch::channel(told_agent(agent.address));
     let (book, backoff, clock) = (Arc::new(AddressTable::default()), Backoff::new(2, 7), Clock::new());
     let known = known("decode", boot_ms);
@@ -356,12 +361,12 @@
 #[tokio::test]
 async fn a_start_that_is_news_in_a_watch_is_not_long_ago() {
     let boot_ms = unix_ms() - 3_600_000;
-    let agent = StandIn::start(Does::Silent).await;
+    let agent = StandIn::start(Behavior::StaysSilent).await;
     let restarted = json!({"rev": 8, "all": false, "targets": [{"uid": "a", "endpoint": "127.0.0.1:9",
         "az": "z", "model": "decode", "pod_group": 3, "state": "active", "capacity_hint": 1.0,
         "boot_ms": boot_ms}]});
     let restarted: &'static str = Box::leak(format!("{restarted}\n").into_boxed_str());
-    agent.next(Does::StallsAfter(Box::leak(Box::new([WHOLE_LIST, restarted]))));
+    agent.next(Behavior::StallsAfter(Box::leak(Box::new([WHOLE_LIST, restarted]))));
     let (_address, at) = watch::channel(told_agent(agent.address));
     let (book, backoff, clock) = (Arc::new(AddressTable::default()), Backoff::new(2, 7), Clock::new());
     let mut list = Discovery::new(at, known("decode", 0), backoff, names(), clock, book, log());
@@ -375,15 +380,15 @@
 /// New configurations come quicker than a list, and name the same agent.
 #[tokio::test]
 async fn a_configuration_that_names_the_same_agent_does_not_drop_the_call_under_way() {
-    let agent = StandIn::start(Does::Silent).await;
-    agent.next(Does::Told);
+    let agent = StandIn::start(Behavior::StaysSilent).await;
+    agent.next(Behavior::SendsFromChannel);
     let (configured, at) = watch::channel(told_agent(agent.address));
     let (book, backoff) = (Arc::new(AddressTable::default()), Backoff::new(2, 7));
     let mut list = Discovery::new(at, known("decode", 0), backoff, names(), Clock::new(), book, log());
     assert_eq!(list.next().await.unwrap().kind, ListUpdateKind::StaleCopy);
     let head = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
     let chunk = format!("{:x}\r\n{WHOLE_LIST}\r\n", WHOLE_LIST.len());
-    let (told, configured) = (agent.told.clone(), Arc::new(configured));
+    let (told, configured) = (agent.output.clone(), Arc::new(configured));
     tokio::spawn(async move {
         let text = format!("{head}{chunk}");
         for part in text.as_bytes().chunks(8) {
--- a/daemon/tests/ending.rs
+++ b/daemon/tests/ending.rs
@@ -44,7 +44,7 @@
 }
 
 fn request(id: &str, class: &str, remaining: u64) -> String {
-    kept(&chat(id, class, remaining))
+    keep_alive(&chat(id, class, remaining))
 }
 
 /// What came back: nothing at all, or an answer's status and whether it was whole.
@@ -70,17 +70,17 @@
 /// The configuration of a process before these two.
 fn config(prefill: &StandIn, decode: &StandIn, deadline: u64) -> String {
     let servers = [("p", "prefill", prefill.address), ("d", "decode", decode.address)];
-    config_of("n1", "127.0.0.1:9", 512, &servers, &with_deadline(deadline))
+    config_json("n1", "127.0.0.1:9", 512, &servers, &with_deadline(deadline))
 }
 
 /// Deadlines of 1 s, so that SIGKILL comes after 1.7 s: in between every request that was read is answered,
 /// and a stream that its server has finished is passed to its end.
 #[tokio::test]
 async fn with_short_deadlines_nothing_that_was_read_is_lost_to_sigkill() {
-    let (prefill, decode) = (StandIn::start(READ).await, StandIn::start(WHOLE).await);
-    let running = Running::start(program("short-deadlines", &config(&prefill, &decode, 1_000)));
+    let (prefill, decode) = (StandIn::start(PREFILL_RESPONSE).await, StandIn::start(COMPLETE_STREAM).await);
+    let running = DaemonProcess::start(program("short-deadlines", &config(&prefill, &decode, 1_000)));
     // Its stream takes 0.9 s.
-    decode.next(Does::Ticks(150, 5));
+    decode.next(Behavior::StreamsTimestamps(150, 5));
     let mut streams = send(running.listen, &request("streams", "ask", 1_000)).await;
     streams.readable().await.unwrap();
     let begin = Instant::now();
@@ -93,7 +93,7 @@
     sleep(Duration::from_millis(20)).await;
     running.signal("-TERM");
     sleep(Duration::from_millis(550)).await;
-    (0..40).for_each(|_| decode.next(Does::Silent));
+    (0..40).for_each(|_| decode.next(Behavior::StaysSilent));
     let streamed = rest(&mut streams).await;
     sleep_until(begin + Duration::from_millis(20) + killed_after(1_000)).await;
     running.signal("-KILL");
@@ -106,22 +106,23 @@
     }
     let served = answers.iter().filter(|(_, answer)| answer.is_some_and(|(status, _)| status == 200)).count();
     assert!(served >= 4, "those that come at once are served: {served}");
-    running.ends_well().await;
+    running.expect_clean_exit().await;
 }
 
 /// Its first half came before the doors closed, the rest after the last answers: it is taken all the same, so
 /// it is answered, and before the end. Signals that come again, and SIGHUP, change nothing of that.
 #[tokio::test]
 async fn a_request_that_is_whole_only_after_the_last_answers_is_answered_too() {
-    let (prefill, decode) = (StandIn::start(Does::Silent).await, StandIn::start(WHOLE).await);
+    let (prefill, decode) =
+        (StandIn::start(Behavior::StaysSilent).await, StandIn::start(COMPLETE_STREAM).await);
     // The doors close after 0.65 s, the last answers go at 2.4 s, the end is at 2.9 s.
-    let running = Running::start(program("halves", &config(&prefill, &decode, 2_500)));
+    let running = DaemonProcess::start(program("halves", &config(&prefill, &decode, 2_500)));
     let mut open = send(running.listen, &request("open", "book", 8_000)).await;
     let mut halves = Vec::new();
     for n in 0..4 {
         let text = request(&format!("half-{n}"), ["ask", "book"][n % 2], 8_000);
         let (first, rest) = text.split_at(text.len() - 1);
-        let mut client = send(running.listen, &kept(READY)).await;
+        let mut client = send(running.listen, &keep_alive(READY)).await;
         let mut seen = Vec::new();
         while !seen.ends_with(b"ready\n") {
             assert!(client.read_buf(&mut seen).await.unwrap() > 0);
@@ -146,18 +147,19 @@
         assert_eq!(answer.map(|(status, _)| status), Some(503), "half-{n} was taken");
     }
     assert!(told.elapsed() < killed_after(2_500), "{:?}", told.elapsed());
-    running.ends_well().await;
+    running.expect_clean_exit().await;
 }
 
 /// Its last byte comes more than 0.7 s after SIGTERM, and its stream would run into SIGKILL: it is refused,
 /// as its client loses nothing by asking elsewhere, and is never sent on.
 #[tokio::test]
 async fn a_request_that_is_whole_after_the_doors_have_closed_begins_no_stream() {
-    let (prefill, decode) = (StandIn::start(READ).await, StandIn::start(Does::Ticks(100, 60)).await);
-    let running = Running::start(program("whole-late", &config(&prefill, &decode, 3_000)));
+    let (prefill, decode) =
+        (StandIn::start(PREFILL_RESPONSE).await, StandIn::start(Behavior::StreamsTimestamps(100, 60)).await);
+    let running = DaemonProcess::start(program("whole-late", &config(&prefill, &decode, 3_000)));
     let text = request("late", "ask", 3_000);
     let (first, last) = text.split_at(text.len() - 1);
-    let mut client = send(running.listen, &kept(READY)).await;
+    let mut client = send(running.listen, &keep_alive(READY)).await;
     let mut seen = Vec::new();
     while !seen.ends_with(b"ready\n") {
         assert!(client.read_buf(&mut seen).await.unwrap() > 0);
@@ -169,5 +171,5 @@
     client.write_all(last.as_bytes()).await.unwrap();
     assert_eq!(rest(&mut client).await, Some((503, true)));
     assert!(prefill.posts().is_empty(), "it was sent on");
-    running.ends_well().await;
+    running.expect_clean_exit().await;
 }
--- a/daemon/tests/figures.rs
+++ b/daemon/tests/figures.rs
@@ -31,7 +31,7 @@
 }
 
 async fn until(ops: SocketAddr, name: &str, class: Option<&str>, value: u64) {
-    let end = Instant::now() + LONGEST;
+    let end = Instant::now() + WAIT_TIMEOUT;
     while figure(&scrape(ops).await, name, class) != value {
         assert!(Instant::now() < end, "{name} never {value}: {}", scrape(ops).await);
         sleep(Duration::from_millis(10)).await;
@@ -44,8 +44,8 @@
     let (running, ops) = deployment.start("figures-sum").await;
     let [prefill, decode] = &deployment.servers;
     for _ in 0..5 {
-        decode.next(Does::BreaksAfter(&[EVENT]));
-        prefill.next(Does::Says(500, false, ""));
+        decode.next(Behavior::BreaksAfter(&[EVENT]));
+        prefill.next(Behavior::Responds(500, false, ""));
     }
     const CLIENTS: u64 = 60;
     let mut clients = JoinSet::new();
@@ -56,11 +56,11 @@
             match n % 4 {
                 // It leaves at once, whatever became of its request.
                 0 => drop(stream),
-                _ => drop(exchange_on(stream).await),
+                _ => drop(read_answer(stream).await),
             }
         });
     }
-    let (mut before, end) = (0, Instant::now() + LONGEST);
+    let (mut before, end) = (0, Instant::now() + WAIT_TIMEOUT);
     while !clients.is_empty() {
         let now = taken(&scrape(ops).await);
         assert!((before..=CLIENTS).contains(&now), "{before}, then {now}");
@@ -89,13 +89,13 @@
     until(ops, "deferred", Some("ask"), 1).await;
     assert_eq!(include(ops, "p").await, 200);
     until(ops, "cluster_unhealthy", None, 0).await;
-    deployment.rewrite("figures-each", "{");
+    deployment.rewrite_config("figures-each", "{");
     running.signal("-HUP");
     until(ops, "conf_invalid", None, 1).await;
     let mut added = deployment.config["settings"]["grades"][0].clone();
     added["name"] = "change".into();
     deployment.config["settings"]["grades"].as_array_mut().unwrap().push(added);
-    deployment.rewrite("figures-each", &deployment.config.to_string());
+    deployment.rewrite_config("figures-each", &deployment.config.to_string());
     running.signal("-HUP");
     until(ops, "conf_loaded", None, 1).await;
     // A class that is added has its figures from the first moment.
--- a/daemon/tests/folder_faults.rs
+++ b/daemon/tests/folder_faults.rs
@@ -24,9 +24,9 @@
 }
 
 /// Starts a process whose operators' address is in its log, before it is ready.
-fn start(deployment: &Deployment, name: &str) -> (Running, std::net::SocketAddr) {
-    let mut running = Running::spawn(deployment.command(name));
-    let line = running.logs("operators' address, at: ");
+fn start(deployment: &Deployment, name: &str) -> (DaemonProcess, std::net::SocketAddr) {
+    let mut running = DaemonProcess::spawn(deployment.command(name));
+    let line = running.wait_for_log("operators' address, at: ");
     let at = line.split_once("at: ").unwrap().1.split(',').next().unwrap().trim().parse().unwrap();
     running.listen = serde_json::from_value(deployment.config["listen"].clone()).unwrap();
     (running, at)
@@ -50,19 +50,19 @@
     }
     std::fs::remove_file(&store).unwrap();
     std::fs::rename(&aside, &store).unwrap();
-    until_ready(ops).await;
+    wait_until_ready(ops).await;
     assert_eq!(exchange(running.listen, &request("excluded")).await.status, 503);
     assert_eq!(include(ops, "p").await, 200);
-    until_status(running.listen, "included", 200).await;
+    wait_for_status(running.listen, "included", 200).await;
     running.signal("-TERM");
-    running.ends_well().await;
+    running.expect_clean_exit().await;
 }
 
 #[tokio::test]
 async fn an_instance_stays_out_where_its_exclusion_cannot_be_removed() {
     let (deployment, state) = deployment("folder-include").await;
     let (running, ops) = start(&deployment, "folder-include");
-    until_ready(ops).await;
+    wait_until_ready(ops).await;
     assert_eq!(exclude(ops, "p").await, 200);
     // It can't be removed, nor read.
     let file = std::fs::read_dir(state.join("excluded")).unwrap().next().unwrap().unwrap().path();
@@ -79,7 +79,7 @@
     }
     std::fs::remove_dir(&file).unwrap();
     assert_eq!(include(ops, "p").await, 200);
-    until_status(running.listen, "back", 200).await;
+    wait_for_status(running.listen, "back", 200).await;
 }
 
 /// A pipe among the files holds the reading up, so that the call comes in the midst of it.
@@ -87,7 +87,7 @@
 async fn an_exclusion_holds_from_its_yes_beside_a_folder_that_is_being_read() {
     let (deployment, state) = deployment("folder-race").await;
     let (running, ops) = start(&deployment, "folder-race");
-    until_ready(ops).await;
+    wait_until_ready(ops).await;
     assert_eq!((exclude(ops, "d").await, include(ops, "d").await), (200, 200));
     let pipe = state.join("excluded").join("pipe");
     assert!(std::process::Command::new("mkfifo").arg(&pipe).status().unwrap().success());
@@ -99,7 +99,7 @@
     drop(writer);
     for n in 0..3 {
         let text = chat(&format!("race-{n}"), "ask", 200);
-        let asked = timeout(ANSWER_WITHIN, exchange(running.listen, &text)).await;
+        let asked = timeout(CALL_TIMEOUT, exchange(running.listen, &text)).await;
         let asked = asked.expect("reading the folder holds the process up");
         assert_eq!(asked.status, 503, "served after the yes");
     }
--- a/daemon/tests/gone.rs
+++ b/daemon/tests/gone.rs
@@ -18,7 +18,7 @@
 const LATEST: Duration = Duration::from_secs(20);
 
 fn request(id: &str) -> String {
-    kept(&chat(id, "ask", 7_000))
+    keep_alive(&chat(id, "ask", 7_000))
 }
 
 /// What lies before the end: nothing, half a line, a whole request, many of them, more than is ever kept,
@@ -59,17 +59,18 @@
 #[tokio::test]
 async fn while_held() {
     for (name, leaving) in left_unread() {
-        let (prefill, decode) = (StandIn::start(READ).await, StandIn::start(WHOLE).await);
-        let site = Open::before(&[("decode", 1, decode.address)], CLIENT_TIMEOUTS);
+        let (prefill, decode) =
+            (StandIn::start(PREFILL_RESPONSE).await, StandIn::start(COMPLETE_STREAM).await);
+        let site = TestConductor::start(&[("decode", 1, decode.address)], CLIENT_TIMEOUTS);
         let client = send(site.platform, &request("goes")).await;
         until(|| site.conductor.call_count() == 1).await;
         let stays = tokio::spawn(async move { exchange(site.platform, &chat("stays", "ask", 7_000)).await });
         until(|| site.conductor.call_count() == 2).await;
         goes(client, &leaving).await;
         sleep(Duration::from_millis(100)).await;
-        site.book.set("prefill".into(), prefill.address);
+        site.addresses.set("prefill".into(), prefill.address);
         let entries = vec![entry("prefill", 0, Health::Up)];
-        site.news.send(MembershipUpdate { kind: ListUpdateKind::Changes, entries }).unwrap();
+        site.membership.send(MembershipUpdate { kind: ListUpdateKind::Changes, entries }).unwrap();
         assert_eq!(stays.await.unwrap().status, 200, "{name}: who stays is served");
         sleep(Duration::from_millis(50)).await;
         assert_eq!((attempts(&prefill), attempts(&decode)), (0, 0), "{name}");
@@ -83,13 +84,14 @@
     // More than a socket's window holds can't arrive in one turn.
     for (name, leaving) in left_unread().into_iter().filter(|(_, leaving)| leaving.len() < 32 << 10) {
         for kept in [false, true] {
-            let (prefill, decode) = (StandIn::start(READ).await, StandIn::start(WHOLE).await);
-            let site = Open::before(&[("decode", 1, decode.address)], CLIENT_TIMEOUTS);
+            let (prefill, decode) =
+                (StandIn::start(PREFILL_RESPONSE).await, StandIn::start(COMPLETE_STREAM).await);
+            let site = TestConductor::start(&[("decode", 1, decode.address)], CLIENT_TIMEOUTS);
             let turns_up = |health| {
                 let entries = vec![entry("prefill", 0, health)];
-                site.news.send(MembershipUpdate { kind: ListUpdateKind::Changes, entries }).unwrap();
+                site.membership.send(MembershipUpdate { kind: ListUpdateKind::Changes, entries }).unwrap();
             };
-            site.book.set("prefill".into(), prefill.address);
+            site.addresses.set("prefill".into(), prefill.address);
             if kept {
                 // A connection to it is kept, so that an attempt could begin at once.
                 turns_up(Health::Up);
@@ -116,41 +118,47 @@
 #[tokio::test]
 async fn while_its_prompt_is_read_and_while_its_answer_is_waited_for_or_runs() {
     for (name, leaving) in left_unread() {
-        for (reads, writes) in [(Does::Silent, WHOLE), (READ, Does::Silent), (READ, RUNS)] {
+        for (reads, writes) in [
+            (Behavior::StaysSilent, COMPLETE_STREAM),
+            (PREFILL_RESPONSE, Behavior::StaysSilent),
+            (PREFILL_RESPONSE, RUNS),
+        ] {
             let mut site = Site::start().await;
-            let silent = matches!(reads, Does::Silent);
-            site.reader.next(reads.clone());
-            site.writer.next(writes.clone());
+            let silent = matches!(reads, Behavior::StaysSilent);
+            site.prefill.next(reads.clone());
+            site.decode.next(writes.clone());
             let client = send(site.platform, &request("goes")).await;
-            let at = if silent { &mut site.reader } else { &mut site.writer };
+            let at = if silent { &mut site.prefill } else { &mut site.decode };
             until(|| attempts(at) == 1).await;
             goes(client, &leaving).await;
-            let gave_up = timeout(SOON, at.given_up.recv()).await;
+            let gave_up = timeout(SOON, at.aborts.recv()).await;
             assert!(gave_up.is_ok(), "{name}, {reads:?}, {writes:?}: the attempt goes on");
             sleep(Duration::from_millis(50)).await;
             let expected = (1, usize::from(!silent));
-            assert_eq!((attempts(&site.reader), attempts(&site.writer)), expected, "{name}");
+            assert_eq!((attempts(&site.prefill), attempts(&site.decode)), expected, "{name}");
         }
     }
 }
 
-const RUNS: Does = Does::StallsAfter(&[EVENT]);
+const RUNS: Behavior = Behavior::StallsAfter(&[EVENT]);
 
 /// What was read is let go, and nothing is sent on the connection that comes up after all.
 #[tokio::test]
 async fn while_a_connection_to_a_decode_server_does_not_come_up() {
     for (name, leaving) in left_unread() {
-        let mut prefill = StandIn::start(READ).await;
-        let shut = Shut::start().await;
-        let site =
-            Open::before(&[("prefill", 0, prefill.address), ("decode", 1, shut.address)], CLIENT_TIMEOUTS);
+        let mut prefill = StandIn::start(PREFILL_RESPONSE).await;
+        let shut = FullBacklogServer::start().await;
+        let site = TestConductor::start(
+            &[("prefill", 0, prefill.address), ("decode", 1, shut.address)],
+            CLIENT_TIMEOUTS,
+        );
         let client = send(site.platform, &request("goes")).await;
         until(|| attempts(&prefill) == 1).await;
         sleep(Duration::from_millis(30)).await;
         goes(client, &leaving).await;
-        let released = timeout(SOON, prefill.released.recv()).await;
+        let released = timeout(SOON, prefill.releases.recv()).await;
         assert!(released.is_ok(), "{name}: what was read is held on");
-        assert_eq!(shut.opened_and_sent().await, 0, "{name}: something was sent");
+        assert_eq!(shut.count_used_connections().await, 0, "{name}: something was sent");
     }
 }
 
@@ -192,5 +200,5 @@
         .collect();
     let answer = exchange(site.platform, &format!("{head}{chunks}0\r\n\r\n")).await;
     assert_eq!(answer.status, 200, "{answer:?}");
-    assert!(site.writer.posts()[0].body == body, "it was not handed on as it came");
+    assert!(site.decode.posts()[0].body == body, "it was not handed on as it came");
 }
--- a/daemon/tests/interleavings.rs
+++ b/daemon/tests/interleavings.rs
@@ -21,34 +21,36 @@
 const AT_ONCE: usize = 6;
 
 /// Mostly well; the rest in every way.
-fn prefill_does(draws: &mut SmallRng) -> Does {
+fn prefill_does(draws: &mut SmallRng) -> Behavior {
     match draws.random_range(0..20) {
-        0 => Does::Says(503, true, ""),
-        1 => Does::Says(500, false, "{}"),
-        2 => Does::Resets,
-        3 => Does::Raw("\u{1}\u{2} of the sea\r\n\r\n"),
-        4 => Does::Says(504, true, ""),
-        _ => READ,
+        0 => Behavior::Responds(503, true, ""),
+        1 => Behavior::Responds(500, false, "{}"),
+        2 => Behavior::Disconnects,
+        3 => Behavior::SendsRaw("\u{1}\u{2} of the sea\r\n\r\n"),
+        4 => Behavior::Responds(504, true, ""),
+        _ => PREFILL_RESPONSE,
     }
 }
 
-fn decode_does(draws: &mut SmallRng) -> Does {
+fn decode_does(draws: &mut SmallRng) -> Behavior {
     match draws.random_range(0..20) {
-        0 | 1 => Does::Says(503, true, ""),
-        2 => Does::Says(410, true, "gone"),
-        3 => Does::Says(500, false, "{}"),
-        4 => Does::Resets,
-        5 => Does::BreaksAfter(&[EVENT]),
-        6 => Does::Streams(&[]),
-        7 => Does::Raw("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n10\r\nTable for two!\n\n\r\n"),
-        8 => Does::Ticks(10, 3),
-        _ => WHOLE,
+        0 | 1 => Behavior::Responds(503, true, ""),
+        2 => Behavior::Responds(410, true, "gone"),
+        3 => Behavior::Responds(500, false, "{}"),
+        4 => Behavior::Disconnects,
+        5 => Behavior::BreaksAfter(&[EVENT]),
+        6 => Behavior::Streams(&[]),
+        7 => Behavior::SendsRaw(
+            "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n10\r\nTable for two!\n\n\r\n",
+        ),
+        8 => Behavior::StreamsTimestamps(10, 3),
+        _ => COMPLETE_STREAM,
     }
 }
 
 /// Proof that an attempt never ran.
-fn never_ran(does: &Does) -> bool {
-    matches!(does, Does::Says(503 | 504 | 410, true, _))
+fn never_ran(does: &Behavior) -> bool {
+    matches!(does, Behavior::Responds(503 | 504 | 410, true, _))
 }
 
 /// How a client ends its connection, and after so long.
@@ -78,7 +80,7 @@
 async fn client(to: std::net::SocketAddr, text: String, leaves: Leaves) -> Option<Answer> {
     let mut stream = send(to, &text).await;
     match leaves {
-        Leaves::Stays => return Some(timeout(LATEST, exchange_on(stream)).await.expect("an answer in time")),
+        Leaves::Stays => return Some(timeout(LATEST, read_answer(stream)).await.expect("an answer in time")),
         Leaves::Closes(after) => sleep(Duration::from_millis(after)).await,
         Leaves::Resets(after) => {
             sleep(Duration::from_millis(after)).await;
@@ -99,15 +101,15 @@
 
 async fn day(seed: u64) {
     let mut draws = SmallRng::seed_from_u64(seed);
-    let prefill = [StandIn::start(READ).await, StandIn::start(READ).await];
-    let decode = [StandIn::start(WHOLE).await, StandIn::start(WHOLE).await];
+    let prefill = [StandIn::start(PREFILL_RESPONSE).await, StandIn::start(PREFILL_RESPONSE).await];
+    let decode = [StandIn::start(COMPLETE_STREAM).await, StandIn::start(COMPLETE_STREAM).await];
     let servers = [
         ("p0", 0, prefill[0].address),
         ("p1", 0, prefill[1].address),
         ("d0", 1, decode[0].address),
         ("d1", 1, decode[1].address),
     ];
-    let site = Open::before(&servers, CLIENT_TIMEOUTS);
+    let site = TestConductor::start(&servers, CLIENT_TIMEOUTS);
     let mut clients = JoinSet::new();
     let mut answers = BTreeMap::new();
     for n in 0..REQUESTS {
@@ -124,7 +126,7 @@
                     kind: ListUpdateKind::Changes,
                     entries: vec![entry(name, kind, health)],
                 };
-                site.news.send(news).unwrap();
+                site.membership.send(news).unwrap();
                 tokio::task::yield_now().await;
             }
         }
@@ -137,26 +139,29 @@
     answers.extend(clients.join_all().await);
     timeout(LATEST, site.conductor.wait_for_releases()).await.expect("what is held is let go");
     sleep(Duration::from_millis(50)).await;
-    let all = |of: &[StandIn]| of.iter().flat_map(|s| s.did.lock().unwrap().clone()).collect::<Vec<Did>>();
+    let all = |of: &[StandIn]| {
+        of.iter().flat_map(|s| s.handled.lock().unwrap().clone()).collect::<Vec<HandledRequest>>()
+    };
     let (read, written) = (all(&prefill), all(&decode));
     for (id, answer) in &answers {
-        let of = |did: &[Did]| {
-            let mut of: Vec<Did> = did.iter().filter(|d| d.id == *id).cloned().collect();
-            of.sort_by_key(|d| d.nth);
+        let of = |did: &[HandledRequest]| {
+            let mut of: Vec<HandledRequest> = did.iter().filter(|d| d.id == *id).cloned().collect();
+            of.sort_by_key(|d| d.sequence);
             of
         };
         let (reads, writes) = (of(&read), of(&written));
-        let attempts: Vec<&Did> = writes.iter().filter(|d| d.does.is_some()).collect();
-        let ran = attempts.iter().position(|d| !never_ran(d.does.as_ref().unwrap()));
+        let attempts: Vec<&HandledRequest> = writes.iter().filter(|d| d.behavior.is_some()).collect();
+        let ran = attempts.iter().position(|d| !never_ran(d.behavior.as_ref().unwrap()));
         let story = format!("seed {seed}, {id}: {answer:?}, read {reads:?}, written {writes:?}");
         assert!(
             !id.starts_with("book") || ran.is_none_or(|nth| nth + 1 == attempts.len()),
             "repeated: {story}"
         );
-        let last_read = reads.iter().rev().find(|d| matches!(d.does, Some(Does::Says(202, ..))));
+        let last_read = reads.iter().rev().find(|d| matches!(d.behavior, Some(Behavior::Responds(202, ..))));
         if let Some(last_read) = last_read {
-            let taken = attempts.iter().any(|d| d.nth > last_read.nth);
-            let released = reads.iter().chain(&writes).any(|d| d.does.is_none() && d.nth > last_read.nth);
+            let taken = attempts.iter().any(|d| d.sequence > last_read.sequence);
+            let released =
+                reads.iter().chain(&writes).any(|d| d.behavior.is_none() && d.sequence > last_read.sequence);
             assert!(taken || released, "left behind: {story}");
         }
         let Some(answer) = answer else { continue };
@@ -168,7 +173,7 @@
             other => panic!("{other}: {story}"),
         }
         // A cut stream was broken by its server; a whole one was whole there.
-        let broke = attempts.last().is_some_and(|d| matches!(d.does, Some(Does::BreaksAfter(_))));
+        let broke = attempts.last().is_some_and(|d| matches!(d.behavior, Some(Behavior::BreaksAfter(_))));
         assert!(answer.status != 200 || answer.whole != broke, "{story}");
     }
     let served = answers.values().flatten().filter(|a| a.status == 200 && a.whole).count();
--- a/daemon/tests/on_time.rs
+++ b/daemon/tests/on_time.rs
@@ -26,7 +26,7 @@
         if read == 0 {
             break;
         }
-        let now = micros();
+        let now = unix_micros();
         seen.push_str(std::str::from_utf8(&bytes[..read]).unwrap());
         let times: Vec<u64> =
             seen.split("{\"at\":").skip(1).filter_map(|t| t.split_once('}')?.0.parse().ok()).collect();
@@ -45,15 +45,16 @@
 async fn events_are_on_time_beside_a_backlog_of_decisions() {
     let (mut servers, mut stand_ins) = (Vec::new(), Vec::new());
     for n in 0..8 {
-        for (kind, usual) in [("prefill", READ), ("decode", Does::Ticks(80, 100))] {
+        for (kind, usual) in [("prefill", PREFILL_RESPONSE), ("decode", Behavior::StreamsTimestamps(80, 100))]
+        {
             let stand_in = StandIn::start(usual).await;
             servers.push((format!("{kind}-{n}"), kind, stand_in.address));
             stand_ins.push(stand_in);
         }
     }
     let servers: Vec<_> = servers.iter().map(|(uid, kind, at)| (uid.as_str(), *kind, *at)).collect();
-    let config = config_of("n1", "127.0.0.1:9", 8_192, &servers, &setup());
-    let running = Running::start(program("on-time", &config));
+    let config = config_json("n1", "127.0.0.1:9", 8_192, &servers, &setup());
+    let running = DaemonProcess::start(program("on-time", &config));
     let mut clients = JoinSet::new();
     for n in 0..STREAMS {
         clients.spawn(lags(running.listen, format!("stream-{n}")));
@@ -76,7 +77,7 @@
         all.len()
     );
     running.signal("-TERM");
-    running.ends_well().await;
+    running.expect_clean_exit().await;
 }
 
 /// A slow client holds up nobody else's events.
@@ -85,13 +86,13 @@
     let site = Site::start().await;
     let mut slow = Vec::new();
     for n in 0..3 {
-        site.writer.next(Does::StreamsOn);
+        site.decode.next(Behavior::StreamsEndlessly);
         slow.push(send(site.platform, &chat(&format!("slow-{n}"), "ask", 7_000)).await);
-        while site.writer.posts().len() <= n {
+        while site.decode.posts().len() <= n {
             sleep(Duration::from_millis(2)).await;
         }
     }
-    site.writer.next(Does::Ticks(60, 5));
+    site.decode.next(Behavior::StreamsTimestamps(60, 5));
     let lags = lags(site.platform, "quick".into()).await.expect("it is served");
     assert_eq!(lags.len(), 60);
     assert!(lags.iter().all(|lag| *lag < LATE), "{lags:?}");
@@ -129,8 +130,8 @@
 #[tokio::test]
 async fn each_event_leaves_whole_and_alone_however_it_came() {
     let site = Site::start().await;
-    let told = site.writer.told.clone();
-    site.writer.next(Does::Told);
+    let told = site.decode.output.clone();
+    site.decode.next(Behavior::SendsFromChannel);
     let mut client = send(site.platform, &chat("pieces", "ask", 7_000)).await;
     let chunk = |text: &str| format!("{:x}\r\n{text}\r\n", text.len());
     let head = "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n";
--- a/daemon/tests/ops.rs
+++ b/daemon/tests/ops.rs
@@ -49,11 +49,11 @@
         assert_eq!(call(ops, "GET", "/api/ready", "").await.0, 200);
     }
     // The first made room for others, well before its time was over.
-    let room_made = timeout(LONGEST / 10, unfinished.remove(0).read_to_end(&mut Vec::new())).await;
+    let room_made = timeout(WAIT_TIMEOUT / 10, unfinished.remove(0).read_to_end(&mut Vec::new())).await;
     assert!(room_made.is_ok(), "connections are not bounded");
     // Each is ended, by its time or to make room.
     for mut stream in unfinished {
-        let ended = timeout(LONGEST, stream.read_to_end(&mut Vec::new())).await;
+        let ended = timeout(WAIT_TIMEOUT, stream.read_to_end(&mut Vec::new())).await;
         assert!(ended.is_ok(), "a caller that finished no call was kept");
     }
 }
@@ -62,9 +62,9 @@
 async fn an_excluded_instance_gets_nothing_until_it_is_included_also_by_the_next_process() {
     let deployment = Deployment::new("ops-exclude").await;
     let (mut running, mut ops) = deployment.start("ops-exclude").await;
-    until_status(running.listen, "before", 200).await;
+    wait_for_status(running.listen, "before", 200).await;
     assert_eq!(exclude(ops, "p").await, 200);
-    until_status(running.listen, "out", 503).await;
+    wait_for_status(running.listen, "out", 503).await;
     let [prefill, _] = &deployment.servers;
     let sent = prefill.posts().len();
     for nth in 0..2 {
@@ -74,7 +74,7 @@
     }
     assert_eq!(prefill.posts().len(), sent);
     assert_eq!(include(ops, "p").await, 200);
-    until_status(running.listen, "back", 200).await;
+    wait_for_status(running.listen, "back", 200).await;
 }
 
 #[tokio::test]
@@ -90,8 +90,8 @@
     std::fs::write(kept[0].with_file_name("half.123"), "p").unwrap();
     let mut command = program("ops-damaged-again", &deployment.config.to_string());
     command.env("TMPDIR", &deployment.folder);
-    let running = Running::start(command);
-    until_status(running.listen, "damaged", 200).await;
+    let running = DaemonProcess::start(command);
+    wait_for_status(running.listen, "damaged", 200).await;
 }
 
 #[tokio::test]
@@ -101,13 +101,13 @@
     deployment.config.as_object_mut().unwrap().remove("ops");
     let mut command = program("ops-none", &deployment.config.to_string());
     command.env("TMPDIR", &deployment.folder);
-    let running = Running::start(command);
-    until_status(running.listen, "none", 200).await;
+    let running = DaemonProcess::start(command);
+    wait_for_status(running.listen, "none", 200).await;
     assert_eq!(std::fs::read_dir(&deployment.folder).unwrap().count(), 0);
     drop(running);
     deployment.config["ops"] = json!("192.0.2.1:1");
     let mut command = program("ops-env", &deployment.config.to_string());
     command.env("TMPDIR", &deployment.folder).env("EDGE_OPS", ops.as_str().unwrap());
-    let mut running = Running::spawn(command);
-    assert!(running.logs("operators' address, at: ").contains("127.0.0.1"));
+    let mut running = DaemonProcess::spawn(command);
+    assert!(running.wait_for_log("operators' address, at: ").contains("127.0.0.1"));
 }
--- a/daemon/tests/platform.rs
+++ b/daemon/tests/platform.rs
@@ -26,7 +26,7 @@
     let answer = exchange(site.platform, &post(&format!("{PATH}?a=b%20c"), HEADERS, "{\"x\": 1}")).await;
     assert_eq!((answer.status, answer.whole), (200, true));
     assert_eq!(answer.body, [EVENT, LAST, USAGE, DONE].concat(), "all events, those of usage too");
-    for got in [site.reader.posts(), site.writer.posts()].concat() {
+    for got in [site.prefill.posts(), site.decode.posts()].concat() {
         assert_eq!(got.line, format!("POST {PATH}?a=b%20c HTTP/1.1"));
         assert_eq!(got.body, "{\"x\": 1}");
         assert!(got.head.contains("x-txn: t-1") && got.head.contains("x-labels: prefix=5c0f"));
@@ -64,7 +64,7 @@
         let answer = exchange(site.platform, &text).await;
         assert!(answer.status == status && answer.body.contains(word), "{answer:?}");
     }
-    assert!(site.reader.posts().is_empty());
+    assert!(site.prefill.posts().is_empty());
 }
 
 /// A head with these lines in place of its length, and all that follows.
@@ -94,11 +94,11 @@
         let answer = exchange(site.platform, &framed(&lines, rest)).await;
         assert_eq!((answer.status, answer.answers), (400, 1), "{lines}: {answer:?}");
     }
-    assert!(site.reader.posts().is_empty());
+    assert!(site.prefill.posts().is_empty());
     // A body in chunks is fine by itself, and ends its connection: what follows is no request either.
     let answer = exchange(site.platform, &framed("transfer-encoding: chunked", &both)).await;
     assert_eq!((answer.status, answer.answers, answer.header("connection")), (200, 1, Some("close")));
-    let bodies: Vec<String> = site.writer.posts().into_iter().map(|got| got.body).collect();
+    let bodies: Vec<String> = site.decode.posts().into_iter().map(|got| got.body).collect();
     assert_eq!(bodies, ["{}"]);
 }
 
@@ -122,7 +122,7 @@
         let statuses: Vec<&str> = seen.split("HTTP/1.1 ").skip(1).map(|a| &a[..3]).collect();
         assert!(statuses.ends_with(&["400"]) && statuses.len() <= 3, "{piece}: {statuses:?}");
     }
-    assert!(site.reader.posts().is_empty());
+    assert!(site.prefill.posts().is_empty());
 }
 
 #[tokio::test]
@@ -143,8 +143,8 @@
 
 #[tokio::test]
 async fn a_crowd_that_sends_no_whole_request_keeps_nobody_out_and_ends_nobodys_answer() {
-    let site = Site::with(ClientTimeouts { arrive: 3 * LATEST, ..CLIENT_TIMEOUTS }).await;
-    site.writer.next(Does::StallsAfter(&[EVENT]));
+    let site = Site::with_timeouts(ClientTimeouts { arrive: 3 * LATEST, ..CLIENT_TIMEOUTS }).await;
+    site.decode.next(Behavior::StallsAfter(&[EVENT]));
     let mut served = send(site.platform, &post(PATH, HEADERS, "{}")).await;
     let mut seen = Vec::new();
     while !String::from_utf8_lossy(&seen).contains("Table") {
@@ -170,14 +170,14 @@
 #[tokio::test]
 async fn an_id_that_is_in_use_is_turned_down() {
     let mut site = Site::start().await;
-    site.writer.next(Does::Silent);
+    site.decode.next(Behavior::StaysSilent);
     let first = send(site.platform, &post(PATH, HEADERS, "{}")).await;
-    while site.writer.posts().is_empty() {
+    while site.decode.posts().is_empty() {
         tokio::task::yield_now().await;
     }
     assert_eq!(exchange(site.platform, &post(PATH, HEADERS, "{}")).await.status, 409);
     drop(first);
-    site.writer.given_up.recv().await.unwrap();
+    site.decode.aborts.recv().await.unwrap();
 }
 
 #[tokio::test]
@@ -199,7 +199,8 @@
 
 #[tokio::test]
 async fn a_client_that_keeps_its_connection_and_asks_no_more_is_closed() {
-    let site = Site::with(ClientTimeouts { idle: Duration::from_millis(30), ..CLIENT_TIMEOUTS }).await;
+    let site =
+        Site::with_timeouts(ClientTimeouts { idle: Duration::from_millis(30), ..CLIENT_TIMEOUTS }).await;
     let mut stream = send(site.platform, &READY.replace("connection: close\r\n", "")).await;
     let mut seen = Vec::new();
     let read = tokio::time::timeout(LATEST, stream.read_to_end(&mut seen)).await;
@@ -209,32 +210,32 @@
 #[tokio::test]
 async fn a_client_that_takes_nothing_is_as_good_as_gone() {
     let mut site = Site::start().await;
-    site.writer.next(Does::StreamsOn);
+    site.decode.next(Behavior::StreamsEndlessly);
     let _reads_nothing = send(site.platform, &post(PATH, HEADERS, "{}")).await;
-    site.writer.given_up.recv().await.unwrap();
+    site.decode.aborts.recv().await.unwrap();
 }
 
 #[tokio::test]
 async fn closing_answers_what_has_not_begun_and_refuses_nothing_that_may_have_run() {
     let mut site = Site::start().await;
-    site.writer.next(Does::Silent);
+    site.decode.next(Behavior::StaysSilent);
     let book = tokio::spawn({
         let (to, text) = (site.platform, post(PATH, HEADERS, "{}"));
         async move { exchange(to, &text).await }
     });
-    while site.writer.posts().is_empty() {
+    while site.decode.posts().is_empty() {
         tokio::task::yield_now().await;
     }
-    site.doors.leave();
+    site.listeners.leave();
     site.conductor.close();
     assert_eq!(book.await.unwrap().status, 502);
-    site.writer.given_up.recv().await.unwrap();
+    site.decode.aborts.recv().await.unwrap();
     let ready = "GET /_health HTTP/1.1\r\nhost: x\r\n\r\n";
     let last = exchange(site.platform, ready).await;
     assert_eq!((last.status, last.header("connection")), (200, Some("close")), "served, and told to go");
-    site.doors.close().await;
+    site.listeners.close().await;
     site.conductor.wait_for_releases().await;
-    assert!(site.reader.released.try_recv().is_ok(), "the box that was heard last is asked first");
+    assert!(site.prefill.releases.try_recv().is_ok(), "the box that was heard last is asked first");
 }
 
 fn config(listen: &str, discovery: &str) -> Value {
@@ -282,11 +283,11 @@
 async fn sigterm_is_followed_by_new_connections_served_and_a_clean_end() {
     // Any free port; its log tells which. The discovery that it names answers nothing.
     let config = config("127.0.0.1:0", "127.0.0.1:9").to_string();
-    let running = Running::start(program("term", &config));
+    let running = DaemonProcess::start(program("term", &config));
     assert_eq!(exchange(running.listen, READY).await.status, 200);
     running.signal("-TERM");
     assert_eq!(exchange(running.listen, READY).await.status, 200, "new connections are served for a while");
-    running.ends_well().await;
+    running.expect_clean_exit().await;
 }
 
 #[tokio::test]
@@ -316,14 +317,14 @@
     std::fs::write(&file, text.to_string()).unwrap();
     let mut command = program("member", &config("127.0.0.1:0", "127.0.0.1:9").to_string());
     command.arg("--membership").arg(&file);
-    let running = Running::start(command);
+    let running = DaemonProcess::start(command);
     let both = |v: &MembershipView| {
         v.peers.len() == 1 && v.peers[0].role == Role::Daemon && (0.2..0.8).contains(&v.quota_share)
     };
     timeout(LATEST, view.wait_for(both)).await.unwrap().unwrap();
     running.signal("-TERM");
     timeout(LATEST, view.wait_for(|v| v.peers.is_empty() && v.quota_share > 0.85)).await.unwrap().unwrap();
-    running.ends_well().await;
+    running.expect_clean_exit().await;
     // What is wrong with the file is said on one line.
     for (key, value) in
         [("key", json!("short")), ("voters", json!([])), ("most", json!(0)), ("what", json!(1))]
@@ -341,22 +342,23 @@
 
 #[tokio::test]
 async fn sighup_rereads_the_configuration_and_a_bad_file_changes_nothing() {
-    let moved = StandIn::start(Does::Says(200, false, "{\"rev\":2,\"all\":true,\"targets\":[]}")).await;
+    let moved =
+        StandIn::start(Behavior::Responds(200, false, "{\"rev\":2,\"all\":true,\"targets\":[]}")).await;
     let first = config("127.0.0.1:0", "127.0.0.1:9").to_string();
-    let mut running = Running::start(program("hup", &first));
+    let mut running = DaemonProcess::start(program("hup", &first));
     program("hup", "{\"name\": \"half a fi");
     running.signal("-HUP");
-    running.logs("the old configuration stays in force");
+    running.wait_for_log("the old configuration stays in force");
     assert_eq!(exchange(running.listen, READY).await.status, 200, "the list that was known is still held");
     let mut second = config("127.0.0.1:1", &moved.address.to_string());
     second["settings"]["balancers"] = json!(2);
     program("hup", &second.to_string());
     running.signal("-HUP");
-    assert!(running.logs("configuration read").contains("at restart: listen"));
+    assert!(running.wait_for_log("configuration read").contains("at restart: listen"));
     while exchange(running.listen, READY).await.status == 200 {}
-    assert_eq!(moved.got.lock().unwrap()[0].line, "GET /catalog/members HTTP/1.1");
+    assert_eq!(moved.requests.lock().unwrap()[0].line, "GET /catalog/members HTTP/1.1");
     running.signal("-TERM");
-    running.logs("SIGTERM");
+    running.wait_for_log("SIGTERM");
     running.signal("-HUP");
-    running.ends_well().await;
+    running.expect_clean_exit().await;
 }
--- a/daemon/tests/processes.rs
+++ b/daemon/tests/processes.rs
@@ -59,8 +59,8 @@
         Fleet { ledger, links, config, _members: members }
     }
 
-    fn process(&self, n: usize) -> Running {
-        Running::start(program(&format!("processes-{n}"), &self.config.to_string()))
+    fn process(&self, n: usize) -> DaemonProcess {
+        DaemonProcess::start(program(&format!("processes-{n}"), &self.config.to_string()))
     }
 
     /// To the links of a zone, or of all servers of a kind.
@@ -101,7 +101,7 @@
 #[tokio::test]
 async fn every_state_ends_in_time_and_no_book_runs_twice_while_links_fail_and_processes_die() {
     let fleet = Fleet::start().await;
-    let mut running: Vec<Running> = (0..3).map(|n| fleet.process(n)).collect();
+    let mut running: Vec<DaemonProcess> = (0..3).map(|n| fleet.process(n)).collect();
     let at: Vec<_> = running.iter().map(|r| Arc::new(Mutex::new(r.listen))).collect();
     let end = Instant::now() + Duration::from_secs(8);
     let mut clients = JoinSet::new();
@@ -145,7 +145,7 @@
     }
     for process in running {
         process.signal("-TERM");
-        process.ends_well().await;
+        process.expect_clean_exit().await;
     }
     let accounts: HashMap<String, _> =
         fleet.ledger.records().into_iter().map(|(id, account)| (id.to_string(), account)).collect();
--- a/daemon/tests/reload.rs
+++ b/daemon/tests/reload.rs
@@ -18,7 +18,7 @@
         "points": 1.0, "dedup-scope": "all", "dedup-window": 0})
 }
 
-async fn status(running: &Running, id: &str, of: &str) -> u16 {
+async fn status(running: &DaemonProcess, id: &str, of: &str) -> u16 {
     exchange(running.listen, &of_class(id, of)).await.status
 }
 
@@ -30,9 +30,9 @@
     assert_eq!(status(&running, "before-2", "change").await, 400);
     // Another order, one class more, and one that is dropped.
     deployment.config["settings"]["grades"] = json!([class("change", "fragile"), class("ask", "retryable")]);
-    deployment.rewrite("reload-classes", &deployment.config.to_string());
+    deployment.rewrite_config("reload-classes", &deployment.config.to_string());
     running.signal("-HUP");
-    running.logs("configuration read");
+    running.wait_for_log("configuration read");
     for (id, of, told) in [("after-1", "change", 200), ("after-2", "ask", 200), ("after-3", "book", 400)] {
         assert_eq!(status(&running, id, of).await, told, "{of}");
     }
@@ -44,17 +44,17 @@
     let (mut running, _) = deployment.start("reload-open").await;
     let [_, decode] = &deployment.servers;
     // Its answer breaks before its first event, once the settings have changed: it may have run.
-    decode.next(Does::Told);
+    decode.next(Behavior::SendsFromChannel);
     let stream = send(running.listen, &of_class("open", "book")).await;
     while decode.posts().is_empty() {
         tokio::time::sleep(std::time::Duration::from_millis(5)).await;
     }
     deployment.config["settings"]["grades"] = json!([class("ask", "retryable")]);
-    deployment.rewrite("reload-open", &deployment.config.to_string());
+    deployment.rewrite_config("reload-open", &deployment.config.to_string());
     running.signal("-HUP");
-    running.logs("configuration read");
+    running.wait_for_log("configuration read");
     decode.close_all().await;
-    assert_eq!(exchange_on(stream).await.status, 502);
+    assert_eq!(read_answer(stream).await.status, 502);
     assert_eq!(decode.posts().len(), 1, "a request that must not run twice was sent again");
 }
 
@@ -63,13 +63,13 @@
     let mut deployment = Deployment::new("reload-decisions").await;
     let (mut running, ops) = deployment.start("reload-decisions").await;
     assert_eq!(exclude(ops, "p").await, 200);
-    until_status(running.listen, "advised", 503).await;
+    wait_for_status(running.listen, "advised", 503).await;
     let advice = |answer: Answer| answer.header("retry-after").is_some();
     assert!(advice(exchange(running.listen, &request("before")).await));
     deployment.config["settings"]["limits"]["retry-after"] = json!(false);
-    deployment.rewrite("reload-decisions", &deployment.config.to_string());
+    deployment.rewrite_config("reload-decisions", &deployment.config.to_string());
     running.signal("-HUP");
-    running.logs("configuration read");
+    running.wait_for_log("configuration read");
     assert!(!advice(exchange(running.listen, &request("after")).await));
 }
 
@@ -108,13 +108,13 @@
     let deployment = Deployment::new("reload-broken").await;
     let (mut running, _) = deployment.start("reload-broken").await;
     for (nth, (what, text)) in broken_files(&deployment.config).into_iter().enumerate() {
-        deployment.rewrite("reload-broken", &text);
+        deployment.rewrite_config("reload-broken", &text);
         running.signal("-HUP");
-        let line = running.logs("SIGHUP: ");
+        let line = running.wait_for_log("SIGHUP: ");
         assert!(line.contains("the old configuration stays in force"), "{what}: {line}");
         assert_eq!(status(&running, &format!("broken-{nth}"), "book").await, 200, "{what}");
     }
-    deployment.rewrite("reload-broken", &deployment.config.to_string());
+    deployment.rewrite_config("reload-broken", &deployment.config.to_string());
     running.signal("-HUP");
-    assert!(running.logs("SIGHUP: ").contains("configuration read"));
+    assert!(running.wait_for_log("SIGHUP: ").contains("configuration read"));
 }
--- a/daemon/tests/servers.rs
+++ b/daemon/tests/servers.rs
@@ -22,28 +22,28 @@
 #[tokio::test]
 async fn what_ends_before_the_first_event_is_tried_again_or_failed_by_the_effect_of_its_class() {
     let may_have_run = [
-        Does::Resets,
-        Does::Streams(&[]),
-        Does::BreaksAfter(&[HALF]),
-        Does::StallsAfter(&[HALF]),
-        Does::Raw("HTTP/1.1 200 OK\r\ncontent-"),
-        Does::RawOn("\u{7}"),
-        Does::Says(500, false, ""),
+        Behavior::Disconnects,
+        Behavior::Streams(&[]),
+        Behavior::BreaksAfter(&[HALF]),
+        Behavior::StallsAfter(&[HALF]),
+        Behavior::SendsRaw("HTTP/1.1 200 OK\r\ncontent-"),
+        Behavior::RepeatsLastByte("\u{7}"),
+        Behavior::Responds(500, false, ""),
     ];
     for does in may_have_run {
         for (class, status, attempts) in [("ask", 200, 2), ("book", 502, 1)] {
             let site = Site::start().await;
-            site.writer.next(does.clone());
+            site.decode.next(does.clone());
             let answer = exchange(site.platform, &request("t", class)).await;
-            assert_eq!((answer.status, site.writer.posts().len()), (status, attempts), "{class}, {does:?}");
+            assert_eq!((answer.status, site.decode.posts().len()), (status, attempts), "{class}, {does:?}");
             assert!(answer.whole && answer.answers == 1, "{class}, {does:?}: {answer:?}");
         }
     }
     for class in ["ask", "book"] {
         let site = Site::start().await;
-        site.writer.next(Does::Says(503, true, ""));
+        site.decode.next(Behavior::Responds(503, true, ""));
         let answer = exchange(site.platform, &request("t", class)).await;
-        assert_eq!((answer.status, site.writer.posts().len()), (200, 2), "{class}: it never ran");
+        assert_eq!((answer.status, site.decode.posts().len()), (200, 2), "{class}: it never ran");
     }
 }
 
@@ -51,13 +51,13 @@
 #[tokio::test]
 async fn what_breaks_after_the_first_event_is_cut_and_never_sent_again() {
     for (does, most) in [
-        (Does::BreaksAfter(&[EVENT]), Duration::from_secs(2)),
-        (Does::BreaksAfter(&[EVENT, HALF]), Duration::from_secs(2)),
-        (Does::StallsAfter(&[EVENT, HALF]), Duration::from_secs(5)),
+        (Behavior::BreaksAfter(&[EVENT]), Duration::from_secs(2)),
+        (Behavior::BreaksAfter(&[EVENT, HALF]), Duration::from_secs(2)),
+        (Behavior::StallsAfter(&[EVENT, HALF]), Duration::from_secs(5)),
     ] {
         for class in ["ask", "book"] {
             let site = Site::start().await;
-            site.writer.next(does.clone());
+            site.decode.next(does.clone());
             let begin = Instant::now();
             let answer =
                 timeout(LATEST, exchange(site.platform, &request("t", class))).await.expect("an end");
@@ -71,7 +71,7 @@
                 "{class}, {does:?}: {:?}",
                 begin.elapsed()
             );
-            assert_eq!((site.reader.posts().len(), site.writer.posts().len()), (1, 1), "{class}, {does:?}");
+            assert_eq!((site.prefill.posts().len(), site.decode.posts().len()), (1, 1), "{class}, {does:?}");
         }
     }
 }
@@ -81,13 +81,13 @@
 async fn what_comes_behind_an_answer_spoils_no_other() {
     let site = Site::start().await;
     for n in 0..4 {
-        site.reader.next(Does::RawWhole(TWO_ANSWERS));
+        site.prefill.next(Behavior::SendsRawResponse(TWO_ANSWERS));
         for m in 0..2 {
             let answer = exchange(site.platform, &request(&format!("{n}-{m}"), "book")).await;
             assert_eq!((answer.status, answer.whole), (200, true), "{n}-{m}: {answer:?}");
         }
     }
-    assert_eq!((site.reader.posts().len(), site.writer.posts().len()), (8, 8), "each went out once");
+    assert_eq!((site.prefill.posts().len(), site.decode.posts().len()), (8, 8), "each went out once");
 }
 
 /// One server takes no connection: the request goes by the other, one attempt at a time, and nothing is sent
@@ -95,15 +95,16 @@
 #[tokio::test]
 async fn a_connection_that_comes_up_late_or_never_carries_nothing() {
     for class in ["ask", "book"] {
-        let (prefill, decode) = (StandIn::start(READ).await, StandIn::start(WHOLE).await);
-        let (no_prefill, no_decode) = (Shut::start().await, Shut::start().await);
+        let (prefill, decode) =
+            (StandIn::start(PREFILL_RESPONSE).await, StandIn::start(COMPLETE_STREAM).await);
+        let (no_prefill, no_decode) = (FullBacklogServer::start().await, FullBacklogServer::start().await);
         let servers = [
             ("p1", 0, no_prefill.address),
             ("p2", 0, prefill.address),
             ("d1", 1, no_decode.address),
             ("d2", 1, decode.address),
         ];
-        let site = Open::before(&servers, CLIENT_TIMEOUTS);
+        let site = TestConductor::start(&servers, CLIENT_TIMEOUTS);
         for n in 0..6 {
             let answer = exchange(site.platform, &request(&format!("{class}-{n}"), class)).await;
             assert_eq!((answer.status, answer.answers), (200, 1), "{class}-{n}");
@@ -111,7 +112,7 @@
         assert_eq!(decode.posts().len(), 6, "{class}: each ran once");
         // Connections that were given up have gone; no server holds anything.
         site.conductor.wait_for_releases().await;
-        let sent = tokio::join!(no_prefill.opened_and_sent(), no_decode.opened_and_sent());
+        let sent = tokio::join!(no_prefill.count_used_connections(), no_decode.count_used_connections());
         assert_eq!(sent, (0, 0), "{class}: something was sent late");
         sleep(Duration::from_millis(20)).await;
         assert_eq!((prefill.posts().len(), decode.posts().len()), (6, 6), "{class}");
@@ -121,7 +122,7 @@
 /// No server is known at all: each class is refused in time, with an answer, and told when to come back.
 #[tokio::test]
 async fn what_was_never_sent_is_refused_with_an_answer() {
-    let site = Open::before(&[], CLIENT_TIMEOUTS);
+    let site = TestConductor::start(&[], CLIENT_TIMEOUTS);
     for class in ["ask", "book"] {
         let text = chat(&format!("never-{class}"), class, 900);
         let begin = Instant::now();
--- a/daemon/tests/slow_start.rs
+++ b/daemon/tests/slow_start.rs
@@ -37,10 +37,10 @@
 async fn processes_that_learn_of_a_start_together_do_not_make_the_server_fall() {
     let (mut prefill, mut decode) = (Vec::new(), Vec::new());
     for _ in 0..WARM {
-        prefill.push(StandIn::start(READ).await);
-        decode.push(StandIn::start(WHOLE).await);
+        prefill.push(StandIn::start(PREFILL_RESPONSE).await);
+        decode.push(StandIn::start(COMPLETE_STREAM).await);
     }
-    let fresh = StandIn::start(WHOLE).await;
+    let fresh = StandIn::start(COMPLETE_STREAM).await;
     let target = |uid: String, model: &str, at: &StandIn, boot_ms: u64| {
         json!({"uid": uid, "endpoint": at.address, "az": "z", "model": model, "pod_group": 0,
             "state": "active", "capacity_hint": 1.0, "boot_ms": boot_ms})
@@ -52,20 +52,20 @@
     }
     // Watches that bring nothing fall silent after 3 s; those that follow tell of the start.
     let begin = Instant::now();
-    let boot_ms = micros() / 1_000 + 3_000;
+    let boot_ms = unix_micros() / 1_000 + 3_000;
     let news = json!({"rev": 2, "all": false, "targets": [target("new".into(), "decode", &fresh, boot_ms)]});
     let news: &'static [&'static str] =
         Box::leak(Box::new([&*Box::leak(format!("{news}\n").into_boxed_str())]));
     let (mut agents, mut running) = (Vec::new(), Vec::new());
     for n in 0..PROCESSES {
-        let agent = StandIn::start(Does::StallsAfter(news)).await;
-        agent.next(Does::StallsAfter(&["\n"]));
+        let agent = StandIn::start(Behavior::StallsAfter(news)).await;
+        agent.next(Behavior::StallsAfter(&["\n"]));
         let mut settings = setup();
         settings["balancers"] = json!(PROCESSES);
         let config = json!({"name": format!("n{n}"), "listen": "127.0.0.1:0", "discovery": agent.address,
             "seed": format!("{n}c1f30d27a5be964"), "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 512},
             "known": {"rev": 1, "all": true, "targets": targets}, "settings": settings});
-        running.push(Running::start(program(&format!("slow-start-{n}"), &config.to_string())));
+        running.push(DaemonProcess::start(program(&format!("slow-start-{n}"), &config.to_string())));
         agents.push(agent);
     }
     // The first has as much traffic as the others together.
@@ -94,6 +94,6 @@
     assert!(most >= budget * 0.1, "{most} in {FALL:?}, budget {budget:.1}: it starves");
     for process in running {
         process.signal("-TERM");
-        process.ends_well().await;
+        process.expect_clean_exit().await;
     }
 }
--- a/daemon/tests/support/mod.rs
+++ b/daemon/tests/support/mod.rs
@@ -37,9 +37,9 @@
 
 /// What a stand-in server does with the next request.
 #[derive(Clone, Debug)]
-pub enum Does {
+pub enum Behavior {
     /// Answers with this status, marked as turned away or not, and a body.
-    Says(u16, bool, &'static str),
+    Responds(u16, bool, &'static str),
     /// Streams these events and the last chunk.
     Streams(&'static [&'static str]),
     /// Streams these events, then ends the connection without the last chunk.
@@ -47,24 +47,24 @@
     /// Streams these events, then says nothing more until the other side has closed.
     StallsAfter(&'static [&'static str]),
     /// Sends these bytes, whatever they are, then says nothing more until the other side has closed.
-    Raw(&'static str),
+    SendsRaw(&'static str),
     /// Sends these bytes, and then the last of them again and again.
-    RawOn(&'static str),
+    RepeatsLastByte(&'static str),
     /// Sends these bytes, and then an empty line every 100 ms.
-    Pulses(&'static str),
+    SendsNewlines(&'static str),
     /// Sends these bytes, which hold a whole answer, and goes on to the next request.
-    RawWhole(&'static str),
+    SendsRawResponse(&'static str),
     /// Streams so many events, one every so many milliseconds, whose content is the time since the epoch in
     /// microseconds.
-    Ticks(usize, u64),
+    StreamsTimestamps(usize, u64),
     /// Sends the bytes that the test tells it, as it tells them.
-    Told,
+    SendsFromChannel,
     /// Streams without end.
-    StreamsOn,
+    StreamsEndlessly,
     /// Ends the connection once it has all of the request.
-    Resets,
+    Disconnects,
     /// Says nothing until the other side has closed.
-    Silent,
+    StaysSilent,
 }
 
 /// How long clients may take.
@@ -74,12 +74,12 @@
     stall: Duration::from_millis(200),
 };
 
-pub const READ: Does = Does::Says(202, false, "{\"cached_tokens\":0}");
-pub const WHOLE: Does = Does::Streams(&[EVENT, LAST, USAGE, DONE]);
+pub const PREFILL_RESPONSE: Behavior = Behavior::Responds(202, false, "{\"cached_tokens\":0}");
+pub const COMPLETE_STREAM: Behavior = Behavior::Streams(&[EVENT, LAST, USAGE, DONE]);
 
 /// A request as a server got it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Got {
+pub struct ReceivedRequest {
     pub line: String,
     pub head: String,
     pub body: String,
@@ -88,53 +88,62 @@
 /// What a server did with a request, or `None` for a release, in the order in which all servers of a test got
 /// them.
 #[derive(Clone, Debug)]
-pub struct Did {
-    pub nth: u64,
+pub struct HandledRequest {
+    pub sequence: u64,
     pub id: String,
-    pub does: Option<Does>,
+    pub behavior: Option<Behavior>,
 }
 
-static NTH: AtomicU64 = AtomicU64::new(0);
+static NEXT_SEQUENCE: AtomicU64 = AtomicU64::new(0);
 
 /// A server whose answers are told beforehand; past them it repeats its usual one.
 pub struct StandIn {
     pub address: SocketAddr,
-    pub got: Arc<Mutex<Vec<Got>>>,
-    pub did: Arc<Mutex<Vec<Did>>>,
+    pub requests: Arc<Mutex<Vec<ReceivedRequest>>>,
+    pub handled: Arc<Mutex<Vec<HandledRequest>>>,
     pub accepted: Arc<Mutex<u32>>,
-    script: Arc<Mutex<VecDeque<Does>>>,
+    script: Arc<Mutex<VecDeque<Behavior>>>,
     /// One message for each connection that the conductor closed in the midst of an answer.
-    pub given_up: mpsc::UnboundedReceiver<()>,
+    pub aborts: mpsc::UnboundedReceiver<()>,
     /// One message for each state that was let go of.
-    pub released: mpsc::UnboundedReceiver<()>,
+    pub releases: mpsc::UnboundedReceiver<()>,
     /// What it sends where it does as it is told.
-    pub told: mpsc::UnboundedSender<String>,
+    pub output: mpsc::UnboundedSender<String>,
     closing: Arc<Mutex<CancellationToken>>,
     connections: TaskTracker,
     accepting: Option<JoinHandle<()>>,
 }
 
 impl StandIn {
-    pub async fn start(usual: Does) -> Self {
+    pub async fn start(default_behavior: Behavior) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
-        let (gave_up, given_up) = mpsc::unbounded_channel();
-        let (release, released) = mpsc::unbounded_channel();
-        let (told, as_told) = mpsc::unbounded_channel();
-        let (got, accepted, script) = <(Arc<Mutex<Vec<Got>>>, Arc<Mutex<u32>>, Arc<_>)>::default();
+        let (abort_sender, aborts) = mpsc::unbounded_channel();
+        let (release_sender, releases) = mpsc::unbounded_channel();
+        let (output, output_receiver) = mpsc::unbounded_channel();
+        let (requests, accepted, script) =
+            <(Arc<Mutex<Vec<ReceivedRequest>>>, Arc<Mutex<u32>>, Arc<_>)>::default();
         let (closing, connections) = (Arc::new(Mutex::new(CancellationToken::new())), TaskTracker::new());
-        let as_told = Arc::new(tokio::sync::Mutex::new(as_told));
-        let did = Arc::default();
-        let shared = Shared { usual, got, did, script, gave_up, release, told: as_told };
+        let output_receiver = Arc::new(tokio::sync::Mutex::new(output_receiver));
+        let handled = Arc::default();
+        let shared = Shared {
+            default_behavior,
+            requests,
+            handled,
+            script,
+            abort_sender,
+            release_sender,
+            output_receiver,
+        };
         let mut stand_in = StandIn {
             address,
-            got: shared.got.clone(),
-            did: shared.did.clone(),
+            requests: shared.requests.clone(),
+            handled: shared.handled.clone(),
             accepted: accepted.clone(),
             script: shared.script.clone(),
-            given_up,
-            released,
-            told,
+            aborts,
+            releases,
+            output,
             closing: closing.clone(),
             connections: connections.clone(),
             accepting: None,
@@ -155,8 +164,8 @@
         stand_in
     }
 
-    pub fn next(&self, does: Does) {
-        self.script.lock().unwrap().push_back(does);
+    pub fn next(&self, behavior: Behavior) {
+        self.script.lock().unwrap().push_back(behavior);
     }
 
     /// Ends the listening: further connections are refused.
@@ -175,161 +184,167 @@
     }
 
     /// Requests, releases not counted.
-    pub fn posts(&self) -> Vec<Got> {
-        self.got.lock().unwrap().iter().filter(|g| g.line.starts_with("POST")).cloned().collect()
+    pub fn posts(&self) -> Vec<ReceivedRequest> {
+        self.requests.lock().unwrap().iter().filter(|g| g.line.starts_with("POST")).cloned().collect()
     }
 }
 
 #[derive(Clone)]
 struct Shared {
-    usual: Does,
-    got: Arc<Mutex<Vec<Got>>>,
-    did: Arc<Mutex<Vec<Did>>>,
-    script: Arc<Mutex<VecDeque<Does>>>,
-    gave_up: mpsc::UnboundedSender<()>,
-    release: mpsc::UnboundedSender<()>,
-    told: Arc<tokio::sync::Mutex<mpsc::UnboundedReceiver<String>>>,
+    default_behavior: Behavior,
+    requests: Arc<Mutex<Vec<ReceivedRequest>>>,
+    handled: Arc<Mutex<Vec<HandledRequest>>>,
+    script: Arc<Mutex<VecDeque<Behavior>>>,
+    abort_sender: mpsc::UnboundedSender<()>,
+    release_sender: mpsc::UnboundedSender<()>,
+    output_receiver: Arc<tokio::sync::Mutex<mpsc::UnboundedReceiver<String>>>,
 }
 
 impl Shared {
-    fn note(&self, id: &str, does: Option<&Does>) {
-        let nth = NTH.fetch_add(1, Ordering::Relaxed);
-        self.did.lock().unwrap().push(Did { nth, id: id.into(), does: does.cloned() });
+    fn record(&self, id: &str, behavior: Option<&Behavior>) {
+        let sequence = NEXT_SEQUENCE.fetch_add(1, Ordering::Relaxed);
+        self.handled.lock().unwrap().push(HandledRequest {
+            sequence,
+            id: id.into(),
+            behavior: behavior.cloned(),
+        });
     }
 
     async fn serve(&self, mut stream: TcpStream) -> std::io::Result<()> {
-        let mut held = Vec::new();
-        while let Some(got) = request(&mut stream, &mut held).await? {
-            let deletes = got
+        let mut buffer = Vec::new();
+        while let Some(request) = read_request(&mut stream, &mut buffer).await? {
+            let released_id = request
                 .line
                 .strip_prefix("DELETE /state/")
                 .map(|rest| rest.split(' ').next().unwrap().to_string());
-            let id = got
+            let id = request
                 .head
                 .lines()
                 .find_map(|line| line.strip_prefix("x-txn: "))
                 .unwrap_or_default()
                 .to_string();
-            self.got.lock().unwrap().push(got);
-            if let Some(id) = deletes {
-                self.note(&id, None);
-                let _ = self.release.send(());
+            self.requests.lock().unwrap().push(request);
+            if let Some(id) = released_id {
+                self.record(&id, None);
+                let _ = self.release_sender.send(());
                 stream.write_all(b"HTTP/1.1 204 No Content\r\n\r\n").await?;
                 continue;
             }
-            let does = self.script.lock().unwrap().pop_front().unwrap_or_else(|| self.usual.clone());
-            self.note(&id, Some(&does));
-            match does {
-                Does::Says(status, turned_away, body) => {
-                    let mark = if turned_away { "x-turned-away: 1\r\n" } else { "" };
+            let behavior =
+                self.script.lock().unwrap().pop_front().unwrap_or_else(|| self.default_behavior.clone());
+            self.record(&id, Some(&behavior));
+            match behavior {
+                Behavior::Responds(status, turned_away, body) => {
+                    let header = if turned_away { "x-turned-away: 1\r\n" } else { "" };
                     let length = body.len();
-                    let text = format!("HTTP/1.1 {status} -\r\n{mark}content-length: {length}\r\n\r\n{body}");
-                    stream.write_all(text.as_bytes()).await?;
+                    let response =
+                        format!("HTTP/1.1 {status} -\r\n{header}content-length: {length}\r\n\r\n{body}");
+                    stream.write_all(response.as_bytes()).await?;
                 }
-                Does::Streams(events) => {
-                    chunks(&mut stream, events).await?;
+                Behavior::Streams(events) => {
+                    send_chunked(&mut stream, events).await?;
                     stream.write_all(b"0\r\n\r\n").await?;
                 }
-                Does::BreaksAfter(events) => return chunks(&mut stream, events).await,
-                Does::StallsAfter(events) => {
-                    chunks(&mut stream, events).await?;
-                    return self.until_closed(stream).await;
+                Behavior::BreaksAfter(events) => return send_chunked(&mut stream, events).await,
+                Behavior::StallsAfter(events) => {
+                    send_chunked(&mut stream, events).await?;
+                    return self.wait_for_close(stream).await;
                 }
-                Does::Raw(bytes) => {
+                Behavior::SendsRaw(bytes) => {
                     stream.write_all(bytes.as_bytes()).await?;
-                    return self.until_closed(stream).await;
+                    return self.wait_for_close(stream).await;
                 }
-                Does::RawOn(bytes) => {
+                Behavior::RepeatsLastByte(bytes) => {
                     stream.write_all(bytes.as_bytes()).await?;
-                    let again = bytes[bytes.len() - 1..].repeat(4096);
-                    while stream.write_all(again.as_bytes()).await.is_ok() {}
-                    let _ = self.gave_up.send(());
+                    let repeated = bytes[bytes.len() - 1..].repeat(4096);
+                    while stream.write_all(repeated.as_bytes()).await.is_ok() {}
+                    let _ = self.abort_sender.send(());
                     return Ok(());
                 }
-                Does::Pulses(bytes) => {
+                Behavior::SendsNewlines(bytes) => {
                     stream.write_all(bytes.as_bytes()).await?;
                     while stream.write_all(b"\n").await.is_ok() {
                         tokio::time::sleep(Duration::from_millis(100)).await;
                     }
-                    let _ = self.gave_up.send(());
+                    let _ = self.abort_sender.send(());
                     return Ok(());
                 }
-                Does::RawWhole(bytes) => stream.write_all(bytes.as_bytes()).await?,
-                Does::Ticks(events, every) => {
-                    chunks(&mut stream, &[]).await?;
+                Behavior::SendsRawResponse(bytes) => stream.write_all(bytes.as_bytes()).await?,
+                Behavior::StreamsTimestamps(events, interval_ms) => {
+                    send_chunked(&mut stream, &[]).await?;
                     for _ in 0..events {
-                        chunk(&mut stream, &format!("data: {{\"at\":{}}}\n\n", micros())).await?;
-                        tokio::time::sleep(Duration::from_millis(every)).await;
+                        send_chunk(&mut stream, &format!("data: {{\"at\":{}}}\n\n", unix_micros())).await?;
+                        tokio::time::sleep(Duration::from_millis(interval_ms)).await;
                     }
-                    chunk(&mut stream, DONE).await?;
+                    send_chunk(&mut stream, DONE).await?;
                     stream.write_all(b"0\r\n\r\n").await?;
                 }
-                Does::Told => {
-                    let mut told = self.told.lock().await;
-                    while let Some(bytes) = told.recv().await {
+                Behavior::SendsFromChannel => {
+                    let mut output = self.output_receiver.lock().await;
+                    while let Some(bytes) = output.recv().await {
                         stream.write_all(bytes.as_bytes()).await?;
                     }
                 }
-                Does::StreamsOn => {
-                    chunks(&mut stream, &[]).await?;
-                    while chunk(&mut stream, EVENT).await.is_ok() {}
-                    let _ = self.gave_up.send(());
+                Behavior::StreamsEndlessly => {
+                    send_chunked(&mut stream, &[]).await?;
+                    while send_chunk(&mut stream, EVENT).await.is_ok() {}
+                    let _ = self.abort_sender.send(());
                     return Ok(());
                 }
-                Does::Resets => return Ok(()),
-                Does::Silent => return self.until_closed(stream).await,
+                Behavior::Disconnects => return Ok(()),
+                Behavior::StaysSilent => return self.wait_for_close(stream).await,
             }
         }
         Ok(())
     }
 
-    async fn until_closed(&self, mut stream: TcpStream) -> std::io::Result<()> {
+    async fn wait_for_close(&self, mut stream: TcpStream) -> std::io::Result<()> {
         let mut byte = [0];
         let _ = stream.read(&mut byte).await;
-        let _ = self.gave_up.send(());
+        let _ = self.abort_sender.send(());
         Ok(())
     }
 }
 
 /// A server that takes no connection: those that fill the kernel's queue are in front.
-pub struct Shut {
+pub struct FullBacklogServer {
     pub address: SocketAddr,
     listener: TcpListener,
-    in_front: Vec<TcpStream>,
+    queued: Vec<TcpStream>,
 }
 
-impl Shut {
+impl FullBacklogServer {
     pub async fn start() -> Self {
         let socket = tokio::net::TcpSocket::new_v4().unwrap();
-        socket.bind(any()).unwrap();
+        socket.bind(any_port()).unwrap();
         let listener = socket.listen(1).unwrap();
-        let (address, mut in_front) = (listener.local_addr().unwrap(), Vec::new());
+        let (address, mut queued) = (listener.local_addr().unwrap(), Vec::new());
         while let Ok(stream) =
             tokio::time::timeout(Duration::from_millis(100), TcpStream::connect(address)).await
         {
-            in_front.push(stream.unwrap());
+            queued.push(stream.unwrap());
         }
-        Shut { address, listener, in_front }
+        FullBacklogServer { address, listener, queued }
     }
 
     /// The head of the first request that comes once there is room, and when it came.
     pub async fn first_request(self) -> (String, Instant) {
-        let Shut { listener, in_front, .. } = self;
-        drop(in_front);
+        let FullBacklogServer { listener, queued, .. } = self;
+        drop(queued);
         loop {
-            let (mut stream, mut held) = (listener.accept().await.unwrap().0, Vec::new());
-            if let Ok(Some(got)) = request(&mut stream, &mut held).await {
-                return (got.head, Instant::now());
+            let (mut stream, mut buffer) = (listener.accept().await.unwrap().0, Vec::new());
+            if let Ok(Some(request)) = read_request(&mut stream, &mut buffer).await {
+                return (request.head, Instant::now());
             }
         }
     }
 
     /// Takes every connection that comes up within the time in which one is tried anew, and counts those on
     /// which something was sent.
-    pub async fn opened_and_sent(self) -> usize {
-        let Shut { listener, in_front, .. } = self;
-        let queued = in_front.len();
-        drop(in_front);
+    pub async fn count_used_connections(self) -> usize {
+        let FullBacklogServer { listener, queued, .. } = self;
+        let queued_count = queued.len();
+        drop(queued);
         let (mut taken, mut sent) = (0, 0);
         while let Ok(accepted) = tokio::time::timeout(Duration::from_millis(1_500), listener.accept()).await {
             let (mut stream, mut byte) = (accepted.unwrap().0, [0]);
@@ -337,49 +352,52 @@
             let read = tokio::time::timeout(Duration::from_millis(50), stream.read(&mut byte)).await;
             sent += usize::from(matches!(read, Ok(Ok(1))));
         }
-        assert!(taken >= queued, "those in front");
+        assert!(taken >= queued_count, "those in front");
         sent
     }
 }
 
-async fn chunks(stream: &mut TcpStream, events: &[&str]) -> std::io::Result<()> {
+async fn send_chunked(stream: &mut TcpStream, events: &[&str]) -> std::io::Result<()> {
     let head = "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n";
     stream.write_all(head.as_bytes()).await?;
     for event in events {
-        chunk(stream, event).await?;
+        send_chunk(stream, event).await?;
     }
     Ok(())
 }
 
-async fn chunk(stream: &mut TcpStream, event: &str) -> std::io::Result<()> {
+async fn send_chunk(stream: &mut TcpStream, event: &str) -> std::io::Result<()> {
     stream.write_all(format!("{:x}\r\n{event}\r\n", event.len()).as_bytes()).await
 }
 
 /// Reads one request; `None` at the connection's end.
-async fn request(stream: &mut TcpStream, held: &mut Vec<u8>) -> std::io::Result<Option<Got>> {
+async fn read_request(
+    stream: &mut TcpStream,
+    buffer: &mut Vec<u8>,
+) -> std::io::Result<Option<ReceivedRequest>> {
     loop {
-        if let Some(end) = held.windows(4).position(|w| w == b"\r\n\r\n") {
-            let head = String::from_utf8_lossy(&held[..end]).into_owned();
+        if let Some(end) = buffer.windows(4).position(|w| w == b"\r\n\r\n") {
+            let head = String::from_utf8_lossy(&buffer[..end]).into_owned();
             let length =
                 head.lines().find_map(|l| l.strip_prefix("content-length: ")?.parse().ok()).unwrap_or(0);
-            if held.len() >= end + 4 + length {
-                let rest = held.split_off(end + 4 + length);
-                let body = String::from_utf8_lossy(&held[end + 4..]).into_owned();
-                *held = rest;
+            if buffer.len() >= end + 4 + length {
+                let rest = buffer.split_off(end + 4 + length);
+                let body = String::from_utf8_lossy(&buffer[end + 4..]).into_owned();
+                *buffer = rest;
                 let (line, head) = head.split_once("\r\n").unwrap_or((&head, ""));
-                return Ok(Some(Got { line: line.into(), head: head.into(), body }));
+                return Ok(Some(ReceivedRequest { line: line.into(), head: head.into(), body }));
             }
         }
-        if stream.read_buf(held).await? == 0 {
+        if stream.read_buf(buffer).await? == 0 {
             return Ok(None);
         }
     }
 }
 
 /// The list as the test tells it.
-struct Told(mpsc::UnboundedReceiver<MembershipUpdate>);
+struct ChannelMembership(mpsc::UnboundedReceiver<MembershipUpdate>);
 
-impl MembershipSource for Told {
+impl MembershipSource for ChannelMembership {
     async fn next(&mut self) -> Option<MembershipUpdate> {
         self.0.recv().await
     }
@@ -387,11 +405,11 @@
 
 /// The settings of a site with a repeatable class and one that must never run twice.
 pub fn setup() -> Value {
-    let grade = |name: &str, effect: &str| {
+    let class = |name: &str, effect: &str| {
         json!({"name": name, "slo": 3_000_000, "deadline": 8_000_000, "effect": effect, "late-share": 0.2,
             "points": 1.0, "dedup-scope": "all", "dedup-window": 0})
     };
-    json!({"balancers": 1, "grades": [grade("ask", "retryable"), grade("book", "fragile")],
+    json!({"balancers": 1, "grades": [class("ask", "retryable"), class("book", "fragile")],
         "kinds": ["prefill", "decode"], "zones": ["z"], "zone": "z", "tenants": [], "tick": 2_000,
         "limits": {"cancel": true, "max-attempts": 4, "parallel-tries": false, "may-probe": true,
             "retry-after": true, "max-retry-after": 2_000_000, "connect-timeout": 250_000},
@@ -404,29 +422,34 @@
 }
 
 /// A conductor with both fronts open.
-pub struct Open {
+pub struct TestConductor {
     pub platform: SocketAddr,
     pub chat: SocketAddr,
     pub conductor: Conductor<HttpUpstream>,
-    pub doors: ClientListeners,
-    pub news: mpsc::UnboundedSender<MembershipUpdate>,
+    pub listeners: ClientListeners,
+    pub membership: mpsc::UnboundedSender<MembershipUpdate>,
     /// Where the servers are.
-    pub book: Arc<AddressTable>,
+    pub addresses: Arc<AddressTable>,
 }
 
-impl Open {
+impl TestConductor {
     /// Before these servers: name, kind and address.
-    pub fn before(servers: &[(&str, usize, SocketAddr)], patience: ClientTimeouts) -> Self {
+    pub fn start(servers: &[(&str, usize, SocketAddr)], timeouts: ClientTimeouts) -> Self {
         let names = ConfiguredNames::new(&setup()).unwrap();
         let settings = settings(&setup(), &names).unwrap();
-        let (news, conductor, book) = conductor(&settings, servers);
-        let doors = ClientListeners::new(8, patience, slog::Logger::root(slog::Discard, slog::o!()));
-        let config =
-            ChatConfig { listen: any(), models: vec!["chat".into()], class: "book".into(), max_tokens: 400 };
+        let (membership, conductor, addresses) = conductor(&settings, servers);
+        let listeners = ClientListeners::new(8, timeouts, slog::Logger::root(slog::Discard, slog::o!()));
+        let config = ChatConfig {
+            listen: any_port(),
+            models: vec!["chat".into()],
+            class: "book".into(),
+            max_tokens: 400,
+        };
         let platform = Platform::new(conductor.clone());
         let chat = Chat::new(conductor.clone(), config);
-        let (platform, chat) = (doors.open(any(), platform).unwrap(), doors.open(any(), chat).unwrap());
-        Open { platform, chat, conductor, doors, news, book }
+        let (platform, chat) =
+            (listeners.open(any_port(), platform).unwrap(), listeners.open(any_port(), chat).unwrap());
+        TestConductor { platform, chat, conductor, listeners, membership, addresses }
     }
 }
 
@@ -434,69 +457,81 @@
 pub struct Site {
     pub platform: SocketAddr,
     pub chat: SocketAddr,
-    pub reader: StandIn,
-    pub writer: StandIn,
+    pub prefill: StandIn,
+    pub decode: StandIn,
     pub conductor: Conductor<HttpUpstream>,
-    pub doors: ClientListeners,
-    pub news: mpsc::UnboundedSender<MembershipUpdate>,
+    pub listeners: ClientListeners,
+    pub membership: mpsc::UnboundedSender<MembershipUpdate>,
 }
 
 impl Site {
     pub async fn start() -> Self {
-        Site::with(CLIENT_TIMEOUTS).await
+        Site::with_timeouts(CLIENT_TIMEOUTS).await
     }
 
-    pub async fn with(patience: ClientTimeouts) -> Self {
-        let (reader, writer) = (StandIn::start(READ).await, StandIn::start(WHOLE).await);
-        let servers = [("reader", 0, reader.address), ("writer", 1, writer.address)];
-        let Open { platform, chat, conductor, doors, news, .. } = Open::before(&servers, patience);
-        Site { platform, chat, reader, writer, conductor, doors, news }
+    pub async fn with_timeouts(timeouts: ClientTimeouts) -> Self {
+        let (prefill, decode) =
+            (StandIn::start(PREFILL_RESPONSE).await, StandIn::start(COMPLETE_STREAM).await);
+        let servers = [("reader", 0, prefill.address), ("writer", 1, decode.address)];
+        let TestConductor { platform, chat, conductor, listeners, membership, .. } =
+            TestConductor::start(&servers, timeouts);
+        Site { platform, chat, prefill, decode, conductor, listeners, membership }
     }
 }
 
-fn any() -> SocketAddr {
+fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
 /// A counter that nobody reads.
-pub fn sends() -> prometheus::IntCounter {
+pub fn unread_counter() -> prometheus::IntCounter {
     prometheus::IntCounter::new("sends", "Attempts").unwrap()
 }
 
 pub fn upstream(servers: &[(&str, usize, SocketAddr)]) -> HttpUpstream {
-    upstream_that_settles(servers, Duration::ZERO)
+    upstream_with_settle_time(servers, Duration::ZERO)
 }
 
 /// One that leaves connections alone for so long after an answer.
-pub fn upstream_that_settles(servers: &[(&str, usize, SocketAddr)], settle: Duration) -> HttpUpstream {
-    HttpUpstream::new(book(servers), limits(settle), sends())
+pub fn upstream_with_settle_time(
+    servers: &[(&str, usize, SocketAddr)],
+    settle_time: Duration,
+) -> HttpUpstream {
+    HttpUpstream::new(address_table(servers), limits(settle_time), unread_counter())
 }
 
 /// One, and where its servers are.
-pub fn upstream_and_book(servers: &[(&str, usize, SocketAddr)]) -> (HttpUpstream, Arc<AddressTable>) {
-    let book = book(servers);
-    (HttpUpstream::new(book.clone(), limits(Duration::ZERO), sends()), book)
+pub fn upstream_and_addresses(servers: &[(&str, usize, SocketAddr)]) -> (HttpUpstream, Arc<AddressTable>) {
+    let addresses = address_table(servers);
+    (HttpUpstream::new(addresses.clone(), limits(Duration::ZERO), unread_counter()), addresses)
 }
 
 /// One that waits so long for a connection to come up.
-pub fn upstream_that_connects_within(servers: &[(&str, usize, SocketAddr)], time: Duration) -> HttpUpstream {
-    HttpUpstream::new(book(servers), Limits { connect_timeout: time, ..limits(Duration::ZERO) }, sends())
+pub fn upstream_with_connect_timeout(
+    servers: &[(&str, usize, SocketAddr)],
+    timeout: Duration,
+) -> HttpUpstream {
+    HttpUpstream::new(
+        address_table(servers),
+        Limits { connect_timeout: timeout, ..limits(Duration::ZERO) },
+        unread_counter(),
+    )
 }
 
-fn book(servers: &[(&str, usize, SocketAddr)]) -> Arc<AddressTable> {
-    let book = Arc::new(AddressTable::default());
+fn address_table(servers: &[(&str, usize, SocketAddr)]) -> Arc<AddressTable> {
+    let addresses = Arc::new(AddressTable::default());
     for (name, _, address) in servers {
-        book.set(Id::from(*name), *address);
+        addresses.set(Id::from(*name), *address);
     }
-    book
+    addresses
 }
 
-fn limits(settle: Duration) -> Limits {
+fn limits(settle_time: Duration) -> Limits {
     Limits {
         connections: 16,
         connect_timeout: Duration::from_millis(250),
         conn_idle: Duration::from_secs(30),
-        settle,
+        settle: settle_time,
         stale_within: Duration::from_secs(5),
     }
 }
@@ -510,10 +545,10 @@
     settings: &Settings,
     servers: &[(&str, usize, SocketAddr)],
 ) -> (mpsc::UnboundedSender<MembershipUpdate>, Conductor<HttpUpstream>, Arc<AddressTable>) {
-    let book = book(servers);
+    let addresses = address_table(servers);
     let entries = servers.iter().map(|(name, kind, _)| entry(name, *kind, Health::Up)).collect();
-    let (news, told) = mpsc::unbounded_channel();
-    let _ = news.send(MembershipUpdate { kind: ListUpdateKind::Full, entries });
+    let (membership, updates) = mpsc::unbounded_channel();
+    let _ = membership.send(MembershipUpdate { kind: ListUpdateKind::Full, entries });
     let conductor = start(ConductorParts {
         excluded: Vec::new(),
         inherited: None,
@@ -521,15 +556,15 @@
         settings: settings.clone(),
         seed: 7,
         clock: Clock::new(),
-        upstream: Arc::new(HttpUpstream::new(book.clone(), limits(Duration::ZERO), sends())),
-        members: Told(told),
+        upstream: Arc::new(HttpUpstream::new(addresses.clone(), limits(Duration::ZERO), unread_counter())),
+        members: ChannelMembership(updates),
         log: slog::Logger::root(slog::Discard, slog::o!()),
     });
-    (news, conductor, book)
+    (membership, conductor, addresses)
 }
 
 /// Microseconds since the epoch.
-pub fn micros() -> u64 {
+pub fn unix_micros() -> u64 {
     std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap().as_micros() as u64
 }
 
@@ -566,48 +601,48 @@
 }
 
 /// A request of the platform's, of some length, whose client waits for so many milliseconds.
-pub fn chat(id: &str, class: &str, remaining: u64) -> String {
+pub fn chat(id: &str, class: &str, remaining_ms: u64) -> String {
     let labels = "x-labels: prompt_len=600,max_out=100\r\n";
     let headers = format!(
-        "x-txn: {id}\r\nx-lane: {class}\r\nx-entity: s-{id}\r\nx-remaining: {remaining}m\r\n{labels}"
+        "x-txn: {id}\r\nx-lane: {class}\r\nx-entity: s-{id}\r\nx-remaining: {remaining_ms}m\r\n{labels}"
     );
     post("/v1/chat/completions", &headers, "{}")
 }
 
 /// The same on a connection that the client keeps.
-pub fn kept(text: &str) -> String {
+pub fn keep_alive(text: &str) -> String {
     text.replace("connection: close\r\n", "")
 }
 
 /// Sends a request and reads all that comes back.
 pub async fn exchange(to: SocketAddr, text: &str) -> Answer {
-    exchange_on(send(to, text).await).await
+    read_answer(send(to, text).await).await
 }
 
 /// Reads all that comes back of a request that has been sent.
-pub async fn exchange_on(stream: TcpStream) -> Answer {
-    answer_on(stream).await.expect("an answer")
+pub async fn read_answer(stream: TcpStream) -> Answer {
+    try_read_answer(stream).await.expect("an answer")
 }
 
 /// The same; `None` where the connection has ended with nothing.
-pub async fn answer_on(mut stream: TcpStream) -> Option<Answer> {
+pub async fn try_read_answer(mut stream: TcpStream) -> Option<Answer> {
     let mut bytes = Vec::new();
     // A break is a reset or an end; what came before it counts.
     let _ = stream.read_to_end(&mut bytes).await;
-    (!bytes.is_empty()).then(|| answer(&String::from_utf8(bytes).unwrap()))
+    (!bytes.is_empty()).then(|| parse_answer(&String::from_utf8(bytes).unwrap()))
 }
 
-fn answer(text: &str) -> Answer {
+fn parse_answer(text: &str) -> Answer {
     let (head, raw) = text.split_once("\r\n\r\n").unwrap_or_else(|| panic!("no head in {text:?}"));
     let head = head.to_ascii_lowercase();
     let status = head.split(' ').nth(1).unwrap().parse().unwrap();
     let chunked = head.contains("transfer-encoding: chunked");
-    let (body, whole) = if chunked { unchunk(raw) } else { (raw.to_string(), true) };
+    let (body, whole) = if chunked { decode_chunked(raw) } else { (raw.to_string(), true) };
     let answers = text.matches("HTTP/1.1 ").count();
     Answer { answers, status, head, body, whole }
 }
 
-fn unchunk(mut raw: &str) -> (String, bool) {
+fn decode_chunked(mut raw: &str) -> (String, bool) {
     let mut body = String::new();
     while let Some((size, rest)) = raw.split_once("\r\n") {
         let size = usize::from_str_radix(size, 16).unwrap();
@@ -622,7 +657,7 @@
 }
 
 /// A process's configuration: its discovery, descriptors and settings, and its servers by id and kind.
-pub fn config_of(
+pub fn config_json(
     name: &str,
     discovery: &str,
     sockets: usize,
@@ -655,7 +690,7 @@
 }
 
 /// The same, with so many descriptors at most.
-pub fn program_with(descriptors: usize, name: &str, config: &str) -> Command {
+pub fn program_with_descriptor_limit(descriptors: usize, name: &str, config: &str) -> Command {
     let program = program(name, config);
     let mut limited = Command::new("sh");
     limited.arg("-c").arg(format!("ulimit -n {descriptors}; exec \"$0\"")).arg(program.get_program());
@@ -665,16 +700,16 @@
 }
 
 /// The program under way: where it listens is in its log.
-pub struct Running {
+pub struct DaemonProcess {
     child: Child,
     log: Lines<BufReader<ChildStderr>>,
     pub listen: SocketAddr,
 }
 
-impl Running {
+impl DaemonProcess {
     pub fn start(command: Command) -> Self {
-        let mut running = Running::spawn(command);
-        running.listens();
+        let mut running = DaemonProcess::spawn(command);
+        running.wait_until_listening();
         running
     }
 
@@ -682,19 +717,19 @@
     pub fn spawn(mut command: Command) -> Self {
         let mut child = command.spawn().unwrap();
         let log = BufReader::new(child.stderr.take().unwrap()).lines();
-        Running { child, log, listen: ([127, 0, 0, 1], 0).into() }
+        DaemonProcess { child, log, listen: ([127, 0, 0, 1], 0).into() }
     }
 
     /// Waits until it listens, and notes where.
-    pub fn listens(&mut self) {
-        let line = self.logs("listening, at: ");
+    pub fn wait_until_listening(&mut self) {
+        let line = self.wait_for_log("listening, at: ");
         let at = line.split_once("at: ").unwrap().1.split(',').next().unwrap().trim();
         self.listen = at.parse().unwrap();
     }
 
     /// Waits for a line that says this.
-    pub fn logs(&mut self, words: &str) -> String {
-        self.log.find_map(|line| line.ok().filter(|line| line.contains(words))).unwrap()
+    pub fn wait_for_log(&mut self, text: &str) -> String {
+        self.log.find_map(|line| line.ok().filter(|line| line.contains(text))).unwrap()
     }
 
     pub fn signal(&self, name: &str) {
@@ -703,20 +738,20 @@
     }
 
     /// Memory that is resident, in KiB.
-    pub fn memory_kb(&self) -> u64 {
+    pub fn resident_kib(&self) -> u64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
         let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).unwrap();
         line.trim().trim_end_matches(" kB").parse().unwrap()
     }
 
-    pub async fn ends_well(mut self) {
+    pub async fn expect_clean_exit(mut self) {
         let status = tokio::task::spawn_blocking(move || self.child.wait()).await.unwrap().unwrap();
         assert_eq!(status.code(), Some(0));
     }
 }
 
 /// A test that has failed leaves no process behind.
-impl Drop for Running {
+impl Drop for DaemonProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
--- a/daemon/tests/support/operations.rs
+++ b/daemon/tests/support/operations.rs
@@ -12,9 +12,9 @@
 use super::*;
 
 /// Callers wait this long.
-pub const ANSWER_WITHIN: Duration = Duration::from_secs(1);
+pub const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 /// For conditions that come about by themselves.
-pub const LONGEST: Duration = Duration::from_secs(10);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// One conductor's configuration and folder, before a prefill and a decode server.
 pub struct Deployment {
@@ -25,9 +25,10 @@
 
 impl Deployment {
     pub async fn new(name: &str) -> Self {
-        let (prefill, decode) = (StandIn::start(READ).await, StandIn::start(WHOLE).await);
+        let (prefill, decode) =
+            (StandIn::start(PREFILL_RESPONSE).await, StandIn::start(COMPLETE_STREAM).await);
         let servers = [("p", "prefill", prefill.address), ("d", "decode", decode.address)];
-        let config = config_of(name, "127.0.0.1:9", 512, &servers, &setup());
+        let config = config_json(name, "127.0.0.1:9", 512, &servers, &setup());
         let mut config: Value = serde_json::from_str(&config).unwrap();
         config["ops"] = json!("127.0.0.1:0");
         let folder = std::env::temp_dir().join(format!("frosttrail-{name}-{}", std::process::id()));
@@ -36,13 +37,13 @@
     }
 
     /// A process that is ready, and its operators' address.
-    pub async fn start(&self, name: &str) -> (Running, SocketAddr) {
-        let mut running = Running::spawn(self.command(name));
-        let line = running.logs("operators' address, at: ");
+    pub async fn start(&self, name: &str) -> (DaemonProcess, SocketAddr) {
+        let mut running = DaemonProcess::spawn(self.command(name));
+        let line = running.wait_for_log("operators' address, at: ");
         let at = line.split_once("at: ").unwrap().1.split(',').next().unwrap().trim();
         let at = at.parse().unwrap();
-        running.listens();
-        until_ready(at).await;
+        running.wait_until_listening();
+        wait_until_ready(at).await;
         (running, at)
     }
 }
@@ -56,7 +57,7 @@
     }
 
     /// Writes the configuration of a process that runs.
-    pub fn rewrite(&self, name: &str, text: &str) {
+    pub fn rewrite_config(&self, name: &str, text: &str) {
         std::fs::write(config_file(name), text).unwrap();
     }
 }
@@ -68,8 +69,8 @@
 }
 
 /// Asks until a process is ready.
-pub async fn until_ready(ops: SocketAddr) {
-    let end = Instant::now() + LONGEST;
+pub async fn wait_until_ready(ops: SocketAddr) {
+    let end = Instant::now() + WAIT_TIMEOUT;
     while call(ops, "GET", "/api/ready", "").await.0 != 200 {
         assert!(Instant::now() < end, "never ready");
         sleep(Duration::from_millis(5)).await;
@@ -87,7 +88,7 @@
         stream.read_to_string(&mut answer).await.unwrap();
         answer
     };
-    let answer = timeout(ANSWER_WITHIN, answered).await.expect("an answer in time");
+    let answer = timeout(CALL_TIMEOUT, answered).await.expect("an answer in time");
     let status = answer.split(' ').nth(1).unwrap().parse().unwrap();
     (status, answer.split_once("\r\n\r\n").unwrap().1.to_string())
 }
@@ -108,8 +109,8 @@
 }
 
 /// Asks until the answer has this status.
-pub async fn until_status(to: SocketAddr, name: &str, status: u16) {
-    let end = Instant::now() + LONGEST;
+pub async fn wait_for_status(to: SocketAddr, name: &str, status: u16) {
+    let end = Instant::now() + WAIT_TIMEOUT;
     for n in 0.. {
         assert!(Instant::now() < end, "{name}: never {status}");
         if exchange(to, &request(&format!("{name}-{n}"))).await.status == status {
--- a/daemon/tests/upgrade.rs
+++ b/daemon/tests/upgrade.rs
@@ -75,7 +75,7 @@
     for nth in 0..3 {
         let (new, _) = deployment.start(&format!("upgrade-load-{nth}")).await;
         old.signal("-TERM");
-        old.ends_well().await;
+        old.expect_clean_exit().await;
         old = new;
     }
     let told = load.end().await;
@@ -89,7 +89,7 @@
     let (old, old_ops) = deployment.start("upgrade-calls").await;
     let (_new, new_ops) = deployment.start("upgrade-calls-new").await;
     let avoided = |ops, count: usize| async move {
-        let (wanted, end) = (format!("svc_cluster_unhealthy {count}\n"), Instant::now() + LONGEST);
+        let (wanted, end) = (format!("svc_cluster_unhealthy {count}\n"), Instant::now() + WAIT_TIMEOUT);
         while !call(ops, "GET", "/api/telemetry", "").await.1.contains(&wanted) {
             assert!(Instant::now() < end, "never {wanted}");
             sleep(Duration::from_millis(10)).await;
@@ -104,7 +104,7 @@
     assert_eq!(include(new_ops, "p").await, 200);
     avoided(old_ops, 1).await;
     assert_eq!(call(old_ops, "GET", "/api/ready", "").await.0, 503);
-    old.ends_well().await;
+    old.expect_clean_exit().await;
     assert_eq!(include(new_ops, "d").await, 200);
     avoided(new_ops, 0).await;
 }
@@ -116,12 +116,12 @@
     let (new, _) = deployment.start("upgrade-kill-new").await;
     let address = old.listen;
     drop(new);
-    until_status(address, "old", 200).await;
+    wait_for_status(address, "old", 200).await;
     let (newer, _) = deployment.start("upgrade-kill-newer").await;
     drop(old);
-    until_status(address, "newer", 200).await;
+    wait_for_status(address, "newer", 200).await;
     newer.signal("-TERM");
-    newer.ends_well().await;
+    newer.expect_clean_exit().await;
 }
 
 #[tokio::test]
@@ -136,7 +136,7 @@
     }
     old.signal("-KILL");
     for stream in waiting {
-        assert_eq!(exchange_on(stream).await.status, 200);
+        assert_eq!(read_answer(stream).await.status, 200);
     }
 }
 
@@ -153,17 +153,17 @@
     classes.push(class);
     classes[2]["name"] = json!("change");
     for name in ["upgrade-signals", "upgrade-signals-new", "upgrade-signals-newer"] {
-        deployment.rewrite(name, &deployment.config.to_string());
+        deployment.rewrite_config(name, &deployment.config.to_string());
     }
     for process in [&mut old, &mut new, &mut newer] {
         process.signal("-HUP");
-        process.logs("configuration read");
+        process.wait_for_log("configuration read");
     }
     new.signal("-TERM");
     old.signal("-TERM");
     old.signal("-HUP");
-    old.ends_well().await;
-    new.ends_well().await;
+    old.expect_clean_exit().await;
+    new.expect_clean_exit().await;
     let told = load.end().await;
     let other: Vec<_> = told.iter().filter(|(_, status)| *status != 200).collect();
     assert!(!told.is_empty() && other.is_empty(), "{other:?}");
@@ -173,10 +173,10 @@
 async fn a_snapshot_that_is_damaged_or_foreign_is_passed_over_with_one_line() {
     let (deployment, _reserved) = shared("upgrade-snapshot").await;
     let (old, _) = deployment.start("upgrade-snapshot").await;
-    until_status(old.listen, "learn", 200).await;
+    wait_for_status(old.listen, "learn", 200).await;
     let state = std::fs::read_dir(&deployment.folder).unwrap().next().unwrap().unwrap().path();
     let file = state.join("snapshot");
-    let end = Instant::now() + LONGEST;
+    let end = Instant::now() + WAIT_TIMEOUT;
     while !file.exists() {
         assert!(Instant::now() < end, "nothing was written");
         sleep(Duration::from_millis(10)).await;
@@ -194,10 +194,10 @@
     ];
     for (nth, (text, why)) in bad.into_iter().enumerate() {
         std::fs::write(&file, text).unwrap();
-        let mut process = Running::spawn(deployment.command(&format!("upgrade-snapshot-{nth}")));
-        let line = process.logs("passed over");
+        let mut process = DaemonProcess::spawn(deployment.command(&format!("upgrade-snapshot-{nth}")));
+        let line = process.wait_for_log("passed over");
         assert!(line.contains(why), "{line}");
-        process.listens();
-        until_status(process.listen, &format!("after-{nth}"), 200).await;
+        process.wait_until_listening();
+        wait_for_status(process.listen, &format!("after-{nth}"), 200).await;
     }
 }
--- a/daemon/tests/whole_path.rs
+++ b/daemon/tests/whole_path.rs
@@ -23,7 +23,7 @@
 
 /// A conductor, two readers, a writer, and the links over which it fetches.
 struct Path {
-    site: Open,
+    site: TestConductor,
     readers: Vec<PrefillServer>,
     writer: DecodeServer,
     links: Vec<Link>,
@@ -45,7 +45,7 @@
         let mut members: Vec<_> =
             names.iter().zip(&servers).map(|(name, b)| (name.as_str(), 0, b.http_address)).collect();
         members.push(("writer", 1, writer.http_address));
-        Path { site: Open::before(&members, CLIENT_TIMEOUTS), readers: servers, writer, links }
+        Path { site: TestConductor::start(&members, CLIENT_TIMEOUTS), readers: servers, writer, links }
     }
 
     async fn ask(&self, class: &str, id: &str, body: &str) -> Answer {
@@ -163,7 +163,7 @@
         };
         let (reader, name) = (&path.readers[n], format!("reader-{n}"));
         let entries = vec![entry(&name, 0, Health::Draining)];
-        path.site.news.send(MembershipUpdate { kind: ListUpdateKind::Changes, entries }).unwrap();
+        path.site.membership.send(MembershipUpdate { kind: ListUpdateKind::Changes, entries }).unwrap();
         // Too short for what is left: it is freed and read at the other.
         reader.node.drain(Duration::from_millis(200));
         reader.node.wait_until_idle().await;
