--- a/daemon/tests/figures.rs
+++ b/daemon/tests/figures.rs
@@ -1,4 +1,5 @@
-//! The figures of a real process: what is taken is counted once, at every moment and however it ends.
+//! The metrics of a real process: at any moment each accepted request is counted exactly once, however it
+//! ends.
 
 mod support;
 
@@ -10,36 +11,37 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, Instant};
 
-/// One figure of one scrape; a class's where one is named.
-fn figure(text: &str, name: &str, class: Option<&str>) -> u64 {
-    let wanted = match class {
+/// The value of a metric in a scrape, of one class where `class` is given.
+fn metric(text: &str, name: &str, class: Option<&str>) -> u64 {
+    let prefix = match class {
         Some(class) => format!("svc_{name}{{group=\"{class}\"}} "),
         None => format!("svc_{name} "),
     };
-    let line = text.lines().find_map(|line| line.strip_prefix(wanted.as_str()));
-    line.unwrap_or_else(|| panic!("no {wanted}in {text}")).trim().parse().unwrap()
+    let line = text.lines().find_map(|line| line.strip_prefix(prefix.as_str()));
+    line.unwrap_or_else(|| panic!("no {prefix}in {text}")).trim().parse().unwrap()
 }
 
 async fn scrape(ops: SocketAddr) -> String {
     call(ops, "GET", "/api/telemetry", "").await.1
 }
 
-/// All that was taken, by what became of it and what is open.
-fn taken(text: &str) -> u64 {
-    let ended = |name| ["ask", "book"].map(|class| figure(text, name, Some(class))).iter().sum::<u64>();
-    ended("answered") + ended("deferred") + ended("errored") + figure(text, "current", None)
+/// The number of accepted requests: those that have ended, by any outcome, and those still open.
+fn accepted_requests(text: &str) -> u64 {
+    let ended = |name| ["ask", "book"].map(|class| metric(text, name, Some(class))).iter().sum::<u64>();
+    ended("answered") + ended("deferred") + ended("errored") + metric(text, "current", None)
 }
 
-async fn until(ops: SocketAddr, name: &str, class: Option<&str>, value: u64) {
+/// Scrapes until a metric has this value.
+async fn wait_for_metric(ops: SocketAddr, name: &str, class: Option<&str>, value: u64) {
     let end = Instant::now() + WAIT_TIMEOUT;
-    while figure(&scrape(ops).await, name, class) != value {
-        assert!(Instant::now() < end, "{name} never {value}: {}", scrape(ops).await);
+    while metric(&scrape(ops).await, name, class) != value {
+        assert!(Instant::now() < end, "{name} did not become {value} in time: {}", scrape(ops).await);
         sleep(Duration::from_millis(10)).await;
     }
 }
 
 #[tokio::test]
-async fn served_refused_failed_and_open_add_up_under_load_and_aborts() {
+async fn request_counts_add_up_under_load_and_client_aborts() {
     let deployment = Deployment::new("figures-sum").await;
     let (running, ops) = deployment.start("figures-sum").await;
     let [prefill, decode] = &deployment.servers;
@@ -54,7 +56,7 @@
         clients.spawn(async move {
             let stream = send(to, &request(&format!("sum-{n}"))).await;
             match n % 4 {
-                // It leaves at once, whatever became of its request.
+                // This client disconnects at once, in whatever state its request is.
                 0 => drop(stream),
                 _ => drop(read_answer(stream).await),
             }
@@ -62,42 +64,42 @@
     }
     let (mut before, end) = (0, Instant::now() + WAIT_TIMEOUT);
     while !clients.is_empty() {
-        let now = taken(&scrape(ops).await);
+        let now = accepted_requests(&scrape(ops).await);
         assert!((before..=CLIENTS).contains(&now), "{before}, then {now}");
         before = now;
         while clients.try_join_next().is_some() {}
         assert!(Instant::now() < end);
     }
-    until(ops, "current", None, 0).await;
+    wait_for_metric(ops, "current", None, 0).await;
     let text = scrape(ops).await;
-    // Those that left may have gone before their request was read.
-    assert!((CLIENTS * 3 / 4..=CLIENTS).contains(&taken(&text)), "{text}");
+    // A client that disconnected may have done so before its request was read.
+    assert!((CLIENTS * 3 / 4..=CLIENTS).contains(&accepted_requests(&text)), "{text}");
     let posts = (prefill.posts().len() + decode.posts().len()) as u64;
-    assert_eq!(figure(&text, "sends", None), posts);
-    assert!(figure(&text, "answered", Some("ask")) > CLIENTS / 2, "{text}");
+    assert_eq!(metric(&text, "sends", None), posts);
+    assert!(metric(&text, "answered", Some("ask")) > CLIENTS / 2, "{text}");
 }
 
 #[tokio::test]
 async fn refusals_exclusions_and_configurations_are_counted() {
     let mut deployment = Deployment::new("figures-each").await;
     let (running, ops) = deployment.start("figures-each").await;
-    until(ops, "cluster_size", None, 2).await;
-    until(ops, "cluster_unhealthy", None, 0).await;
+    wait_for_metric(ops, "cluster_size", None, 2).await;
+    wait_for_metric(ops, "cluster_unhealthy", None, 0).await;
     assert_eq!(exclude(ops, "p").await, 200);
-    until(ops, "cluster_unhealthy", None, 1).await;
+    wait_for_metric(ops, "cluster_unhealthy", None, 1).await;
     assert_eq!(exchange(running.listen, &request("refused")).await.status, 503);
-    until(ops, "deferred", Some("ask"), 1).await;
+    wait_for_metric(ops, "deferred", Some("ask"), 1).await;
     assert_eq!(include(ops, "p").await, 200);
-    until(ops, "cluster_unhealthy", None, 0).await;
+    wait_for_metric(ops, "cluster_unhealthy", None, 0).await;
     deployment.rewrite_config("figures-each", "{");
     running.signal("-HUP");
-    until(ops, "conf_invalid", None, 1).await;
+    wait_for_metric(ops, "conf_invalid", None, 1).await;
     let mut added = deployment.config["settings"]["grades"][0].clone();
     added["name"] = "change".into();
     deployment.config["settings"]["grades"].as_array_mut().unwrap().push(added);
     deployment.rewrite_config("figures-each", &deployment.config.to_string());
     running.signal("-HUP");
-    until(ops, "conf_loaded", None, 1).await;
-    // A class that is added has its figures from the first moment.
-    assert_eq!(figure(&scrape(ops).await, "answered", Some("change")), 0);
+    wait_for_metric(ops, "conf_loaded", None, 1).await;
+    // The metrics of an added class exist from the start.
+    assert_eq!(metric(&scrape(ops).await, "answered", Some("change")), 0);
 }
--- a/daemon/tests/folder_faults.rs
+++ b/daemon/tests/folder_faults.rs
@@ -1,5 +1,5 @@
-//! The state folder fails for a while: it can't be made, read or written as a process starts, or as operators
-//! call. What was taken on is still owed, and no start fails.
+//! Temporary faults of the state folder: it can't be created, read or written while a process starts or an
+//! operator calls. Exclusions that were acknowledged stay in force, and no start fails.
 
 mod support;
 
@@ -13,17 +13,17 @@
 use support::*;
 use tokio::time::{sleep, timeout, Instant};
 
-/// A deployment with a fixed address, and the folder that its processes keep.
+/// A deployment with a fixed listen address, and the state folder of its processes.
 async fn deployment(name: &str) -> (Deployment, PathBuf) {
     let mut deployment = Deployment::new(name).await;
-    // Free a moment ago; ports are given out in turn, so that nobody else gets it soon.
+    // The port was free a moment ago. Ports are assigned in turn, so no one else gets this one soon.
     let address = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     deployment.config["listen"] = json!(address);
     let state = state_dir::path_below(&deployment.folder, name, address);
     (deployment, state)
 }
 
-/// Starts a process whose operators' address is in its log, before it is ready.
+/// Starts a process and returns it with its operators' address, before it is ready.
 fn start(deployment: &Deployment, name: &str) -> (DaemonProcess, std::net::SocketAddr) {
     let mut running = DaemonProcess::spawn(deployment.command(name));
     let line = running.wait_for_log("operators' address, at: ");
@@ -36,16 +36,16 @@
 async fn a_start_waits_for_a_folder_that_cannot_be_read_and_serves_once_it_can() {
     let (deployment, state) = deployment("folder-start").await;
     let store = state.join("excluded");
-    let kept = ExclusionStore::in_folder(&state);
-    kept.insert(&"p".into()).unwrap();
-    // What lies in its way makes each access to the folder fail.
+    let exclusions = ExclusionStore::in_folder(&state);
+    exclusions.insert(&"p".into()).unwrap();
+    // A file in place of the folder makes every access to the folder fail.
     let aside = state.join("aside");
     std::fs::rename(&store, &aside).unwrap();
     std::fs::write(&store, "").unwrap();
     let (running, ops) = start(&deployment, "folder-start");
     let begin = Instant::now();
     while begin.elapsed() < Duration::from_millis(600) {
-        assert_eq!(call(ops, "GET", "/api/ready", "").await.0, 503, "nothing may be known of exclusions");
+        assert_eq!(call(ops, "GET", "/api/ready", "").await.0, 503, "ready before the exclusions were read");
         sleep(Duration::from_millis(50)).await;
     }
     std::fs::remove_file(&store).unwrap();
@@ -59,12 +59,12 @@
 }
 
 #[tokio::test]
-async fn an_instance_stays_out_where_its_exclusion_cannot_be_removed() {
+async fn a_server_stays_excluded_while_its_exclusion_cannot_be_removed() {
     let (deployment, state) = deployment("folder-include").await;
     let (running, ops) = start(&deployment, "folder-include");
     wait_until_ready(ops).await;
     assert_eq!(exclude(ops, "p").await, 200);
-    // It can't be removed, nor read.
+    // A folder in its place can be neither removed nor read as a file.
     let file = std::fs::read_dir(state.join("excluded")).unwrap().next().unwrap().unwrap().path();
     std::fs::remove_file(&file).unwrap();
     std::fs::create_dir(&file).unwrap();
@@ -72,7 +72,7 @@
     let begin = Instant::now();
     for n in 0.. {
         let status = exchange(running.listen, &request(&format!("out-{n}"))).await.status;
-        assert_eq!(status, 503, "the caller heard no");
+        assert_eq!(status, 503, "served though the call to include it failed");
         if begin.elapsed() > Duration::from_millis(500) {
             break;
         }
@@ -82,25 +82,25 @@
     wait_for_status(running.listen, "back", 200).await;
 }
 
-/// A pipe among the files holds the reading up, so that the call comes in the midst of it.
+/// A pipe among the files blocks the reading of the folder, so that the call arrives during it.
 #[tokio::test]
-async fn an_exclusion_holds_from_its_yes_beside_a_folder_that_is_being_read() {
+async fn an_exclusion_holds_once_acknowledged_while_the_folder_is_being_read() {
     let (deployment, state) = deployment("folder-race").await;
     let (running, ops) = start(&deployment, "folder-race");
     wait_until_ready(ops).await;
     assert_eq!((exclude(ops, "d").await, include(ops, "d").await), (200, 200));
     let pipe = state.join("excluded").join("pipe");
     assert!(std::process::Command::new("mkfifo").arg(&pipe).status().unwrap().success());
-    // Comes up once the other side reads.
+    // Opening the pipe returns once the process reads it.
     let opened = tokio::task::spawn_blocking(move || std::fs::OpenOptions::new().write(true).open(pipe));
-    let writer = opened.await.unwrap().unwrap();
+    let pipe_writer = opened.await.unwrap().unwrap();
     assert_eq!(exclude(ops, "p").await, 200);
-    // What was read before the call is taken over now, if anything is.
-    drop(writer);
+    // Ends the read, whose result is from before the call and must not undo the exclusion.
+    drop(pipe_writer);
     for n in 0..3 {
         let text = chat(&format!("race-{n}"), "ask", 200);
-        let asked = timeout(CALL_TIMEOUT, exchange(running.listen, &text)).await;
-        let asked = asked.expect("reading the folder holds the process up");
-        assert_eq!(asked.status, 503, "served after the yes");
+        let answer = timeout(CALL_TIMEOUT, exchange(running.listen, &text)).await;
+        let answer = answer.expect("reading the folder blocks the process");
+        assert_eq!(answer.status, 503, "served after the exclusion was acknowledged");
     }
 }
--- a/daemon/tests/support/mod.rs
+++ b/daemon/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! What the socket tests share: stand-in servers, clients and a conductor between them, all on loopback.
+//! Shared fixtures of the socket tests: stand-in servers, clients and a conductor between them, all on
+//! loopback.
 #![allow(dead_code)]
 
 pub mod operations;
@@ -38,46 +39,48 @@
 /// What a stand-in server does with the next request.
 #[derive(Clone, Debug)]
 pub enum Behavior {
-    /// Answers with this status, marked as turned away or not, and a body.
+    /// Responds with this status, with the `x-turned-away` header or without it, and this body.
     Responds(u16, bool, &'static str),
-    /// Streams these events and the last chunk.
+    /// Streams these events and the final chunk.
     Streams(&'static [&'static str]),
-    /// Streams these events, then ends the connection without the last chunk.
+    /// Streams these events, then closes the connection without the final chunk.
     BreaksAfter(&'static [&'static str]),
-    /// Streams these events, then says nothing more until the other side has closed.
+    /// Streams these events, then sends nothing more until the peer closes.
     StallsAfter(&'static [&'static str]),
-    /// Sends these bytes, whatever they are, then says nothing more until the other side has closed.
+    /// Sends these bytes unchecked, then nothing more until the peer closes.
     SendsRaw(&'static str),
-    /// Sends these bytes, and then the last of them again and again.
+    /// Sends these bytes, then repeats the last of them until a write fails.
     RepeatsLastByte(&'static str),
-    /// Sends these bytes, and then an empty line every 100 ms.
+    /// Sends these bytes, then a newline every 100 ms.
     SendsNewlines(&'static str),
-    /// Sends these bytes, which hold a whole answer, and goes on to the next request.
+    /// Sends these bytes, which hold a complete response, and goes on to the next request.
     SendsRawResponse(&'static str),
-    /// Streams so many events, one every so many milliseconds, whose content is the time since the epoch in
-    /// microseconds.
+    /// Streams this many events at this interval in milliseconds. Each holds the microseconds since the Unix
+    /// epoch.
     StreamsTimestamps(usize, u64),
-    /// Sends the bytes that the test tells it, as it tells them.
+    /// Sends the bytes that the test passes through `StandIn::output`, as they come.
     SendsFromChannel,
-    /// Streams without end.
+    /// Streams events until a write fails.
     StreamsEndlessly,
-    /// Ends the connection once it has all of the request.
+    /// Closes the connection after it has read the whole request.
     Disconnects,
-    /// Says nothing until the other side has closed.
+    /// Sends nothing until the peer closes.
     StaysSilent,
 }
 
-/// How long clients may take.
+/// The timeouts that the fronts allow clients in these tests.
 pub const CLIENT_TIMEOUTS: ClientTimeouts = ClientTimeouts {
     arrive: Duration::from_millis(300),
     idle: Duration::from_secs(60),
     stall: Duration::from_millis(200),
 };
 
+/// A prefill server's response to a prefill that succeeded.
 pub const PREFILL_RESPONSE: Behavior = Behavior::Responds(202, false, "{\"cached_tokens\":0}");
+/// A decode server's complete response.
 pub const COMPLETE_STREAM: Behavior = Behavior::Streams(&[EVENT, LAST, USAGE, DONE]);
 
-/// A request as a server got it.
+/// A request as a stand-in server received it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReceivedRequest {
     pub line: String,
@@ -85,8 +88,8 @@
     pub body: String,
 }
 
-/// What a server did with a request, or `None` for a release, in the order in which all servers of a test got
-/// them.
+/// How a stand-in server handled a request. `sequence` orders the requests of all servers of a test, and
+/// `behavior` is `None` for a release.
 #[derive(Clone, Debug)]
 pub struct HandledRequest {
     pub sequence: u64,
@@ -96,18 +99,19 @@
 
 static NEXT_SEQUENCE: AtomicU64 = AtomicU64::new(0);
 
-/// A server whose answers are told beforehand; past them it repeats its usual one.
+/// A server that follows a script: each request takes the next behavior in it, or the default one once the
+/// script is empty.
 pub struct StandIn {
     pub address: SocketAddr,
     pub requests: Arc<Mutex<Vec<ReceivedRequest>>>,
     pub handled: Arc<Mutex<Vec<HandledRequest>>>,
     pub accepted: Arc<Mutex<u32>>,
     script: Arc<Mutex<VecDeque<Behavior>>>,
-    /// One message for each connection that the conductor closed in the midst of an answer.
+    /// One message for each connection that the conductor closed before the response was complete.
     pub aborts: mpsc::UnboundedReceiver<()>,
-    /// One message for each state that was let go of.
+    /// One message for each release of a KV cache.
     pub releases: mpsc::UnboundedReceiver<()>,
-    /// What it sends where it does as it is told.
+    /// The bytes that `Behavior::SendsFromChannel` sends.
     pub output: mpsc::UnboundedSender<String>,
     closing: Arc<Mutex<CancellationToken>>,
     connections: TaskTracker,
@@ -164,18 +168,19 @@
         stand_in
     }
 
+    /// Appends a behavior to the script.
     pub fn next(&self, behavior: Behavior) {
         self.script.lock().unwrap().push_back(behavior);
     }
 
-    /// Ends the listening: further connections are refused.
+    /// Stops listening, so that further connections are refused.
     pub async fn refuse_all(&mut self) {
         let accepting = self.accepting.take().unwrap();
         accepting.abort();
         let _ = accepting.await;
     }
 
-    /// Closes every connection there is.
+    /// Closes all open connections.
     pub async fn close_all(&self) {
         std::mem::take(&mut *self.closing.lock().unwrap()).cancel();
         self.connections.close();
@@ -183,9 +188,15 @@
         self.connections.reopen();
     }
 
-    /// Requests, releases not counted.
+    /// All requests so far except releases.
     pub fn posts(&self) -> Vec<ReceivedRequest> {
-        self.requests.lock().unwrap().iter().filter(|g| g.line.starts_with("POST")).cloned().collect()
+        self.requests
+            .lock()
+            .unwrap()
+            .iter()
+            .filter(|request| request.line.starts_with("POST"))
+            .cloned()
+            .collect()
     }
 }
 
@@ -306,7 +317,7 @@
     }
 }
 
-/// A server that takes no connection: those that fill the kernel's queue are in front.
+/// A server that accepts no connection, because its backlog in the kernel is full.
 pub struct FullBacklogServer {
     pub address: SocketAddr,
     listener: TcpListener,
@@ -327,7 +338,7 @@
         FullBacklogServer { address, listener, queued }
     }
 
-    /// The head of the first request that comes once there is room, and when it came.
+    /// Empties the backlog; returns the head of the first request that arrives then, and its time.
     pub async fn first_request(self) -> (String, Instant) {
         let FullBacklogServer { listener, queued, .. } = self;
         drop(queued);
@@ -339,24 +350,25 @@
         }
     }
 
-    /// Takes every connection that comes up within the time in which one is tried anew, and counts those on
-    /// which something was sent.
+    /// Empties the backlog and accepts every connection that follows within the time of a SYN retransmission;
+    /// counts those on which something was sent.
     pub async fn count_used_connections(self) -> usize {
         let FullBacklogServer { listener, queued, .. } = self;
         let queued_count = queued.len();
         drop(queued);
-        let (mut taken, mut sent) = (0, 0);
+        let (mut accepted_count, mut used_count) = (0, 0);
         while let Ok(accepted) = tokio::time::timeout(Duration::from_millis(1_500), listener.accept()).await {
             let (mut stream, mut byte) = (accepted.unwrap().0, [0]);
-            taken += 1;
+            accepted_count += 1;
             let read = tokio::time::timeout(Duration::from_millis(50), stream.read(&mut byte)).await;
-            sent += usize::from(matches!(read, Ok(Ok(1))));
+            used_count += usize::from(matches!(read, Ok(Ok(1))));
         }
-        assert!(taken >= queued_count, "those in front");
-        sent
+        assert!(accepted_count >= queued_count, "the connections that filled the backlog were not accepted");
+        used_count
     }
 }
 
+/// Sends the head of a chunked response and these events.
 async fn send_chunked(stream: &mut TcpStream, events: &[&str]) -> std::io::Result<()> {
     let head = "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n";
     stream.write_all(head.as_bytes()).await?;
@@ -370,7 +382,7 @@
     stream.write_all(format!("{:x}\r\n{event}\r\n", event.len()).as_bytes()).await
 }
 
-/// Reads one request; `None` at the connection's end.
+/// Reads one request; returns `None` at the end of the connection.
 async fn read_request(
     stream: &mut TcpStream,
     buffer: &mut Vec<u8>,
@@ -394,7 +406,7 @@
     }
 }
 
-/// The list as the test tells it.
+/// A server list whose updates come from the test.
 struct ChannelMembership(mpsc::UnboundedReceiver<MembershipUpdate>);
 
 impl MembershipSource for ChannelMembership {
@@ -403,7 +415,7 @@
     }
 }
 
-/// The settings of a site with a repeatable class and one that must never run twice.
+/// Settings with a class that may be retried, `ask`, and one that must never run twice, `book`.
 pub fn setup() -> Value {
     let class = |name: &str, effect: &str| {
         json!({"name": name, "slo": 3_000_000, "deadline": 8_000_000, "effect": effect, "late-share": 0.2,
@@ -421,19 +433,19 @@
             "resume": true, "self-prefill": false, "token-aim": [60_000.0, 80_000.0]}})
 }
 
-/// A conductor with both fronts open.
+/// A conductor that listens on both fronts, platform and chat.
 pub struct TestConductor {
     pub platform: SocketAddr,
     pub chat: SocketAddr,
     pub conductor: Conductor<HttpUpstream>,
     pub listeners: ClientListeners,
     pub membership: mpsc::UnboundedSender<MembershipUpdate>,
-    /// Where the servers are.
+    /// The addresses of the servers.
     pub addresses: Arc<AddressTable>,
 }
 
 impl TestConductor {
-    /// Before these servers: name, kind and address.
+    /// Starts a conductor for these servers, given by name, kind and address.
     pub fn start(servers: &[(&str, usize, SocketAddr)], timeouts: ClientTimeouts) -> Self {
         let names = ConfiguredNames::new(&setup()).unwrap();
         let settings = settings(&setup(), &names).unwrap();
@@ -453,7 +465,7 @@
     }
 }
 
-/// A conductor between stand-ins.
+/// A conductor with one stand-in prefill server and one stand-in decode server.
 pub struct Site {
     pub platform: SocketAddr,
     pub chat: SocketAddr,
@@ -479,11 +491,12 @@
     }
 }
 
+/// A loopback address at any free port.
 fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// A counter that nobody reads.
+/// A counter for upstreams whose metrics are not checked.
 pub fn unread_counter() -> prometheus::IntCounter {
     prometheus::IntCounter::new("sends", "Attempts").unwrap()
 }
@@ -492,7 +505,7 @@
     upstream_with_settle_time(servers, Duration::ZERO)
 }
 
-/// One that leaves connections alone for so long after an answer.
+/// An upstream that reuses a connection no sooner than this long after a response.
 pub fn upstream_with_settle_time(
     servers: &[(&str, usize, SocketAddr)],
     settle_time: Duration,
@@ -500,13 +513,13 @@
     HttpUpstream::new(address_table(servers), limits(settle_time), unread_counter())
 }
 
-/// One, and where its servers are.
+/// An upstream and the address table of its servers.
 pub fn upstream_and_addresses(servers: &[(&str, usize, SocketAddr)]) -> (HttpUpstream, Arc<AddressTable>) {
     let addresses = address_table(servers);
     (HttpUpstream::new(addresses.clone(), limits(Duration::ZERO), unread_counter()), addresses)
 }
 
-/// One that waits so long for a connection to come up.
+/// An upstream with this connect timeout.
 pub fn upstream_with_connect_timeout(
     servers: &[(&str, usize, SocketAddr)],
     timeout: Duration,
@@ -536,11 +549,12 @@
     }
 }
 
-/// A line of the list.
+/// An entry of the server list.
 pub fn entry(name: &str, kind: usize, health: Health) -> ServerEntry {
     ServerEntry { server: Id::from(name), rack: 0, kind, zone: 0, started: 0, health }
 }
 
+/// Starts a conductor; returns the sender of its server list, the conductor and its address table.
 fn conductor(
     settings: &Settings,
     servers: &[(&str, usize, SocketAddr)],
@@ -563,12 +577,13 @@
     (membership, conductor, addresses)
 }
 
-/// Microseconds since the epoch.
+/// Microseconds since the Unix epoch.
 pub fn unix_micros() -> u64 {
     std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap().as_micros() as u64
 }
 
-/// What a client got: status, head, body, whether the answer was whole, and how many answers there were.
+/// What a client received. `whole` tells whether the body was complete, `answers` how many responses there
+/// were.
 #[derive(Debug)]
 pub struct Answer {
     pub answers: usize,
@@ -580,7 +595,7 @@
 
 impl Answer {
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.head.lines().find_map(|l| l.strip_prefix(name)?.strip_prefix(": "))
+        self.head.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(": "))
     }
 
     pub fn json(&self) -> Value {
@@ -600,7 +615,7 @@
     format!("{head}content-length: {length}\r\n\r\n{body}")
 }
 
-/// A request of the platform's, of some length, whose client waits for so many milliseconds.
+/// A request to the platform front whose client waits this many milliseconds.
 pub fn chat(id: &str, class: &str, remaining_ms: u64) -> String {
     let labels = "x-labels: prompt_len=600,max_out=100\r\n";
     let headers = format!(
@@ -609,25 +624,25 @@
     post("/v1/chat/completions", &headers, "{}")
 }
 
-/// The same on a connection that the client keeps.
+/// The same request on a connection that the client keeps open.
 pub fn keep_alive(text: &str) -> String {
     text.replace("connection: close\r\n", "")
 }
 
-/// Sends a request and reads all that comes back.
+/// Sends a request on a new connection and reads the answer until the connection ends.
 pub async fn exchange(to: SocketAddr, text: &str) -> Answer {
     read_answer(send(to, text).await).await
 }
 
-/// Reads all that comes back of a request that has been sent.
+/// Reads the answer to a request that has been sent, until the connection ends.
 pub async fn read_answer(stream: TcpStream) -> Answer {
     try_read_answer(stream).await.expect("an answer")
 }
 
-/// The same; `None` where the connection has ended with nothing.
+/// Like `read_answer`, but returns `None` if the connection ended without a byte.
 pub async fn try_read_answer(mut stream: TcpStream) -> Option<Answer> {
     let mut bytes = Vec::new();
-    // A break is a reset or an end; what came before it counts.
+    // An error is a reset; the bytes received before it still count.
     let _ = stream.read_to_end(&mut bytes).await;
     (!bytes.is_empty()).then(|| parse_answer(&String::from_utf8(bytes).unwrap()))
 }
@@ -656,7 +671,8 @@
     (body, false)
 }
 
-/// A process's configuration: its discovery, descriptors and settings, and its servers by id and kind.
+/// The configuration of a process: its discovery address, descriptor limit, servers by id and kind, and
+/// settings.
 pub fn config_json(
     name: &str,
     discovery: &str,
@@ -675,12 +691,12 @@
     .to_string()
 }
 
-/// Where the configuration of a program of this name lies.
+/// The path of the configuration file of the process with this name.
 pub fn config_file(name: &str) -> std::path::PathBuf {
     std::env::temp_dir().join(format!("frosttrail-{name}-{}.json", std::process::id()))
 }
 
-/// The program with this configuration, which waits in a folder of its own.
+/// The program with this configuration, which is written to the file of this name.
 pub fn program(name: &str, config: &str) -> Command {
     let file = config_file(name);
     std::fs::File::create(&file).unwrap().write_all(config.as_bytes()).unwrap();
@@ -689,7 +705,7 @@
     command
 }
 
-/// The same, with so many descriptors at most.
+/// The same with a limit on file descriptors.
 pub fn program_with_descriptor_limit(descriptors: usize, name: &str, config: &str) -> Command {
     let program = program(name, config);
     let mut limited = Command::new("sh");
@@ -699,7 +715,7 @@
     limited
 }
 
-/// The program under way: where it listens is in its log.
+/// A running daemon; the address it listens at is read from its log.
 pub struct DaemonProcess {
     child: Child,
     log: Lines<BufReader<ChildStderr>>,
@@ -707,50 +723,53 @@
 }
 
 impl DaemonProcess {
+    /// Starts the daemon and waits until it listens.
     pub fn start(command: Command) -> Self {
-        let mut running = DaemonProcess::spawn(command);
-        running.wait_until_listening();
-        running
+        let mut process = DaemonProcess::spawn(command);
+        process.wait_until_listening();
+        process
     }
 
-    /// The same before it listens.
+    /// Starts the daemon and returns before it listens.
     pub fn spawn(mut command: Command) -> Self {
         let mut child = command.spawn().unwrap();
         let log = BufReader::new(child.stderr.take().unwrap()).lines();
         DaemonProcess { child, log, listen: ([127, 0, 0, 1], 0).into() }
     }
 
-    /// Waits until it listens, and notes where.
+    /// Waits until the daemon listens and stores its address in `listen`.
     pub fn wait_until_listening(&mut self) {
         let line = self.wait_for_log("listening, at: ");
         let at = line.split_once("at: ").unwrap().1.split(',').next().unwrap().trim();
         self.listen = at.parse().unwrap();
     }
 
-    /// Waits for a line that says this.
+    /// Waits for a log line that contains this text and returns it.
     pub fn wait_for_log(&mut self, text: &str) -> String {
         self.log.find_map(|line| line.ok().filter(|line| line.contains(text))).unwrap()
     }
 
+    /// Sends a signal, named as an option of `kill`, such as `-TERM`.
     pub fn signal(&self, name: &str) {
         let sent = Command::new("kill").args([name, &self.child.id().to_string()]).status().unwrap();
         assert!(sent.success());
     }
 
-    /// Memory that is resident, in KiB.
+    /// Resident memory in KiB.
     pub fn resident_kib(&self) -> u64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
         let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).unwrap();
         line.trim().trim_end_matches(" kB").parse().unwrap()
     }
 
+    /// Waits for the end of the process and checks that its exit code is 0.
     pub async fn expect_clean_exit(mut self) {
         let status = tokio::task::spawn_blocking(move || self.child.wait()).await.unwrap().unwrap();
         assert_eq!(status.code(), Some(0));
     }
 }
 
-/// A test that has failed leaves no process behind.
+/// Kills the process, so that a failed test leaves none behind.
 impl Drop for DaemonProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
--- a/daemon/tests/support/operations.rs
+++ b/daemon/tests/support/operations.rs
@@ -1,4 +1,5 @@
-//! What the tests of operators' days share: a deployment with a folder of its own, and operators' calls.
+//! Shared fixtures of the tests of operation: a deployment with its own state folder, and calls to the
+//! operators' API.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -11,12 +12,12 @@
 
 use super::*;
 
-/// Callers wait this long.
+/// The longest time a call of an operator may take.
 pub const CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// For conditions that come about by themselves.
+/// The longest time to wait for a condition that comes about without further action.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// One conductor's configuration and folder, before a prefill and a decode server.
+/// A conductor's configuration and state folder, with one prefill and one decode server.
 pub struct Deployment {
     pub config: Value,
     pub folder: PathBuf,
@@ -36,27 +37,27 @@
         Deployment { config, folder, servers: [prefill, decode] }
     }
 
-    /// A process that is ready, and its operators' address.
+    /// Starts a process, waits until it is ready, and returns it with its operators' address.
     pub async fn start(&self, name: &str) -> (DaemonProcess, SocketAddr) {
-        let mut running = DaemonProcess::spawn(self.command(name));
-        let line = running.wait_for_log("operators' address, at: ");
+        let mut process = DaemonProcess::spawn(self.command(name));
+        let line = process.wait_for_log("operators' address, at: ");
         let at = line.split_once("at: ").unwrap().1.split(',').next().unwrap().trim();
         let at = at.parse().unwrap();
-        running.wait_until_listening();
+        process.wait_until_listening();
         wait_until_ready(at).await;
-        (running, at)
+        (process, at)
     }
 }
 
 impl Deployment {
-    /// The program with the configuration as it stands, in the deployment's folder.
+    /// The program with the current configuration and the deployment's state folder.
     pub fn command(&self, name: &str) -> std::process::Command {
         let mut command = program(name, &self.config.to_string());
         command.env("TMPDIR", &self.folder);
         command
     }
 
-    /// Writes the configuration of a process that runs.
+    /// Replaces the configuration file of a running process.
     pub fn rewrite_config(&self, name: &str, text: &str) {
         std::fs::write(config_file(name), text).unwrap();
     }
@@ -68,16 +69,16 @@
     }
 }
 
-/// Asks until a process is ready.
+/// Polls a process until it reports that it is ready.
 pub async fn wait_until_ready(ops: SocketAddr) {
     let end = Instant::now() + WAIT_TIMEOUT;
     while call(ops, "GET", "/api/ready", "").await.0 != 200 {
-        assert!(Instant::now() < end, "never ready");
+        assert!(Instant::now() < end, "the process did not become ready in time");
         sleep(Duration::from_millis(5)).await;
     }
 }
 
-/// One call, as operators make it: status and body.
+/// Makes one call to the operators' API; returns the status and the body of the response.
 pub async fn call(to: SocketAddr, method: &str, path: &str, body: &str) -> (u16, String) {
     let length = body.len();
     let text = format!("{method} {path} HTTP/1.1\r\nhost: ops\r\ncontent-length: {length}\r\n\r\n{body}");
@@ -93,14 +94,17 @@
     (status, answer.split_once("\r\n\r\n").unwrap().1.to_string())
 }
 
+/// Excludes a server and returns the status.
 pub async fn exclude(to: SocketAddr, id: &str) -> u16 {
     call(to, "POST", "/api/exclude", id).await.0
 }
 
+/// Includes a server again and returns the status.
 pub async fn include(to: SocketAddr, id: &str) -> u16 {
     call(to, "POST", "/api/include", id).await.0
 }
 
+/// A request to the platform front.
 pub fn request(id: &str) -> String {
     let headers = format!(
         "x-txn: {id}\r\nx-lane: ask\r\nx-entity: s-{id}\r\nx-remaining: 700m\r\nx-labels: prompt_len=600\r\n"
@@ -108,12 +112,12 @@
     post("/v1/chat/completions", &headers, "{}")
 }
 
-/// Asks until the answer has this status.
+/// Sends requests until one is answered with this status.
 pub async fn wait_for_status(to: SocketAddr, name: &str, status: u16) {
     let end = Instant::now() + WAIT_TIMEOUT;
-    for n in 0.. {
-        assert!(Instant::now() < end, "{name}: never {status}");
-        if exchange(to, &request(&format!("{name}-{n}"))).await.status == status {
+    for attempt in 0.. {
+        assert!(Instant::now() < end, "{name}: no answer with status {status} in time");
+        if exchange(to, &request(&format!("{name}-{attempt}"))).await.status == status {
             return;
         }
         sleep(Duration::from_millis(20)).await;
