--- a/daemon/tests/ops.rs
+++ b/daemon/tests/ops.rs
@@ -1,4 +1,5 @@
-//! The operators' address of a real process: what it answers, to whom, how soon, and what outlives it.
+//! The operators' API of a real process: what it answers and how soon, and which of its effects outlive the
+//! process.
 
 mod support;
 
@@ -10,7 +11,7 @@
 use tokio::time::timeout;
 
 #[tokio::test]
-async fn calls_are_answered_with_a_yes_or_with_what_to_do() {
+async fn calls_are_answered_with_200_or_with_an_error_of_one_line() {
     let deployment = Deployment::new("ops-calls").await;
     let (_running, ops) = deployment.start("ops-calls").await;
     assert_eq!(call(ops, "GET", "/api/ready", "").await, (200, "ready\n".into()));
@@ -19,7 +20,7 @@
     assert_eq!(exclude(ops, "p\n").await, 200);
     assert_eq!(include(ops, "p").await, 200);
     assert_eq!(include(ops, "p").await, 200);
-    let nos = [
+    let rejected = [
         ("POST", "/api/exclude", "nobody", 404),
         ("POST", "/api/include", "nobody", 404),
         ("POST", "/api/exclude", "", 400),
@@ -28,66 +29,67 @@
         ("GET", "/api/exclude", "p", 405),
         ("GET", "/api", "", 404),
     ];
-    for (method, path, body, status) in nos {
-        let (told, text) = call(ops, method, path, body).await;
-        assert_eq!(told, status, "{method} {path} {body}");
+    for (method, path, body, status) in rejected {
+        let (actual_status, text) = call(ops, method, path, body).await;
+        assert_eq!(actual_status, status, "{method} {path} {body}");
         assert_eq!(text.lines().count(), 1, "{text}");
     }
     assert_eq!(call(ops, "POST", "/api/exclude", &"x".repeat(5_000)).await.0, 400);
 }
 
 #[tokio::test]
-async fn callers_that_finish_no_call_delay_nobody() {
+async fn callers_that_finish_no_call_delay_no_others() {
     let deployment = Deployment::new("ops-slow").await;
     let (_running, ops) = deployment.start("ops-slow").await;
     let mut unfinished = Vec::new();
     for n in 0..60 {
         let mut stream = TcpStream::connect(ops).await.unwrap();
-        let half = ["", "GET /api/re", "POST /api/exclude HTTP/1.1\r\ncontent-length: 9\r\n\r\nhalf"][n % 3];
-        stream.write_all(half.as_bytes()).await.unwrap();
+        let partial_call =
+            ["", "GET /api/re", "POST /api/exclude HTTP/1.1\r\ncontent-length: 9\r\n\r\nhalf"][n % 3];
+        stream.write_all(partial_call.as_bytes()).await.unwrap();
         unfinished.push(stream);
         assert_eq!(call(ops, "GET", "/api/ready", "").await.0, 200);
     }
-    // The first made room for others, well before its time was over.
+    // The first connection was closed to make room for others, well before its timeout.
     let room_made = timeout(WAIT_TIMEOUT / 10, unfinished.remove(0).read_to_end(&mut Vec::new())).await;
-    assert!(room_made.is_ok(), "connections are not bounded");
-    // Each is ended, by its time or to make room.
+    assert!(room_made.is_ok(), "the number of connections is not bounded");
+    // Every other is closed too, by its timeout or to make room.
     for mut stream in unfinished {
         let ended = timeout(WAIT_TIMEOUT, stream.read_to_end(&mut Vec::new())).await;
-        assert!(ended.is_ok(), "a caller that finished no call was kept");
+        assert!(ended.is_ok(), "a connection with an unfinished call was not closed");
     }
 }
 
 #[tokio::test]
-async fn an_excluded_instance_gets_nothing_until_it_is_included_also_by_the_next_process() {
+async fn an_excluded_server_gets_no_request_until_it_is_included_also_from_later_processes() {
     let deployment = Deployment::new("ops-exclude").await;
     let (mut running, mut ops) = deployment.start("ops-exclude").await;
     wait_for_status(running.listen, "before", 200).await;
     assert_eq!(exclude(ops, "p").await, 200);
     wait_for_status(running.listen, "out", 503).await;
     let [prefill, _] = &deployment.servers;
-    let sent = prefill.posts().len();
-    for nth in 0..2 {
-        assert_eq!(exchange(running.listen, &request(&format!("still-{nth}"))).await.status, 503);
+    let sent_before = prefill.posts().len();
+    for restart in 0..2 {
+        assert_eq!(exchange(running.listen, &request(&format!("still-{restart}"))).await.status, 503);
         running.signal("-KILL");
         (running, ops) = deployment.start("ops-exclude-again").await;
     }
-    assert_eq!(prefill.posts().len(), sent);
+    assert_eq!(prefill.posts().len(), sent_before);
     assert_eq!(include(ops, "p").await, 200);
     wait_for_status(running.listen, "back", 200).await;
 }
 
 #[tokio::test]
-async fn a_damaged_exclusion_is_passed_over_and_named() {
+async fn a_damaged_exclusion_is_ignored() {
     let deployment = Deployment::new("ops-damaged").await;
     let (running, ops) = deployment.start("ops-damaged").await;
     assert_eq!(exclude(ops, "p").await, 200);
     running.signal("-KILL");
     let state = std::fs::read_dir(&deployment.folder).unwrap().next().unwrap().unwrap().path();
-    let kept: Vec<_> =
-        std::fs::read_dir(state.join("excluded")).unwrap().map(|f| f.unwrap().path()).collect();
-    std::fs::write(&kept[0], "another").unwrap();
-    std::fs::write(kept[0].with_file_name("half.123"), "p").unwrap();
+    let files: Vec<_> =
+        std::fs::read_dir(state.join("excluded")).unwrap().map(|file| file.unwrap().path()).collect();
+    std::fs::write(&files[0], "another").unwrap();
+    std::fs::write(files[0].with_file_name("half.123"), "p").unwrap();
     let mut command = program("ops-damaged-again", &deployment.config.to_string());
     command.env("TMPDIR", &deployment.folder);
     let running = DaemonProcess::start(command);
@@ -95,7 +97,7 @@
 }
 
 #[tokio::test]
-async fn without_an_address_nothing_is_opened_and_the_environment_wins() {
+async fn without_an_ops_address_no_state_is_kept_and_the_environment_overrides_the_file() {
     let mut deployment = Deployment::new("ops-none").await;
     let ops = deployment.config["ops"].take();
     deployment.config.as_object_mut().unwrap().remove("ops");
--- a/daemon/tests/state_files.rs
+++ b/daemon/tests/state_files.rs
@@ -1,17 +1,19 @@
-//! Files of the state folder: what could not be written whole leaves nothing behind, and what processes
-//! that are gone have left is removed.
+//! Files of the state folder: a failed write leaves no partial file behind, and the leftovers of processes
+//! that have ended are removed.
 
 use frosttrail::Id;
 use frosttrail_daemon::ops::ExclusionStore;
 use frosttrail_daemon::state_dir::{remove_leftovers, replace};
 
+/// A new folder for one test.
 fn folder(name: &str) -> std::path::PathBuf {
     let folder = std::env::temp_dir().join(format!("frosttrail-files-{name}-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     folder
 }
 
-fn files(folder: &std::path::Path) -> Vec<String> {
+/// The sorted names of a folder's files.
+fn file_names(folder: &std::path::Path) -> Vec<String> {
     let files = std::fs::read_dir(folder).unwrap();
     let mut names: Vec<String> =
         files.map(|file| file.unwrap().file_name().to_string_lossy().into_owned()).collect();
@@ -20,23 +22,23 @@
 }
 
 #[test]
-fn a_replacement_that_fails_leaves_no_half_file() {
+fn a_failed_replacement_leaves_no_partial_file() {
     let folder = folder("half");
-    // A folder in its place can't be replaced by a file.
+    // A folder can't be replaced by a file.
     std::fs::create_dir(folder.join("taken")).unwrap();
     for _ in 0..3 {
         assert!(replace(&folder.join("taken"), "text").is_err());
     }
-    assert_eq!(files(&folder), ["taken"]);
+    assert_eq!(file_names(&folder), ["taken"]);
     replace(&folder.join("deeper").join("file"), "text").unwrap();
     assert_eq!(std::fs::read_to_string(folder.join("deeper").join("file")).unwrap(), "text");
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
 #[test]
-fn what_processes_that_are_gone_were_writing_is_removed() {
+fn partial_files_of_ended_processes_are_removed() {
     let folder = folder("gone");
-    // No process has this id: it is above the kernel's bound.
+    // 4194305 is above the kernel's limit on process ids, so no process has it.
     let own = format!("file.{}", std::process::id());
     for name in ["file", "file.4194305", &own, "listeners.sock"] {
         std::fs::write(folder.join(name), "half").unwrap();
@@ -44,22 +46,23 @@
     remove_leftovers(&folder);
     let mut expected = vec!["file".to_string(), own, "listeners.sock".into()];
     expected.sort();
-    assert_eq!(files(&folder), expected);
+    assert_eq!(file_names(&folder), expected);
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
-/// Where each file can't be read now and then, hundreds of them would never be read at once.
+/// A retry must not read them again: if any file may fail to be read now and then, hundreds of them would never
+/// all be read in one attempt.
 #[test]
-fn exclusions_that_have_been_read_are_not_read_again_with_those_that_could_not() {
+fn a_retry_reads_only_the_exclusions_that_could_not_be_read_before() {
     let folder = folder("exclusions");
     let log = slog::Logger::root(slog::Discard, slog::o!());
     let store = ExclusionStore::in_folder(&folder);
     let mut all: Vec<Id> = (0..300).map(|n| Id::from(format!("s-{n}").as_str())).collect();
     all.iter().for_each(|id| store.insert(id).unwrap());
-    // It can't be read for now.
+    // A folder among the files can't be read as one.
     let unreadable = store.folder().join("unreadable");
     std::fs::create_dir(&unreadable).unwrap();
-    assert!(store.load_at_start(&log).is_err(), "one that can't be read is not one that is not there");
+    assert!(store.load_at_start(&log).is_err(), "an unreadable exclusion was treated as a missing one");
     std::fs::remove_dir(&unreadable).unwrap();
     for file in std::fs::read_dir(store.folder()).unwrap() {
         std::fs::write(file.unwrap().path(), "not read again").unwrap();
--- a/daemon/tests/upgrade.rs
+++ b/daemon/tests/upgrade.rs
@@ -1,5 +1,5 @@
-//! An upgrade in service: two real processes on one client address and one folder, and signals, calls and
-//! kills in between.
+//! Upgrades under load: real processes that share a listen address and a state folder replace each other,
+//! while signals, operators' calls and kills arrive.
 
 mod support;
 
@@ -15,8 +15,8 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, Instant};
 
-/// Keeps an address for the processes of a test: bound, and not listened at.
-fn reserve() -> (Socket, SocketAddr) {
+/// Reserves an address for the processes of a test, by a socket that is bound but does not listen.
+fn reserve_address() -> (Socket, SocketAddr) {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP)).unwrap();
     socket.set_reuse_port(true).unwrap();
     socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
@@ -24,94 +24,101 @@
     (socket, address)
 }
 
-/// A deployment whose processes share an address.
-async fn shared(name: &str) -> (Deployment, Socket) {
+/// A deployment whose processes share a listen address, and the socket that reserves it.
+async fn deployment_with_shared_address(name: &str) -> (Deployment, Socket) {
     let mut deployment = Deployment::new(name).await;
-    let (reserved, address) = reserve();
+    let (reserved, address) = reserve_address();
     deployment.config["listen"] = json!(address);
     (deployment, reserved)
 }
 
-/// Clients that ask one after another, each on a connection of its own, until they are told to stop.
-struct Load {
+/// Clients that each send one request after another, every one on a new connection, until they are stopped.
+struct LoadGenerator {
     stop: Arc<AtomicBool>,
     clients: JoinSet<Vec<(String, u16)>>,
 }
 
-impl Load {
+impl LoadGenerator {
     fn start(to: SocketAddr) -> Self {
         let (stop, mut clients) = (Arc::new(AtomicBool::new(false)), JoinSet::new());
         for client in 0..8 {
             let stop = stop.clone();
             clients.spawn(async move {
-                let mut told = Vec::new();
+                let mut outcomes = Vec::new();
                 while !stop.load(Ordering::Relaxed) {
-                    let id = format!("load-{client}-{}", told.len());
+                    let id = format!("load-{client}-{}", outcomes.len());
                     let status = exchange(to, &request(&id)).await.status;
-                    told.push((id, status));
+                    outcomes.push((id, status));
                 }
-                told
+                outcomes
             });
         }
-        Load { stop, clients }
+        LoadGenerator { stop, clients }
     }
 
-    /// What each request was told.
-    async fn end(mut self) -> Vec<(String, u16)> {
+    /// Stops the clients and returns the id and status of each request.
+    async fn stop(mut self) -> Vec<(String, u16)> {
         self.stop.store(true, Ordering::Relaxed);
-        let mut told = Vec::new();
+        let mut outcomes = Vec::new();
         while let Some(client) = self.clients.join_next().await {
-            told.extend(client.expect("a client whose connection was refused, reset or left unread"));
+            outcomes.extend(
+                client.expect("a connection of a client was refused, reset or closed without an answer"),
+            );
         }
-        told
+        outcomes
     }
 }
 
 #[tokio::test]
-async fn no_request_ends_at_the_door_while_processes_follow_each_other() {
-    let (deployment, _reserved) = shared("upgrade-load").await;
+async fn every_request_is_served_while_processes_replace_each_other() {
+    let (deployment, _reserved) = deployment_with_shared_address("upgrade-load").await;
     let (mut old, _) = deployment.start("upgrade-load").await;
-    let load = Load::start(old.listen);
-    for nth in 0..3 {
-        let (new, _) = deployment.start(&format!("upgrade-load-{nth}")).await;
+    let load = LoadGenerator::start(old.listen);
+    for upgrade in 0..3 {
+        let (new, _) = deployment.start(&format!("upgrade-load-{upgrade}")).await;
         old.signal("-TERM");
         old.expect_clean_exit().await;
         old = new;
     }
-    let told = load.end().await;
-    let other: Vec<_> = told.iter().filter(|(_, status)| *status != 200).collect();
-    assert!(told.len() > 100 && other.is_empty(), "{} asked, {other:?}", told.len());
+    let outcomes = load.stop().await;
+    let not_served: Vec<_> = outcomes.iter().filter(|(_, status)| *status != 200).collect();
+    assert!(
+        outcomes.len() > 100 && not_served.is_empty(),
+        "of {} requests, not served: {not_served:?}",
+        outcomes.len()
+    );
 }
 
 #[tokio::test]
-async fn a_call_to_either_process_binds_both() {
-    let (deployment, _reserved) = shared("upgrade-calls").await;
+async fn an_operators_call_to_either_process_applies_to_both() {
+    let (deployment, _reserved) = deployment_with_shared_address("upgrade-calls").await;
     let (old, old_ops) = deployment.start("upgrade-calls").await;
     let (_new, new_ops) = deployment.start("upgrade-calls-new").await;
-    let avoided = |ops, count: usize| async move {
-        let (wanted, end) = (format!("svc_cluster_unhealthy {count}\n"), Instant::now() + WAIT_TIMEOUT);
-        while !call(ops, "GET", "/api/telemetry", "").await.1.contains(&wanted) {
-            assert!(Instant::now() < end, "never {wanted}");
+    let wait_for_unhealthy_count = |ops, count: usize| async move {
+        let (expected_line, end) =
+            (format!("svc_cluster_unhealthy {count}\n"), Instant::now() + WAIT_TIMEOUT);
+        while !call(ops, "GET", "/api/telemetry", "").await.1.contains(&expected_line) {
+            assert!(Instant::now() < end, "not reported in time: {expected_line}");
             sleep(Duration::from_millis(10)).await;
         }
     };
     assert_eq!(exclude(old_ops, "p").await, 200);
-    avoided(new_ops, 1).await;
+    wait_for_unhealthy_count(new_ops, 1).await;
     assert_eq!(exclude(new_ops, "d").await, 200);
-    avoided(old_ops, 2).await;
-    // Also one that takes no new clients any more.
+    wait_for_unhealthy_count(old_ops, 2).await;
+    // A process that accepts no more clients follows too.
     old.signal("-TERM");
     assert_eq!(include(new_ops, "p").await, 200);
-    avoided(old_ops, 1).await;
+    wait_for_unhealthy_count(old_ops, 1).await;
     assert_eq!(call(old_ops, "GET", "/api/ready", "").await.0, 503);
     old.expect_clean_exit().await;
     assert_eq!(include(new_ops, "d").await, 200);
-    avoided(new_ops, 0).await;
+    wait_for_unhealthy_count(new_ops, 0).await;
 }
 
 #[tokio::test]
-async fn the_kill_of_either_leaves_the_other_in_service() {
-    let (deployment, _reserved) = shared("upgrade-kill").await;
+async fn when_either_process_is_killed_the_other_serves() {
+    let (deployment, _reserved) = deployment_with_shared_address("upgrade-kill").await;
     let (old, _) = deployment.start("upgrade-kill").await;
     let (new, _) = deployment.start("upgrade-kill-new").await;
     let address = old.listen;
@@ -125,14 +132,14 @@
 }
 
 #[tokio::test]
-async fn what_waits_unaccepted_at_a_process_that_dies_is_accepted_by_the_next() {
-    let (deployment, _reserved) = shared("upgrade-queue").await;
+async fn connections_not_yet_accepted_by_a_killed_process_are_accepted_by_the_next() {
+    let (deployment, _reserved) = deployment_with_shared_address("upgrade-queue").await;
     let (old, _) = deployment.start("upgrade-queue").await;
     let (_new, _) = deployment.start("upgrade-queue-new").await;
     old.signal("-STOP");
     let mut waiting = Vec::new();
-    for nth in 0..24 {
-        waiting.push(send(old.listen, &request(&format!("queue-{nth}"))).await);
+    for n in 0..24 {
+        waiting.push(send(old.listen, &request(&format!("queue-{n}"))).await);
     }
     old.signal("-KILL");
     for stream in waiting {
@@ -141,12 +148,12 @@
 }
 
 #[tokio::test]
-async fn signals_between_start_and_end_change_nothing_that_is_owed() {
-    let (mut deployment, _reserved) = shared("upgrade-signals").await;
+async fn signals_during_upgrades_lose_no_request() {
+    let (mut deployment, _reserved) = deployment_with_shared_address("upgrade-signals").await;
     let (mut old, _) = deployment.start("upgrade-signals").await;
-    let load = Load::start(old.listen);
+    let load = LoadGenerator::start(old.listen);
     let (mut new, _) = deployment.start("upgrade-signals-new").await;
-    // A second upgrade while the first is under way, and new settings for all three.
+    // A second upgrade starts during the first, and all three processes get new settings.
     let (mut newer, _) = deployment.start("upgrade-signals-newer").await;
     let class = deployment.config["settings"]["grades"][0].clone();
     let classes = deployment.config["settings"]["grades"].as_array_mut().unwrap();
@@ -164,40 +171,40 @@
     old.signal("-HUP");
     old.expect_clean_exit().await;
     new.expect_clean_exit().await;
-    let told = load.end().await;
-    let other: Vec<_> = told.iter().filter(|(_, status)| *status != 200).collect();
-    assert!(!told.is_empty() && other.is_empty(), "{other:?}");
+    let outcomes = load.stop().await;
+    let not_served: Vec<_> = outcomes.iter().filter(|(_, status)| *status != 200).collect();
+    assert!(!outcomes.is_empty() && not_served.is_empty(), "{not_served:?}");
 }
 
 #[tokio::test]
-async fn a_snapshot_that_is_damaged_or_foreign_is_passed_over_with_one_line() {
-    let (deployment, _reserved) = shared("upgrade-snapshot").await;
+async fn a_damaged_foreign_or_outdated_snapshot_is_skipped_with_one_log_line() {
+    let (deployment, _reserved) = deployment_with_shared_address("upgrade-snapshot").await;
     let (old, _) = deployment.start("upgrade-snapshot").await;
     wait_for_status(old.listen, "learn", 200).await;
     let state = std::fs::read_dir(&deployment.folder).unwrap().next().unwrap().unwrap().path();
     let file = state.join("snapshot");
     let end = Instant::now() + WAIT_TIMEOUT;
     while !file.exists() {
-        assert!(Instant::now() < end, "nothing was written");
+        assert!(Instant::now() < end, "no snapshot was written in time");
         sleep(Duration::from_millis(10)).await;
     }
     drop(old);
-    let whole = std::fs::read_to_string(&file).unwrap();
-    let damaged = whole.replace("\"pace\":[", "\"pace\":[1");
-    assert_ne!(whole, damaged);
-    let of_another_time = whole.split(' ').take(3).collect::<Vec<_>>().join(" ") + " 1\n";
-    let of_another_time = of_another_time + whole.split_once('\n').unwrap().1;
+    let intact = std::fs::read_to_string(&file).unwrap();
+    let damaged = intact.replace("\"pace\":[", "\"pace\":[1");
+    assert_ne!(intact, damaged);
+    let outdated = intact.split(' ').take(3).collect::<Vec<_>>().join(" ") + " 1\n";
+    let outdated = outdated + intact.split_once('\n').unwrap().1;
     let bad = [
         (damaged, "damaged"),
         ("something else".into(), "not a snapshot"),
-        (of_another_time, "ago, by a process that is no more"),
+        (outdated, "ago, by a process that is no more"),
     ];
-    for (nth, (text, why)) in bad.into_iter().enumerate() {
+    for (index, (text, reason)) in bad.into_iter().enumerate() {
         std::fs::write(&file, text).unwrap();
-        let mut process = DaemonProcess::spawn(deployment.command(&format!("upgrade-snapshot-{nth}")));
+        let mut process = DaemonProcess::spawn(deployment.command(&format!("upgrade-snapshot-{index}")));
         let line = process.wait_for_log("passed over");
-        assert!(line.contains(why), "{line}");
+        assert!(line.contains(reason), "{line}");
         process.wait_until_listening();
-        wait_for_status(process.listen, &format!("after-{nth}"), 200).await;
+        wait_for_status(process.listen, &format!("after-{index}"), 200).await;
     }
 }
