--- a/daemon/tests/ending.rs
+++ b/daemon/tests/ending.rs
@@ -82,25 +82,25 @@
 #[tokio::test]
 async fn with_short_deadlines_every_request_read_is_answered_before_sigkill() {
     let (prefill, decode) = (StandIn::start(PREFILL_RESPONSE).await, StandIn::start(COMPLETE_STREAM).await);
-    let running = DaemonProcess::start(program("short-deadlines", &config(&prefill, &decode, 1_000)));
-    // 150 events at intervals of 5 ms: this stream takes 0.9 s.
+    let process = DaemonProcess::start(program("short-deadlines", &config(&prefill, &decode, 1_000)));
+    // This stream takes 0.9 s.
     decode.next(Behavior::StreamsTimestamps(150, 5));
-    let mut streams = send(running.listen, &request("streams", "ask", 1_000)).await;
+    let mut streams = send(process.listen, &request("streams", "ask", 1_000)).await;
     streams.readable().await.unwrap();
-    let begin = Instant::now();
+    let start = Instant::now();
     let mut clients = JoinSet::new();
     for n in 0..34 {
-        let at = begin + Duration::from_millis(20 + 50 * n);
-        clients.spawn(request_at(running.listen, format!("late-{n}"), at));
+        let at = start + Duration::from_millis(20 + 50 * n);
+        clients.spawn(request_at(process.listen, format!("late-{n}"), at));
     }
     // The clients are connected and idle when SIGTERM comes. The decode server answers no late request.
     sleep(Duration::from_millis(20)).await;
-    running.signal("-TERM");
+    process.signal("-TERM");
     sleep(Duration::from_millis(550)).await;
     (0..40).for_each(|_| decode.next(Behavior::StaysSilent));
     let stream_outcome = read_outcome(&mut streams).await;
-    sleep_until(begin + Duration::from_millis(20) + time_until_sigkill(1_000)).await;
-    running.signal("-KILL");
+    sleep_until(start + Duration::from_millis(20) + time_until_sigkill(1_000)).await;
+    process.signal("-KILL");
     assert!(
         stream_outcome.is_some_and(|(_, whole)| whole),
         "a stream that its server had finished was cut off"
@@ -113,7 +113,7 @@
     }
     let served = answers.iter().filter(|(_, answer)| answer.is_some_and(|(status, _)| status == 200)).count();
     assert!(served >= 4, "too few of the early requests were served: {served}");
-    running.expect_clean_exit().await;
+    process.expect_clean_exit().await;
 }
 
 /// A request whose first part arrives before the listeners close, and whose rest arrives after the last
@@ -124,13 +124,13 @@
     let (prefill, decode) =
         (StandIn::start(Behavior::StaysSilent).await, StandIn::start(COMPLETE_STREAM).await);
     // The listeners close after 0.65 s, the last answers are sent at 2.4 s, and the process ends at 2.9 s.
-    let running = DaemonProcess::start(program("halves", &config(&prefill, &decode, 2_500)));
-    let mut open = send(running.listen, &request("open", "book", 8_000)).await;
+    let process = DaemonProcess::start(program("halves", &config(&prefill, &decode, 2_500)));
+    let mut open = send(process.listen, &request("open", "book", 8_000)).await;
     let mut partial_requests = Vec::new();
     for n in 0..4 {
         let text = request(&format!("half-{n}"), ["ask", "book"][n % 2], 8_000);
         let (first, rest) = text.split_at(text.len() - 1);
-        let mut client = send(running.listen, &keep_alive(READY_REQUEST)).await;
+        let mut client = send(process.listen, &keep_alive(READY_REQUEST)).await;
         let mut seen = Vec::new();
         while !seen.ends_with(b"ready\n") {
             assert!(client.read_buf(&mut seen).await.unwrap() > 0);
@@ -138,7 +138,7 @@
         partial_requests.push((client, first.to_string(), rest.to_string()));
     }
     let sigterm_sent = Instant::now();
-    running.signal("-TERM");
+    process.signal("-TERM");
     // Just before the listeners close, so that the rest may still arrive after the last answers.
     sleep(Duration::from_millis(550)).await;
     for (client, first, _) in &mut partial_requests {
@@ -147,8 +147,8 @@
     // The open request gets one of the last answers of the planned shutdown.
     let (status, _) = read_outcome(&mut open).await.expect("an answer");
     assert_eq!(status, 503, "the request had not run");
-    running.signal("-TERM");
-    running.signal("-HUP");
+    process.signal("-TERM");
+    process.signal("-HUP");
     for (n, (mut client, _, last)) in partial_requests.into_iter().enumerate() {
         client.write_all(last.as_bytes()).await.unwrap();
         let answer = read_outcome(&mut client).await;
@@ -159,7 +159,7 @@
         );
     }
     assert!(sigterm_sent.elapsed() < time_until_sigkill(2_500), "{:?}", sigterm_sent.elapsed());
-    running.expect_clean_exit().await;
+    process.expect_clean_exit().await;
 }
 
 /// A request whose last byte arrives more than 0.7 s after SIGTERM could still stream at SIGKILL. It must be
@@ -168,20 +168,20 @@
 async fn a_request_completed_after_the_listeners_closed_starts_no_stream() {
     let (prefill, decode) =
         (StandIn::start(PREFILL_RESPONSE).await, StandIn::start(Behavior::StreamsTimestamps(100, 60)).await);
-    let running = DaemonProcess::start(program("whole-late", &config(&prefill, &decode, 3_000)));
+    let process = DaemonProcess::start(program("whole-late", &config(&prefill, &decode, 3_000)));
     let text = request("late", "ask", 3_000);
     let (first, last) = text.split_at(text.len() - 1);
-    let mut client = send(running.listen, &keep_alive(READY_REQUEST)).await;
+    let mut client = send(process.listen, &keep_alive(READY_REQUEST)).await;
     let mut seen = Vec::new();
     while !seen.ends_with(b"ready\n") {
         assert!(client.read_buf(&mut seen).await.unwrap() > 0);
     }
-    running.signal("-TERM");
+    process.signal("-TERM");
     sleep(Duration::from_millis(400)).await;
     client.write_all(first.as_bytes()).await.unwrap();
     sleep(Duration::from_millis(500)).await;
     client.write_all(last.as_bytes()).await.unwrap();
     assert_eq!(read_outcome(&mut client).await, Some((503, true)));
     assert!(prefill.posts().is_empty(), "the request was sent on");
-    running.expect_clean_exit().await;
+    process.expect_clean_exit().await;
 }
--- a/daemon/tests/figures.rs
+++ b/daemon/tests/figures.rs
@@ -43,7 +43,7 @@
 #[tokio::test]
 async fn request_counts_add_up_under_load_and_client_aborts() {
     let deployment = Deployment::new("figures-sum").await;
-    let (running, ops) = deployment.start("figures-sum").await;
+    let (process, ops) = deployment.start("figures-sum").await;
     let [prefill, decode] = &deployment.servers;
     for _ in 0..5 {
         decode.next(Behavior::BreaksAfter(&[EVENT]));
@@ -52,7 +52,7 @@
     const CLIENTS: u64 = 60;
     let mut clients = JoinSet::new();
     for n in 0..CLIENTS {
-        let to = running.listen;
+        let to = process.listen;
         clients.spawn(async move {
             let stream = send(to, &request(&format!("sum-{n}"))).await;
             match n % 4 {
@@ -82,23 +82,23 @@
 #[tokio::test]
 async fn refusals_exclusions_and_configurations_are_counted() {
     let mut deployment = Deployment::new("figures-each").await;
-    let (running, ops) = deployment.start("figures-each").await;
+    let (process, ops) = deployment.start("figures-each").await;
     wait_for_metric(ops, "cluster_size", None, 2).await;
     wait_for_metric(ops, "cluster_unhealthy", None, 0).await;
     assert_eq!(exclude(ops, "p").await, 200);
     wait_for_metric(ops, "cluster_unhealthy", None, 1).await;
-    assert_eq!(exchange(running.listen, &request("refused")).await.status, 503);
+    assert_eq!(exchange(process.listen, &request("refused")).await.status, 503);
     wait_for_metric(ops, "deferred", Some("ask"), 1).await;
     assert_eq!(include(ops, "p").await, 200);
     wait_for_metric(ops, "cluster_unhealthy", None, 0).await;
     deployment.rewrite_config("figures-each", "{");
-    running.signal("-HUP");
+    process.signal("-HUP");
     wait_for_metric(ops, "conf_invalid", None, 1).await;
     let mut added = deployment.config["settings"]["grades"][0].clone();
     added["name"] = "change".into();
     deployment.config["settings"]["grades"].as_array_mut().unwrap().push(added);
     deployment.rewrite_config("figures-each", &deployment.config.to_string());
-    running.signal("-HUP");
+    process.signal("-HUP");
     wait_for_metric(ops, "conf_loaded", None, 1).await;
     // The metrics of an added class exist from the start.
     assert_eq!(metric(&scrape(ops).await, "answered", Some("change")), 0);
--- a/daemon/tests/folder_faults.rs
+++ b/daemon/tests/folder_faults.rs
@@ -25,11 +25,11 @@
 
 /// Starts a process and returns it with its operators' address, before it is ready.
 fn start(deployment: &Deployment, name: &str) -> (DaemonProcess, std::net::SocketAddr) {
-    let mut running = DaemonProcess::spawn(deployment.command(name));
-    let line = running.wait_for_log("operators' address, at: ");
-    let at = line.split_once("at: ").unwrap().1.split(',').next().unwrap().trim().parse().unwrap();
-    running.listen = serde_json::from_value(deployment.config["listen"].clone()).unwrap();
-    (running, at)
+    let mut process = DaemonProcess::spawn(deployment.command(name));
+    let line = process.wait_for_log("operators' address, at: ");
+    let ops = line.split_once("at: ").unwrap().1.split(',').next().unwrap().trim().parse().unwrap();
+    process.listen = serde_json::from_value(deployment.config["listen"].clone()).unwrap();
+    (process, ops)
 }
 
 #[tokio::test]
@@ -42,7 +42,7 @@
     let aside = state.join("aside");
     std::fs::rename(&store, &aside).unwrap();
     std::fs::write(&store, "").unwrap();
-    let (running, ops) = start(&deployment, "folder-start");
+    let (process, ops) = start(&deployment, "folder-start");
     let begin = Instant::now();
     while begin.elapsed() < Duration::from_millis(600) {
         assert_eq!(call(ops, "GET", "/api/ready", "").await.0, 503, "ready before the exclusions were read");
@@ -51,17 +51,17 @@
     std::fs::remove_file(&store).unwrap();
     std::fs::rename(&aside, &store).unwrap();
     wait_until_ready(ops).await;
-    assert_eq!(exchange(running.listen, &request("excluded")).await.status, 503);
+    assert_eq!(exchange(process.listen, &request("excluded")).await.status, 503);
     assert_eq!(include(ops, "p").await, 200);
-    wait_for_status(running.listen, "included", 200).await;
-    running.signal("-TERM");
-    running.expect_clean_exit().await;
+    wait_for_status(process.listen, "included", 200).await;
+    process.signal("-TERM");
+    process.expect_clean_exit().await;
 }
 
 #[tokio::test]
 async fn a_server_stays_excluded_while_its_exclusion_cannot_be_removed() {
     let (deployment, state) = deployment("folder-include").await;
-    let (running, ops) = start(&deployment, "folder-include");
+    let (process, ops) = start(&deployment, "folder-include");
     wait_until_ready(ops).await;
     assert_eq!(exclude(ops, "p").await, 200);
     // A folder in its place can be neither removed nor read as a file.
@@ -71,7 +71,7 @@
     assert_eq!(include(ops, "p").await, 507);
     let begin = Instant::now();
     for n in 0.. {
-        let status = exchange(running.listen, &request(&format!("out-{n}"))).await.status;
+        let status = exchange(process.listen, &request(&format!("out-{n}"))).await.status;
         assert_eq!(status, 503, "served though the call to include it failed");
         if begin.elapsed() > Duration::from_millis(500) {
             break;
@@ -79,14 +79,14 @@
     }
     std::fs::remove_dir(&file).unwrap();
     assert_eq!(include(ops, "p").await, 200);
-    wait_for_status(running.listen, "back", 200).await;
+    wait_for_status(process.listen, "back", 200).await;
 }
 
 /// A pipe among the files blocks the reading of the folder, so that the call arrives during it.
 #[tokio::test]
 async fn an_exclusion_holds_once_acknowledged_while_the_folder_is_being_read() {
     let (deployment, state) = deployment("folder-race").await;
-    let (running, ops) = start(&deployment, "folder-race");
+    let (process, ops) = start(&deployment, "folder-race");
     wait_until_ready(ops).await;
     assert_eq!((exclude(ops, "d").await, include(ops, "d").await), (200, 200));
     let pipe = state.join("excluded").join("pipe");
@@ -99,7 +99,7 @@
     drop(pipe_writer);
     for n in 0..3 {
         let text = chat(&format!("race-{n}"), "ask", 200);
-        let answer = timeout(CALL_TIMEOUT, exchange(running.listen, &text)).await;
+        let answer = timeout(CALL_TIMEOUT, exchange(process.listen, &text)).await;
         let answer = answer.expect("reading the folder blocks the process");
         assert_eq!(answer.status, 503, "served after the exclusion was acknowledged");
     }
--- a/daemon/tests/ops.rs
+++ b/daemon/tests/ops.rs
@@ -13,7 +13,7 @@
 #[tokio::test]
 async fn calls_are_answered_with_200_or_with_an_error_of_one_line() {
     let deployment = Deployment::new("ops-calls").await;
-    let (_running, ops) = deployment.start("ops-calls").await;
+    let (_process, ops) = deployment.start("ops-calls").await;
     assert_eq!(call(ops, "GET", "/api/ready", "").await, (200, "ready\n".into()));
     assert_eq!(call(ops, "GET", "/api/telemetry", "").await.0, 200);
     assert_eq!(exclude(ops, "p").await, 200);
@@ -40,7 +40,7 @@
 #[tokio::test]
 async fn callers_that_finish_no_call_delay_no_others() {
     let deployment = Deployment::new("ops-slow").await;
-    let (_running, ops) = deployment.start("ops-slow").await;
+    let (_process, ops) = deployment.start("ops-slow").await;
     let mut unfinished = Vec::new();
     for n in 0..60 {
         let mut stream = TcpStream::connect(ops).await.unwrap();
@@ -63,28 +63,28 @@
 #[tokio::test]
 async fn an_excluded_server_gets_no_request_until_it_is_included_also_from_later_processes() {
     let deployment = Deployment::new("ops-exclude").await;
-    let (mut running, mut ops) = deployment.start("ops-exclude").await;
-    wait_for_status(running.listen, "before", 200).await;
+    let (mut process, mut ops) = deployment.start("ops-exclude").await;
+    wait_for_status(process.listen, "before", 200).await;
     assert_eq!(exclude(ops, "p").await, 200);
-    wait_for_status(running.listen, "out", 503).await;
+    wait_for_status(process.listen, "out", 503).await;
     let [prefill, _] = &deployment.servers;
     let sent_before = prefill.posts().len();
     for restart in 0..2 {
-        assert_eq!(exchange(running.listen, &request(&format!("still-{restart}"))).await.status, 503);
-        running.signal("-KILL");
-        (running, ops) = deployment.start("ops-exclude-again").await;
+        assert_eq!(exchange(process.listen, &request(&format!("still-{restart}"))).await.status, 503);
+        process.signal("-KILL");
+        (process, ops) = deployment.start("ops-exclude-again").await;
     }
     assert_eq!(prefill.posts().len(), sent_before);
     assert_eq!(include(ops, "p").await, 200);
-    wait_for_status(running.listen, "back", 200).await;
+    wait_for_status(process.listen, "back", 200).await;
 }
 
 #[tokio::test]
 async fn a_damaged_exclusion_is_ignored() {
     let deployment = Deployment::new("ops-damaged").await;
-    let (running, ops) = deployment.start("ops-damaged").await;
+    let (process, ops) = deployment.start("ops-damaged").await;
     assert_eq!(exclude(ops, "p").await, 200);
-    running.signal("-KILL");
+    process.signal("-KILL");
     let state = std::fs::read_dir(&deployment.folder).unwrap().next().unwrap().unwrap().path();
     let files: Vec<_> =
         std::fs::read_dir(state.join("excluded")).unwrap().map(|file| file.unwrap().path()).collect();
@@ -92,8 +92,8 @@
     std::fs::write(files[0].with_file_name("half.123"), "p").unwrap();
     let mut command = program("ops-damaged-again", &deployment.config.to_string());
     command.env("TMPDIR", &deployment.folder);
-    let running = DaemonProcess::start(command);
-    wait_for_status(running.listen, "damaged", 200).await;
+    let process = DaemonProcess::start(command);
+    wait_for_status(process.listen, "damaged", 200).await;
 }
 
 #[tokio::test]
@@ -103,13 +103,13 @@
     deployment.config.as_object_mut().unwrap().remove("ops");
     let mut command = program("ops-none", &deployment.config.to_string());
     command.env("TMPDIR", &deployment.folder);
-    let running = DaemonProcess::start(command);
-    wait_for_status(running.listen, "none", 200).await;
+    let process = DaemonProcess::start(command);
+    wait_for_status(process.listen, "none", 200).await;
     assert_eq!(std::fs::read_dir(&deployment.folder).unwrap().count(), 0);
-    drop(running);
+    drop(process);
     deployment.config["ops"] = json!("192.0.2.1:1");
     let mut command = program("ops-env", &deployment.config.to_string());
     command.env("TMPDIR", &deployment.folder).env("EDGE_OPS", ops.as_str().unwrap());
-    let mut running = DaemonProcess::spawn(command);
-    assert!(running.wait_for_log("operators' address, at: ").contains("127.0.0.1"));
+    let mut process = DaemonProcess::spawn(command);
+    assert!(process.wait_for_log("operators' address, at: ").contains("127.0.0.1"));
 }
--- a/daemon/tests/state_files.rs
+++ b/daemon/tests/state_files.rs
@@ -50,8 +50,8 @@
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
-/// A retry must not read them again: if any file may fail to be read now and then, hundreds of them would never
-/// all be read in one attempt.
+/// A retry must not read them again: if any file may fail to be read now and then, hundreds of them would
+/// never all be read in one attempt.
 #[test]
 fn a_retry_reads_only_the_exclusions_that_could_not_be_read_before() {
     let folder = folder("exclusions");
--- a/daemon/tests/support/mod.rs
+++ b/daemon/tests/support/mod.rs
@@ -28,12 +28,16 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
+/// An event of a chat completion stream.
 pub const EVENT: &str =
     "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"Table \"},\"finish_reason\":null}]}\n\n";
+/// The event that ends the content, with its finish reason.
 pub const LAST: &str =
     "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"booked\"},\"finish_reason\":\"stop\"}]}\n\n";
+/// The event that reports the token usage.
 pub const USAGE: &str =
     "data: {\"choices\":[],\"usage\":{\"prompt_tokens\":12,\"completion_tokens\":2,\"total_tokens\":14}}\n\n";
+/// The event that ends the stream.
 pub const DONE: &str = "data: [DONE]\n\n";
 
 /// What a stand-in server does with the next request.
@@ -105,6 +109,7 @@
     pub address: SocketAddr,
     pub requests: Arc<Mutex<Vec<ReceivedRequest>>>,
     pub handled: Arc<Mutex<Vec<HandledRequest>>>,
+    /// The number of connections accepted so far.
     pub accepted: Arc<Mutex<u32>>,
     script: Arc<Mutex<VecDeque<Behavior>>>,
     /// One message for each connection that the conductor closed before the response was complete.
@@ -119,6 +124,7 @@
 }
 
 impl StandIn {
+    /// Starts a server that has this default behavior and an empty script.
     pub async fn start(default_behavior: Behavior) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
@@ -200,6 +206,7 @@
     }
 }
 
+/// What the connections of a stand-in server share.
 #[derive(Clone)]
 struct Shared {
     default_behavior: Behavior,
@@ -680,8 +687,8 @@
     servers: &[(&str, &str, SocketAddr)],
     settings: &Value,
 ) -> String {
-    let target = |(uid, model, at): &(&str, &str, SocketAddr)| -> Value {
-        json!({"uid": uid, "endpoint": at, "az": "z", "model": model, "pod_group": 0, "state": "active",
+    let target = |(uid, model, address): &(&str, &str, SocketAddr)| -> Value {
+        json!({"uid": uid, "endpoint": address, "az": "z", "model": model, "pod_group": 0, "state": "active",
             "capacity_hint": 1.0, "boot_ms": 0})
     };
     let targets: Vec<Value> = servers.iter().map(target).collect();
@@ -740,8 +747,8 @@
     /// Waits until the daemon listens and stores its address in `listen`.
     pub fn wait_until_listening(&mut self) {
         let line = self.wait_for_log("listening, at: ");
-        let at = line.split_once("at: ").unwrap().1.split(',').next().unwrap().trim();
-        self.listen = at.parse().unwrap();
+        let address = line.split_once("at: ").unwrap().1.split(',').next().unwrap().trim();
+        self.listen = address.parse().unwrap();
     }
 
     /// Waits for a log line that contains this text and returns it.
--- a/daemon/tests/support/operations.rs
+++ b/daemon/tests/support/operations.rs
@@ -41,11 +41,11 @@
     pub async fn start(&self, name: &str) -> (DaemonProcess, SocketAddr) {
         let mut process = DaemonProcess::spawn(self.command(name));
         let line = process.wait_for_log("operators' address, at: ");
-        let at = line.split_once("at: ").unwrap().1.split(',').next().unwrap().trim();
-        let at = at.parse().unwrap();
+        let ops = line.split_once("at: ").unwrap().1.split(',').next().unwrap().trim();
+        let ops = ops.parse().unwrap();
         process.wait_until_listening();
-        wait_until_ready(at).await;
-        (process, at)
+        wait_until_ready(ops).await;
+        (process, ops)
     }
 }
 
