--- a/daemon/tests/closes.rs
+++ b/daemon/tests/closes.rs
@@ -17,7 +17,7 @@
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn request(id: &str) -> String {
-    kept(&chat(id, "ask", 7_000))
+    keep_alive(&chat(id, "ask", 7_000))
 }
 
 /// Reads until the connection ends. An error is a reset, which may have discarded data sent before it.
@@ -70,7 +70,7 @@
 
 /// Opens a connection that stays idle after its first response.
 async fn idle_connection(to: SocketAddr) -> TcpStream {
-    let mut client = send(to, &kept(HEALTH_REQUEST)).await;
+    let mut client = send(to, &keep_alive(HEALTH_REQUEST)).await;
     let mut seen = Vec::new();
     while !seen.ends_with(b"ready\n") {
         assert!(client.read_buf(&mut seen).await.unwrap() > 0);
@@ -85,7 +85,7 @@
         let (mut answered, mut forwarded) = (0, 0);
         for round in 0..12 {
             let idle = if is_shutdown { TEST_TIMEOUT } else { Duration::from_millis(40) };
-            let site = Site::with(ClientTimeouts { idle, ..CLIENT_TIMEOUTS }).await;
+            let site = Site::with_timeouts(ClientTimeouts { idle, ..CLIENT_TIMEOUTS }).await;
             let mut requests = JoinSet::new();
             for n in 0..7 {
                 let client = idle_connection(site.platform).await;
@@ -94,10 +94,12 @@
             }
             if is_shutdown {
                 sleep(Duration::from_micros(900)).await;
-                timeout(TEST_TIMEOUT, site.doors.close()).await.expect("the listeners did not close in time");
+                timeout(TEST_TIMEOUT, site.listeners.close())
+                    .await
+                    .expect("the listeners did not close in time");
             }
             answered += requests.join_all().await.into_iter().filter(|answered| *answered).count();
-            forwarded += site.writer.posts().len();
+            forwarded += site.decode.posts().len();
         }
         assert_eq!(
             answered, forwarded,
@@ -111,7 +113,7 @@
 #[tokio::test]
 async fn small_events_are_forwarded_without_delay() {
     let site = Site::start().await;
-    site.writer.next(Does::Ticks(80, 5));
+    site.decode.next(Behavior::StreamsTimestamps(80, 5));
     let mut client = send(site.platform, &request("ticks")).await;
     let (mut seen, mut lags) = (String::new(), Vec::new());
     while !seen.contains("[DONE]") {
@@ -122,7 +124,7 @@
             timeout(TEST_TIMEOUT, client.read(&mut bytes)).await.expect("no event arrived in time").unwrap();
         assert!(read > 0, "{seen:?}");
         seen.push_str(std::str::from_utf8(&bytes[..read]).unwrap());
-        let now = micros();
+        let now = unix_micros();
         let known = lags.len();
         let times =
             seen.split("{\"at\":").skip(1 + known).filter_map(|t| t.split_once('}')?.0.parse::<u64>().ok());
@@ -140,7 +142,8 @@
     for is_eviction in [false, true] {
         let (mut answered, mut forwarded, mut ended) = (0, 0, 0);
         for round in 0..6u64 {
-            let site = Site::with(ClientTimeouts { idle: Duration::from_secs(1), ..CLIENT_TIMEOUTS }).await;
+            let site =
+                Site::with_timeouts(ClientTimeouts { idle: Duration::from_secs(1), ..CLIENT_TIMEOUTS }).await;
             let mut requests = JoinSet::new();
             for n in 0..7u64 {
                 let id = format!("{is_eviction}-{round}-{n}");
@@ -166,7 +169,7 @@
             let all = requests.join_all().await;
             ended += all.iter().filter(|answered| !**answered).count();
             answered += all.iter().filter(|answered| **answered).count();
-            forwarded += site.writer.posts().len();
+            forwarded += site.decode.posts().len();
         }
         assert_eq!(
             answered, forwarded,
--- a/daemon/tests/connection.rs
+++ b/daemon/tests/connection.rs
@@ -91,34 +91,45 @@
 }
 
 impl Scenario {
-    fn behavior(self) -> Does {
+    fn behavior(self) -> Behavior {
         match self {
-            Prefill => READ,
-            Served => WHOLE,
-            Rejected => Does::Says(503, true, ""),
-            CacheMissing => Does::Says(410, true, "gone"),
-            UnmarkedGone => Does::Says(410, false, ""),
-            UnmarkedTimeout => Does::Says(504, false, ""),
-            ServerError => Does::Says(500, false, "{}"),
-            Reset => Does::Resets,
-            EmptyStream => Does::Streams(&[]),
-            BrokenStream => Does::BreaksAfter(&[EVENT]),
-            InvalidHead => Does::Raw("\u{1}\u{2} of the sea\r\n\r\n"),
-            EndlessHead => Does::RawOn("HTTP/1.1 200 OK\r\nx-more: and more"),
-            StalledHead => Does::Raw("HTTP/1.1 200 OK\r\ntransfer-enc"),
-            InvalidChunkSize => Does::Raw(concat!(stream_head!(), "10\r\ndata: Table {}\n\n\r\nzz\r\n")),
-            WrongChunkSize => {
-                Does::Raw(concat!(stream_head!(), "12\r\ndata: Table {}\n\n\r\n10\r\ndata: booked\n\n"))
+            Prefill => PREFILL_RESPONSE,
+            Served => COMPLETE_STREAM,
+            Rejected => Behavior::Responds(503, true, ""),
+            CacheMissing => Behavior::Responds(410, true, "gone"),
+            UnmarkedGone => Behavior::Responds(410, false, ""),
+            UnmarkedTimeout => Behavior::Responds(504, false, ""),
+            ServerError => Behavior::Responds(500, false, "{}"),
+            Reset => Behavior::Disconnects,
+            EmptyStream => Behavior::Streams(&[]),
+            BrokenStream => Behavior::BreaksAfter(&[EVENT]),
+            InvalidHead => Behavior::SendsRaw("\u{1}\u{2} of the sea\r\n\r\n"),
+            EndlessHead => Behavior::RepeatsLastByte("HTTP/1.1 200 OK\r\nx-more: and more"),
+            StalledHead => Behavior::SendsRaw("HTTP/1.1 200 OK\r\ntransfer-enc"),
+            InvalidChunkSize => {
+                Behavior::SendsRaw(concat!(stream_head!(), "10\r\ndata: Table {}\n\n\r\nzz\r\n"))
+            }
+            WrongChunkSize => Behavior::SendsRaw(concat!(
+                stream_head!(),
+                "12\r\ndata: Table {}\n\n\r\n10\r\ndata: booked\n\n"
+            )),
+            HugeChunk => {
+                Behavior::RepeatsLastByte(concat!(stream_head!(), "c0000000\r\ndata: Table {}\n\ndata: x"))
+            }
+            InvalidEvent => Behavior::SendsRaw(concat!(stream_head!(), "10\r\nTable for two!\n\n\r\n")),
+            EarlyHints => {
+                Behavior::SendsRawResponse(concat!("HTTP/1.1 103 Early Hints\r\n\r\n", prefill_response!("")))
+            }
+            InvalidLoadReport => {
+                Behavior::SendsRawResponse(prefill_response!("x-pressure: {\"inflight\":\r\n"))
             }
-            HugeChunk => Does::RawOn(concat!(stream_head!(), "c0000000\r\ndata: Table {}\n\ndata: x")),
-            InvalidEvent => Does::Raw(concat!(stream_head!(), "10\r\nTable for two!\n\n\r\n")),
-            EarlyHints => Does::RawWhole(concat!("HTTP/1.1 103 Early Hints\r\n\r\n", prefill_response!(""))),
-            InvalidLoadReport => Does::RawWhole(prefill_response!("x-pressure: {\"inflight\":\r\n")),
             InvalidFinalLoadReport => {
-                Does::RawWhole(concat!(stream_head!(), "11\r\n: X-Pressure: {\n\n\r\n0\r\n\r\n"))
+                Behavior::SendsRawResponse(concat!(stream_head!(), "11\r\n: X-Pressure: {\n\n\r\n0\r\n\r\n"))
+            }
+            SecondResponse => {
+                Behavior::SendsRawResponse(concat!(prefill_response!(""), prefill_response!("")))
             }
-            SecondResponse => Does::RawWhole(concat!(prefill_response!(""), prefill_response!(""))),
-            Cancelled | ServerClosesIdle => Does::Silent,
+            Cancelled | ServerClosesIdle => Behavior::StaysSilent,
         }
     }
 
@@ -191,7 +202,7 @@
 }
 
 async fn run_steps(steps: Vec<Scenario>) {
-    let mut stand_in = StandIn::start(READ).await;
+    let mut stand_in = StandIn::start(PREFILL_RESPONSE).await;
     let upstream = upstream(&[("server", 0, stand_in.address)]);
     let (mut idle, mut attempts, mut has_stale_reset) = (IdleConnections::default(), 0, false);
     for scenario in steps {
@@ -214,7 +225,7 @@
             None => {
                 let result = tokio::time::timeout(Duration::from_millis(20), attempt(&upstream)).await;
                 assert!(result.is_err(), "{scenario:?}");
-                stand_in.given_up.recv().await.unwrap();
+                stand_in.aborts.recv().await.unwrap();
             }
         }
         assert_eq!(stand_in.posts().len(), attempts, "every attempt reaches the server once: {scenario:?}");
@@ -242,11 +253,11 @@
 
 #[tokio::test]
 async fn connections_as_old_as_a_stale_one_are_not_reused() {
-    let stand_in = StandIn::start(READ).await;
+    let stand_in = StandIn::start(PREFILL_RESPONSE).await;
     let upstream = upstream(&[("server", 0, stand_in.address)]);
     let stay_idle = || tokio::time::sleep(Duration::from_millis(40));
     let mut outcomes = Vec::new();
-    for behavior in [READ, Does::Resets, READ, READ] {
+    for behavior in [PREFILL_RESPONSE, Behavior::Disconnects, PREFILL_RESPONSE, PREFILL_RESPONSE] {
         stand_in.next(behavior);
         outcomes.push(attempt(&upstream).await);
         stay_idle().await;
@@ -269,9 +280,9 @@
 /// connection would cost the server a handshake for each prefill, and servers accept few.
 #[tokio::test]
 async fn a_request_after_a_probe_reuses_the_connection_of_the_probe() {
-    let stand_in = StandIn::start(READ).await;
-    let upstream = upstream_that_settles(&[("server", 0, stand_in.address)], Duration::from_secs(5));
-    stand_in.next(Does::Says(200, false, "{\"inflight\":3,\"x0\":0.5}"));
+    let stand_in = StandIn::start(PREFILL_RESPONSE).await;
+    let upstream = upstream_with_settle_time(&[("server", 0, stand_in.address)], Duration::from_secs(5));
+    stand_in.next(Behavior::Responds(200, false, "{\"inflight\":3,\"x0\":0.5}"));
     let (outcome, load) = upstream.probe(&Id::from("server")).await;
     assert_eq!((outcome, load.and_then(|l| l.outstanding)), (Outcome::Served, Some(3.0)));
     assert_eq!(attempt(&upstream).await, Outcome::PrefillDone);
@@ -284,8 +295,8 @@
 #[tokio::test]
 async fn the_remaining_time_is_taken_when_the_head_is_written() {
     let wait = Duration::from_secs(8);
-    let shut = Shut::start().await;
-    let upstream = upstream_that_connects_within(&[("decode", 1, shut.address)], Duration::from_secs(7));
+    let shut = FullBacklogServer::start().await;
+    let upstream = upstream_with_connect_timeout(&[("decode", 1, shut.address)], Duration::from_secs(7));
     let started_at = Instant::now();
     let attempt = tokio::spawn(async move {
         let permit = SendPermit::unconditional();
@@ -308,8 +319,8 @@
 /// The measured round trip belongs to the address of a server, not to its name.
 #[tokio::test]
 async fn the_round_trip_to_a_server_is_measured_when_connecting() {
-    let (first, second) = (StandIn::start(READ).await, StandIn::start(READ).await);
-    let (upstream, addresses) = upstream_and_book(&[("server", 0, first.address)]);
+    let (first, second) = (StandIn::start(PREFILL_RESPONSE).await, StandIn::start(PREFILL_RESPONSE).await);
+    let (upstream, addresses) = upstream_and_addresses(&[("server", 0, first.address)]);
     let id = Id::from("server");
     assert_eq!(upstream.cancellation_delay(&id), Duration::ZERO, "no connection has opened");
     assert_eq!(attempt(&upstream).await, Outcome::PrefillDone);
@@ -325,8 +336,8 @@
 /// A server that returns at another address is reached there, even if a connection to the old one is idle.
 #[tokio::test]
 async fn an_idle_connection_is_not_reused_after_its_server_has_moved() {
-    let (first, second) = (StandIn::start(READ).await, StandIn::start(READ).await);
-    let (upstream, addresses) = upstream_and_book(&[("server", 0, first.address)]);
+    let (first, second) = (StandIn::start(PREFILL_RESPONSE).await, StandIn::start(PREFILL_RESPONSE).await);
+    let (upstream, addresses) = upstream_and_addresses(&[("server", 0, first.address)]);
     for _ in 0..2 {
         assert_eq!(attempt(&upstream).await, Outcome::PrefillDone);
     }
@@ -342,11 +353,11 @@
 /// A connection that breaks right after its last response lowers the idle limit of its own server only.
 #[tokio::test]
 async fn a_reset_soon_after_a_response_keeps_the_connections_of_other_servers() {
-    let (hasty, steady) = (StandIn::start(READ).await, StandIn::start(READ).await);
+    let (hasty, steady) = (StandIn::start(PREFILL_RESPONSE).await, StandIn::start(PREFILL_RESPONSE).await);
     let upstream = upstream(&[("hasty", 0, hasty.address), ("steady", 0, steady.address)]);
     assert_eq!(attempt_at(&upstream, "steady").await, Outcome::PrefillDone);
     assert_eq!(attempt_at(&upstream, "hasty").await, Outcome::PrefillDone);
-    hasty.next(Does::Resets);
+    hasty.next(Behavior::Disconnects);
     assert_eq!(attempt_at(&upstream, "hasty").await, Outcome::StaleConnection);
     for _ in 0..5 {
         sleep(Duration::from_millis(40)).await;
--- a/daemon/tests/crowds.rs
+++ b/daemon/tests/crowds.rs
@@ -20,7 +20,7 @@
 
 fn config(name: &str, discovery: &str, servers: &[(&str, &str, &StandIn)]) -> String {
     let servers: Vec<_> = servers.iter().map(|(uid, kind, at)| (*uid, *kind, at.address)).collect();
-    config_of(name, discovery, DESCRIPTOR_LIMIT, &servers, &setup())
+    config_json(name, discovery, DESCRIPTOR_LIMIT, &servers, &setup())
 }
 
 fn request(id: &str) -> String {
@@ -29,26 +29,27 @@
 
 /// Opens an idle client: one that sends nothing, one complete request, or a part of a request head.
 async fn idle_client(to: std::net::SocketAddr, n: usize) -> TcpStream {
-    let kept_request = kept(HEALTH_REQUEST);
+    let kept_request = keep_alive(HEALTH_REQUEST);
     send(to, ["", &kept_request, "POST /v1/ch"][n % 3]).await
 }
 
 #[tokio::test]
 async fn idle_clients_that_use_every_descriptor_do_not_block_others() {
-    let (mut prefill, mut decode) = (StandIn::start(READ).await, StandIn::start(WHOLE).await);
-    let agent = StandIn::start(Does::StallsAfter(&[EMPTY_MEMBER_LIST])).await;
+    let (mut prefill, mut decode) =
+        (StandIn::start(PREFILL_RESPONSE).await, StandIn::start(COMPLETE_STREAM).await);
+    let agent = StandIn::start(Behavior::StallsAfter(&[EMPTY_MEMBER_LIST])).await;
     // Discovery falls silent: the first watch brings nothing, and hanging requests are never answered.
-    (0..3).for_each(|_| agent.next(Does::Silent));
+    (0..3).for_each(|_| agent.next(Behavior::StaysSilent));
     let servers = [("p", "prefill", &prefill), ("d", "decode", &decode)];
     let config = config("n1", &agent.address.to_string(), &servers);
-    let running = Running::start(program_with(DESCRIPTOR_LIMIT, "crowds", &config));
+    let running = DaemonProcess::start(program_with_descriptor_limit(DESCRIPTOR_LIMIT, "crowds", &config));
     let mut idle_clients = Vec::new();
     for n in 0..3 * DESCRIPTOR_LIMIT {
         idle_clients.push(idle_client(running.listen, n).await);
     }
     // Attempts and new clients get descriptors, and releases are sent while other requests run.
     for round in 0..6 {
-        decode.next(Does::Says(500, false, ""));
+        decode.next(Behavior::Responds(500, false, ""));
         let book = chat(&format!("book-{round}"), "book", 7_000);
         let failed =
             timeout(TEST_TIMEOUT, exchange(running.listen, &book)).await.expect("no response in time");
@@ -64,8 +65,8 @@
         }
         let released = async {
             tokio::select! {
-                _ = prefill.released.recv() => {}
-                _ = decode.released.recv() => {}
+                _ = prefill.releases.recv() => {}
+                _ = decode.releases.recv() => {}
             }
         };
         timeout(TEST_TIMEOUT, released).await.expect("the KV cache of a failed attempt was not released");
@@ -74,7 +75,7 @@
         }
     }
     // The conductor hears from discovery in time once it is back, with the idle clients still connected.
-    while agent.got.lock().unwrap().len() < 4 {
+    while agent.requests.lock().unwrap().len() < 4 {
         sleep(Duration::from_millis(5)).await;
     }
     let reachable_since = Instant::now();
@@ -86,14 +87,15 @@
         sleep(Duration::from_millis(20)).await;
     }
     running.signal("-TERM");
-    running.ends_well().await;
+    running.expect_clean_exit().await;
 }
 
 /// Agents that refuse connections, hang or reset them: each process starts from its last known list.
 #[tokio::test]
 async fn processes_that_start_together_are_ready_in_time_whatever_discovery_does() {
-    let (prefill, decode) = (StandIn::start(READ).await, StandIn::start(WHOLE).await);
-    let (hangs, resets) = (StandIn::start(Does::Silent).await, StandIn::start(Does::Resets).await);
+    let (prefill, decode) = (StandIn::start(PREFILL_RESPONSE).await, StandIn::start(COMPLETE_STREAM).await);
+    let (hangs, resets) =
+        (StandIn::start(Behavior::StaysSilent).await, StandIn::start(Behavior::Disconnects).await);
     let agents = ["127.0.0.1:9".to_string(), hangs.address.to_string(), resets.address.to_string()];
     let begin = Instant::now();
     let mut starting = tokio::task::JoinSet::new();
@@ -101,7 +103,11 @@
         let servers = [("p", "prefill", &prefill), ("d", "decode", &decode)];
         let config = config(&format!("n{n}"), &agents[n % 3], &servers);
         starting.spawn_blocking(move || {
-            Running::start(program_with(DESCRIPTOR_LIMIT, &format!("together-{n}"), &config))
+            DaemonProcess::start(program_with_descriptor_limit(
+                DESCRIPTOR_LIMIT,
+                &format!("together-{n}"),
+                &config,
+            ))
         });
     }
     let mut all = Vec::new();
@@ -117,7 +123,7 @@
     assert!(begin.elapsed() < Duration::from_secs(10), "{:?}", begin.elapsed());
     for running in all {
         running.signal("-TERM");
-        running.ends_well().await;
+        running.expect_clean_exit().await;
     }
 }
 
@@ -125,7 +131,7 @@
 /// evicted connection may before its request has been read.
 async fn exchange_with_retry(to: std::net::SocketAddr, text: &str, is_received: impl Fn() -> bool) -> Answer {
     loop {
-        if let Some(answer) = answer_on(send(to, text).await).await {
+        if let Some(answer) = try_read_answer(send(to, text).await).await {
             return answer;
         }
         assert!(!is_received(), "a connection was closed without a response to a request that had been read");
@@ -136,18 +142,21 @@
 /// memory does not grow with the input.
 #[tokio::test]
 async fn floods_block_no_other_client_and_use_bounded_memory() {
-    let (prefill, decode) = (StandIn::start(READ).await, StandIn::start(WHOLE).await);
+    let (prefill, decode) = (StandIn::start(PREFILL_RESPONSE).await, StandIn::start(COMPLETE_STREAM).await);
     let servers = [("p", "prefill", &prefill), ("d", "decode", &decode)];
-    let running =
-        Running::start(program_with(DESCRIPTOR_LIMIT, "floods", &config("n1", "127.0.0.1:9", &servers)));
-    let before = running.memory_kb();
+    let running = DaemonProcess::start(program_with_descriptor_limit(
+        DESCRIPTOR_LIMIT,
+        "floods",
+        &config("n1", "127.0.0.1:9", &servers),
+    ));
+    let before = running.resident_kib();
     for round in 0..6 {
         let mut floods = Vec::new();
         for n in 0..12 {
             let (to, id) = (running.listen, format!("flood-{round}-{n}"));
             floods.push(tokio::spawn(async move {
                 let mut client = send(to, "").await;
-                let many = kept(&request(&id)).repeat(400);
+                let many = keep_alive(&request(&id)).repeat(400);
                 let text = if n % 2 == 0 { many } else { "x".repeat(1 << 20) };
                 let sent = tokio::io::AsyncWriteExt::write_all(&mut client, text.as_bytes());
                 let _ = timeout(Duration::from_millis(400), sent).await;
@@ -166,20 +175,24 @@
             flood.await.unwrap();
         }
     }
-    let after = running.memory_kb();
+    let after = running.resident_kib();
     assert!(after < before + (24 << 10), "{before} KiB before, {after} KiB after 40 MiB of floods");
     running.signal("-TERM");
-    running.ends_well().await;
+    running.expect_clean_exit().await;
 }
 
-/// Running responses hold every connection slot: further requests are refused in time. A request on
+/// DaemonProcess responses hold every connection slot: further requests are refused in time. A request on
 /// a connection that the kernel has accepted must get a response.
 #[tokio::test]
 async fn a_request_beyond_the_connection_limit_is_refused_in_time() {
-    let (prefill, decode) = (StandIn::start(READ).await, StandIn::start(Does::StreamsOn).await);
+    let (prefill, decode) =
+        (StandIn::start(PREFILL_RESPONSE).await, StandIn::start(Behavior::StreamsEndlessly).await);
     let servers = [("p", "prefill", &prefill), ("d", "decode", &decode)];
-    let running =
-        Running::start(program_with(DESCRIPTOR_LIMIT, "places", &config("n1", "127.0.0.1:9", &servers)));
+    let running = DaemonProcess::start(program_with_descriptor_limit(
+        DESCRIPTOR_LIMIT,
+        "places",
+        &config("n1", "127.0.0.1:9", &servers),
+    ));
     let mut streams = Vec::new();
     for n in 0..(DESCRIPTOR_LIMIT - 48) / 2 {
         let mut client = send(running.listen, &request(&format!("stream-{n}"))).await;
@@ -198,5 +211,5 @@
     );
     drop(streams);
     running.signal("-TERM");
-    running.ends_well().await;
+    running.expect_clean_exit().await;
 }
--- a/daemon/tests/discovery.rs
+++ b/daemon/tests/discovery.rs
@@ -56,11 +56,11 @@
 
 #[tokio::test]
 async fn a_watch_resumes_from_the_last_version() {
-    let agent = StandIn::start(Does::Silent).await;
+    let agent = StandIn::start(Behavior::StaysSilent).await;
     // The first watch delivers a change and ends, the second an invalid line, the third a list.
-    agent.next(Does::BreaksAfter(&[EMPTY_LINE, LEAVING_CHANGE, EMPTY_LINE]));
-    agent.next(Does::Streams(&[PARTIAL_LIST, "\n"]));
-    agent.next(Does::StallsAfter(&[FULL_LIST_PARTS.0, FULL_LIST_PARTS.1]));
+    agent.next(Behavior::BreaksAfter(&[EMPTY_LINE, LEAVING_CHANGE, EMPTY_LINE]));
+    agent.next(Behavior::Streams(&[PARTIAL_LIST, "\n"]));
+    agent.next(Behavior::StallsAfter(&[FULL_LIST_PARTS.0, FULL_LIST_PARTS.1]));
     let addresses = Arc::new(AddressTable::default());
     let (_config_sender, config) = watch::channel(discovery_config(agent.address));
     let mut discovery = PlatformDiscovery::new(
@@ -84,17 +84,18 @@
     let third = discovery.next().await.unwrap();
     assert_eq!((third.kind, third.entries.len()), (ListUpdateKind::Full, 0));
     let watch_line = |rev: u32| format!("GET /catalog/members?stream=1&index={rev} HTTP/1.1");
-    let lines: Vec<String> = agent.got.lock().unwrap().iter().map(|g| g.line.clone()).collect();
+    let lines: Vec<String> = agent.requests.lock().unwrap().iter().map(|g| g.line.clone()).collect();
     assert_eq!(lines, [watch_line(7), watch_line(8), watch_line(8)]);
 }
 
 #[tokio::test]
 async fn a_new_agent_address_is_used_at_once_with_a_full_list() {
-    let (mut old, new) = (StandIn::start(Does::Silent).await, StandIn::start(Does::Silent).await);
+    let (mut old, new) =
+        (StandIn::start(Behavior::StaysSilent).await, StandIn::start(Behavior::StaysSilent).await);
     // The new agent has its own versions; asked for changes since version 8, it might never respond.
-    new.next(Does::Says(200, false, "{\"rev\":2,\"all\":true,\"targets\":[]}"));
-    new.next(Does::StallsAfter(&[LEAVING_CHANGE]));
-    old.next(Does::StallsAfter(&[LEAVING_CHANGE]));
+    new.next(Behavior::Responds(200, false, "{\"rev\":2,\"all\":true,\"targets\":[]}"));
+    new.next(Behavior::StallsAfter(&[LEAVING_CHANGE]));
+    old.next(Behavior::StallsAfter(&[LEAVING_CHANGE]));
     let (config_sender, config) = watch::channel(discovery_config(old.address));
     let addresses = Arc::new(AddressTable::default());
     let mut discovery = PlatformDiscovery::new(
@@ -113,8 +114,8 @@
         kinds,
         [ListUpdateKind::StaleCopy, ListUpdateKind::Changes, ListUpdateKind::Full, ListUpdateKind::Changes]
     );
-    old.given_up.recv().await.unwrap();
-    let lines: Vec<String> = new.got.lock().unwrap().iter().map(|g| g.line.clone()).collect();
+    old.aborts.recv().await.unwrap();
+    let lines: Vec<String> = new.requests.lock().unwrap().iter().map(|g| g.line.clone()).collect();
     let paths = ["/catalog/members", "/catalog/members?stream=1&index=2"];
     assert_eq!(lines, paths.map(|path| format!("GET {path} HTTP/1.1")));
 }
@@ -124,16 +125,16 @@
 
 #[tokio::test]
 async fn indented_lists_are_read_from_a_full_list_and_from_a_watch() {
-    let agent = StandIn::start(Does::Silent).await;
-    agent.next(Does::StallsAfter(&[
+    let agent = StandIn::start(Behavior::StaysSilent).await;
+    agent.next(Behavior::StallsAfter(&[
         EMPTY_LINE,
         INDENTED_LIST_PARTS.0,
         INDENTED_LIST_PARTS.1,
         EMPTY_LINE,
         LEAVING_CHANGE,
     ]));
-    let new_agent = StandIn::start(Does::Silent).await;
-    new_agent.next(Does::Says(200, false, INDENTED_LIST));
+    let new_agent = StandIn::start(Behavior::StaysSilent).await;
+    new_agent.next(Behavior::Responds(200, false, INDENTED_LIST));
     let (config_sender, config) = watch::channel(discovery_config(agent.address));
     let (addresses, backoff) = (Arc::new(AddressTable::default()), Backoff::new(2, 7));
     let mut discovery = PlatformDiscovery::new(
@@ -153,7 +154,7 @@
     config_sender.send(discovery_config(new_agent.address)).unwrap();
     let full = timeout(LATEST, discovery.next()).await.expect("a list in time").unwrap();
     assert_eq!((full.kind, full.entries.len()), (ListUpdateKind::Full, 0));
-    assert_eq!(agent.posts().len() + agent.got.lock().unwrap().len(), 1, "one watch delivered all");
+    assert_eq!(agent.posts().len() + agent.requests.lock().unwrap().len(), 1, "one watch delivered all");
 }
 
 #[tokio::test]
@@ -161,9 +162,9 @@
     let mut watches = tokio::task::JoinSet::new();
     for seed in 0..8 {
         watches.spawn(async move {
-            let agent = StandIn::start(Does::Silent).await;
-            agent.next(Does::StallsAfter(&[EMPTY_LINE]));
-            agent.next(Does::StallsAfter(&[LEAVING_CHANGE]));
+            let agent = StandIn::start(Behavior::StaysSilent).await;
+            agent.next(Behavior::StallsAfter(&[EMPTY_LINE]));
+            agent.next(Behavior::StallsAfter(&[LEAVING_CHANGE]));
             let (_config_sender, config) = watch::channel(discovery_config(agent.address));
             // In a fleet of 300 the waits between calls are longest.
             let (addresses, backoff) = (Arc::new(AddressTable::default()), Backoff::new(300, seed));
@@ -209,9 +210,12 @@
     for seed in 0..8 {
         discoveries.spawn(async move {
             // The agent accepts the connection and sends nothing, or an incomplete head.
-            let agent = StandIn::start(Does::Silent).await;
-            agent.next([Does::Silent, Does::Raw("HTTP/1.1 200 OK\r\ncontent-")][seed as usize % 2].clone());
-            agent.next(Does::StallsAfter(&[LEAVING_CHANGE]));
+            let agent = StandIn::start(Behavior::StaysSilent).await;
+            agent.next(
+                [Behavior::StaysSilent, Behavior::SendsRaw("HTTP/1.1 200 OK\r\ncontent-")][seed as usize % 2]
+                    .clone(),
+            );
+            agent.next(Behavior::StallsAfter(&[LEAVING_CHANGE]));
             let (_config_sender, config) = watch::channel(discovery_config(agent.address));
             let mut discovery = discovery_past_known_list(config, seed).await;
             let started_at = std::time::Instant::now();
@@ -226,9 +230,9 @@
 
 #[tokio::test]
 async fn a_watch_with_an_unfinished_list_counts_as_silent() {
-    let agent = StandIn::start(Does::Silent).await;
-    agent.next(Does::Pulses("HTTP/1.1 200 OK\r\n\r\n{\"rev\":8,\"all\":false,\n"));
-    agent.next(Does::StallsAfter(&[LEAVING_CHANGE]));
+    let agent = StandIn::start(Behavior::StaysSilent).await;
+    agent.next(Behavior::SendsNewlines("HTTP/1.1 200 OK\r\n\r\n{\"rev\":8,\"all\":false,\n"));
+    agent.next(Behavior::StallsAfter(&[LEAVING_CHANGE]));
     let (_config_sender, config) = watch::channel(discovery_config(agent.address));
     let mut discovery = discovery_past_known_list(config, 5).await;
     let started_at = std::time::Instant::now();
@@ -244,26 +248,27 @@
 
 #[tokio::test]
 async fn an_invalid_list_entry_does_not_hide_the_others() {
-    let agent = StandIn::start(Does::StallsAfter(&[PARTLY_INVALID_CHANGE])).await;
+    let agent = StandIn::start(Behavior::StallsAfter(&[PARTLY_INVALID_CHANGE])).await;
     let (_config_sender, config) = watch::channel(discovery_config(agent.address));
     let mut discovery = discovery_past_known_list(config, 1).await;
     let update = timeout(LATEST, discovery.next()).await.expect("a change in time").unwrap();
     assert_eq!(server_health(&update), [("a", Health::Draining)]);
-    assert_eq!(agent.got.lock().unwrap().len(), 1, "the first watch delivered it");
+    assert_eq!(agent.requests.lock().unwrap().len(), 1, "the first watch delivered it");
 }
 
 /// Failures at the old agent must not delay the calls to the new one: after a reload by SIGHUP, the time
 /// for an update counts anew.
 #[tokio::test]
 async fn failures_at_one_agent_do_not_delay_the_call_to_the_next() {
-    let (old, new) = (StandIn::start(Does::Resets).await, StandIn::start(Does::Silent).await);
-    new.next(Does::Resets);
-    new.next(Does::Says(200, false, "{\"rev\":2,\"all\":true,\"targets\":[]}"));
+    let (old, new) =
+        (StandIn::start(Behavior::Disconnects).await, StandIn::start(Behavior::StaysSilent).await);
+    new.next(Behavior::Disconnects);
+    new.next(Behavior::Responds(200, false, "{\"rev\":2,\"all\":true,\"targets\":[]}"));
     let (config_sender, config) = watch::channel(discovery_config(old.address));
     let mut discovery = discovery_past_known_list(config, 3).await;
     let update = tokio::spawn(async move { discovery.next().await.unwrap().kind });
     // The waits have grown by then.
-    while old.got.lock().unwrap().len() < 3 {
+    while old.requests.lock().unwrap().len() < 3 {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     let started_at = std::time::Instant::now();
@@ -324,7 +329,7 @@
 
 #[tokio::test]
 async fn xds_clusters_and_endpoints_become_members() {
-    let server = StandIn::start(Does::Says(304, false, "")).await;
+    let server = StandIn::start(Behavior::Responds(304, false, "")).await;
     let inline = json!({"clusterName": "decode", "endpoints": [{"locality": {"zone": "z", "subZone": "r1"},
         "lbEndpoints": [{"endpoint": {"hostname": "w-1",
             "address": {"socketAddress": {"address": "127.0.0.1", "portValue": 21}}},
@@ -341,14 +346,14 @@
     };
     let two_healthy = assignment(json!([endpoint(11, json!("HEALTHY")), endpoint(12, json!(1))]));
     let draining = assignment(json!([endpoint(11, json!("DRAINING")), endpoint(12, json!("UNHEALTHY"))]));
-    server.next(Does::Says(200, false, resources("c1", clusters)));
-    server.next(Does::Says(200, false, resources("e1", two_healthy)));
+    server.next(Behavior::Responds(200, false, resources("c1", clusters)));
+    server.next(Behavior::Responds(200, false, resources("e1", two_healthy)));
     // First no change, then a failure, then a drain.
-    server.next(Does::Says(304, false, ""));
-    server.next(Does::Says(304, false, ""));
-    server.next(Does::Says(500, false, ""));
-    server.next(Does::Says(304, false, ""));
-    server.next(Does::Says(200, false, resources("e2", draining)));
+    server.next(Behavior::Responds(304, false, ""));
+    server.next(Behavior::Responds(304, false, ""));
+    server.next(Behavior::Responds(500, false, ""));
+    server.next(Behavior::Responds(304, false, ""));
+    server.next(Behavior::Responds(200, false, resources("e2", draining)));
     let config = XdsConfig { server: server.address, refresh: Duration::from_millis(1) };
     let addresses = Arc::new(AddressTable::default());
     let mut discovery =
@@ -376,19 +381,19 @@
 }
 
 fn unix_ms() -> u64 {
-    micros() / 1_000
+    unix_micros() / 1_000
 }
 
 /// The wall clock of this machine is an hour behind that of the fleet.
 #[tokio::test]
 async fn start_times_are_not_in_the_future_and_do_not_change() {
     let boot_ms = unix_ms() + 3_600_000;
-    let agent = StandIn::start(Does::Silent).await;
+    let agent = StandIn::start(Behavior::StaysSilent).await;
     let same_list = json!({"rev": 8, "all": true, "targets": [{"uid": "a", "endpoint": "127.0.0.1:9",
         "az": "z", "model": "decode", "pod_group": 3, "state": "active", "capacity_hint": 1.0,
         "boot_ms": boot_ms}]});
     let same_list: &'static str = Box::leak(format!("{same_list}\n").into_boxed_str());
-    agent.next(Does::StallsAfter(Box::leak(Box::new([same_list]))));
+    agent.next(Behavior::StallsAfter(Box::leak(Box::new([same_list]))));
     let (_config_sender, config) = watch::channel(discovery_config(agent.address));
     let (addresses, backoff, clock) = (Arc::new(AddressTable::default()), Backoff::new(2, 7), Clock::new());
     let known = known_listing("decode", boot_ms);
@@ -406,12 +411,12 @@
 #[tokio::test]
 async fn a_new_start_in_a_watch_counts_as_recent() {
     let boot_ms = unix_ms() - 3_600_000;
-    let agent = StandIn::start(Does::Silent).await;
+    let agent = StandIn::start(Behavior::StaysSilent).await;
     let restarted = json!({"rev": 8, "all": false, "targets": [{"uid": "a", "endpoint": "127.0.0.1:9",
         "az": "z", "model": "decode", "pod_group": 3, "state": "active", "capacity_hint": 1.0,
         "boot_ms": boot_ms}]});
     let restarted: &'static str = Box::leak(format!("{restarted}\n").into_boxed_str());
-    agent.next(Does::StallsAfter(Box::leak(Box::new([FULL_LIST, restarted]))));
+    agent.next(Behavior::StallsAfter(Box::leak(Box::new([FULL_LIST, restarted]))));
     let (_config_sender, config) = watch::channel(discovery_config(agent.address));
     let (addresses, backoff, clock) = (Arc::new(AddressTable::default()), Backoff::new(2, 7), Clock::new());
     let mut discovery =
@@ -429,8 +434,8 @@
 /// New configurations that name the same agent arrive faster than a list can be read.
 #[tokio::test]
 async fn a_configuration_with_the_same_agent_does_not_cancel_the_call() {
-    let agent = StandIn::start(Does::Silent).await;
-    agent.next(Does::Told);
+    let agent = StandIn::start(Behavior::StaysSilent).await;
+    agent.next(Behavior::SendsFromChannel);
     let (config_sender, config) = watch::channel(discovery_config(agent.address));
     let (addresses, backoff) = (Arc::new(AddressTable::default()), Backoff::new(2, 7));
     let mut discovery = PlatformDiscovery::new(
@@ -445,7 +450,7 @@
     assert_eq!(discovery.next().await.unwrap().kind, ListUpdateKind::StaleCopy);
     let head = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
     let chunk = format!("{:x}\r\n{FULL_LIST}\r\n", FULL_LIST.len());
-    let (told, config_sender) = (agent.told.clone(), Arc::new(config_sender));
+    let (told, config_sender) = (agent.output.clone(), Arc::new(config_sender));
     tokio::spawn(async move {
         let text = format!("{head}{chunk}");
         for part in text.as_bytes().chunks(8) {
--- a/daemon/tests/gone.rs
+++ b/daemon/tests/gone.rs
@@ -18,7 +18,7 @@
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn request(id: &str) -> String {
-    kept(&chat(id, "ask", 7_000))
+    keep_alive(&chat(id, "ask", 7_000))
 }
 
 /// Input before the disconnect: nothing, half a line, a whole request, many of them, more than is ever kept,
@@ -63,17 +63,18 @@
 #[tokio::test]
 async fn a_disconnect_while_no_server_is_known_starts_no_attempt() {
     for (name, unread) in unread_inputs() {
-        let (prefill, decode) = (StandIn::start(READ).await, StandIn::start(WHOLE).await);
-        let site = Open::before(&[("decode", 1, decode.address)], CLIENT_TIMEOUTS);
+        let (prefill, decode) =
+            (StandIn::start(PREFILL_RESPONSE).await, StandIn::start(COMPLETE_STREAM).await);
+        let site = TestConductor::start(&[("decode", 1, decode.address)], CLIENT_TIMEOUTS);
         let client = send(site.platform, &request("goes")).await;
         wait_until(|| site.conductor.call_count() == 1).await;
         let stays = tokio::spawn(async move { exchange(site.platform, &chat("stays", "ask", 7_000)).await });
         wait_until(|| site.conductor.call_count() == 2).await;
         disconnect(client, &unread).await;
         sleep(Duration::from_millis(100)).await;
-        site.book.set("prefill".into(), prefill.address);
+        site.addresses.set("prefill".into(), prefill.address);
         let entries = vec![entry("prefill", 0, Health::Up)];
-        site.news.send(MembershipUpdate { kind: ListUpdateKind::Changes, entries }).unwrap();
+        site.membership.send(MembershipUpdate { kind: ListUpdateKind::Changes, entries }).unwrap();
         assert_eq!(stays.await.unwrap().status, 200, "{name}: the client that stayed was not served");
         sleep(Duration::from_millis(50)).await;
         assert_eq!((attempt_count(&prefill), attempt_count(&decode)), (0, 0), "{name}");
@@ -87,13 +88,14 @@
     // Input larger than a socket's window can't arrive in one turn.
     for (name, unread) in unread_inputs().into_iter().filter(|(_, unread)| unread.len() < 32 << 10) {
         for has_connection in [false, true] {
-            let (prefill, decode) = (StandIn::start(READ).await, StandIn::start(WHOLE).await);
-            let site = Open::before(&[("decode", 1, decode.address)], CLIENT_TIMEOUTS);
+            let (prefill, decode) =
+                (StandIn::start(PREFILL_RESPONSE).await, StandIn::start(COMPLETE_STREAM).await);
+            let site = TestConductor::start(&[("decode", 1, decode.address)], CLIENT_TIMEOUTS);
             let set_health = |health| {
                 let entries = vec![entry("prefill", 0, health)];
-                site.news.send(MembershipUpdate { kind: ListUpdateKind::Changes, entries }).unwrap();
+                site.membership.send(MembershipUpdate { kind: ListUpdateKind::Changes, entries }).unwrap();
             };
-            site.book.set("prefill".into(), prefill.address);
+            site.addresses.set("prefill".into(), prefill.address);
             if has_connection {
                 // Leaves an idle connection to the server, so that an attempt could start at once.
                 set_health(Health::Up);
@@ -124,41 +126,47 @@
 #[tokio::test]
 async fn a_disconnect_during_prefill_or_decode_ends_the_attempt() {
     for (name, unread) in unread_inputs() {
-        for (reads, writes) in [(Does::Silent, WHOLE), (READ, Does::Silent), (READ, STARTS_A_STREAM)] {
+        for (reads, writes) in [
+            (Behavior::StaysSilent, COMPLETE_STREAM),
+            (PREFILL_RESPONSE, Behavior::StaysSilent),
+            (PREFILL_RESPONSE, STARTS_A_STREAM),
+        ] {
             let mut site = Site::start().await;
-            let silent = matches!(reads, Does::Silent);
-            site.reader.next(reads.clone());
-            site.writer.next(writes.clone());
+            let silent = matches!(reads, Behavior::StaysSilent);
+            site.prefill.next(reads.clone());
+            site.decode.next(writes.clone());
             let client = send(site.platform, &request("goes")).await;
-            let at = if silent { &mut site.reader } else { &mut site.writer };
+            let at = if silent { &mut site.prefill } else { &mut site.decode };
             wait_until(|| attempt_count(at) == 1).await;
             disconnect(client, &unread).await;
-            let gave_up = timeout(CANCEL_TIMEOUT, at.given_up.recv()).await;
+            let gave_up = timeout(CANCEL_TIMEOUT, at.aborts.recv()).await;
             assert!(gave_up.is_ok(), "{name}, {reads:?}, {writes:?}: the attempt was not cancelled");
             sleep(Duration::from_millis(50)).await;
             let expected = (1, usize::from(!silent));
-            assert_eq!((attempt_count(&site.reader), attempt_count(&site.writer)), expected, "{name}");
+            assert_eq!((attempt_count(&site.prefill), attempt_count(&site.decode)), expected, "{name}");
         }
     }
 }
 
-const STARTS_A_STREAM: Does = Does::StallsAfter(&[EVENT]);
+const STARTS_A_STREAM: Behavior = Behavior::StallsAfter(&[EVENT]);
 
 /// The KV cache is released, and nothing is sent once the connection is established after all.
 #[tokio::test]
 async fn a_disconnect_while_connecting_to_a_decode_server_releases_the_kv_cache() {
     for (name, unread) in unread_inputs() {
-        let mut prefill = StandIn::start(READ).await;
-        let shut = Shut::start().await;
-        let site =
-            Open::before(&[("prefill", 0, prefill.address), ("decode", 1, shut.address)], CLIENT_TIMEOUTS);
+        let mut prefill = StandIn::start(PREFILL_RESPONSE).await;
+        let shut = FullBacklogServer::start().await;
+        let site = TestConductor::start(
+            &[("prefill", 0, prefill.address), ("decode", 1, shut.address)],
+            CLIENT_TIMEOUTS,
+        );
         let client = send(site.platform, &request("goes")).await;
         wait_until(|| attempt_count(&prefill) == 1).await;
         sleep(Duration::from_millis(30)).await;
         disconnect(client, &unread).await;
-        let released = timeout(CANCEL_TIMEOUT, prefill.released.recv()).await;
+        let released = timeout(CANCEL_TIMEOUT, prefill.releases.recv()).await;
         assert!(released.is_ok(), "{name}: the KV cache was not released");
-        assert_eq!(shut.opened_and_sent().await, 0, "{name}: bytes were sent after the disconnect");
+        assert_eq!(shut.count_used_connections().await, 0, "{name}: bytes were sent after the disconnect");
     }
 }
 
@@ -202,5 +210,5 @@
         .collect();
     let answer = exchange(site.platform, &format!("{head}{chunks}0\r\n\r\n")).await;
     assert_eq!(answer.status, 200, "{answer:?}");
-    assert!(site.writer.posts()[0].body == body, "the body was changed on the way to the server");
+    assert!(site.decode.posts()[0].body == body, "the body was changed on the way to the server");
 }
--- a/daemon/tests/interleavings.rs
+++ b/daemon/tests/interleavings.rs
@@ -21,34 +21,36 @@
 const MAX_CONCURRENT_REQUESTS: usize = 6;
 
 /// Usually a success; otherwise any kind of refusal or failure.
-fn draw_prefill_behavior(rng: &mut SmallRng) -> Does {
+fn draw_prefill_behavior(rng: &mut SmallRng) -> Behavior {
     match rng.random_range(0..20) {
-        0 => Does::Says(503, true, ""),
-        1 => Does::Says(500, false, "{}"),
-        2 => Does::Resets,
-        3 => Does::Raw("\u{1}\u{2} of the sea\r\n\r\n"),
-        4 => Does::Says(504, true, ""),
-        _ => READ,
+        0 => Behavior::Responds(503, true, ""),
+        1 => Behavior::Responds(500, false, "{}"),
+        2 => Behavior::Disconnects,
+        3 => Behavior::SendsRaw("\u{1}\u{2} of the sea\r\n\r\n"),
+        4 => Behavior::Responds(504, true, ""),
+        _ => PREFILL_RESPONSE,
     }
 }
 
-fn draw_decode_behavior(rng: &mut SmallRng) -> Does {
+fn draw_decode_behavior(rng: &mut SmallRng) -> Behavior {
     match rng.random_range(0..20) {
-        0 | 1 => Does::Says(503, true, ""),
-        2 => Does::Says(410, true, "gone"),
-        3 => Does::Says(500, false, "{}"),
-        4 => Does::Resets,
-        5 => Does::BreaksAfter(&[EVENT]),
-        6 => Does::Streams(&[]),
-        7 => Does::Raw("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n10\r\nTable for two!\n\n\r\n"),
-        8 => Does::Ticks(10, 3),
-        _ => WHOLE,
+        0 | 1 => Behavior::Responds(503, true, ""),
+        2 => Behavior::Responds(410, true, "gone"),
+        3 => Behavior::Responds(500, false, "{}"),
+        4 => Behavior::Disconnects,
+        5 => Behavior::BreaksAfter(&[EVENT]),
+        6 => Behavior::Streams(&[]),
+        7 => Behavior::SendsRaw(
+            "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n10\r\nTable for two!\n\n\r\n",
+        ),
+        8 => Behavior::StreamsTimestamps(10, 3),
+        _ => COMPLETE_STREAM,
     }
 }
 
 /// Whether a response proves that the attempt never ran.
-fn has_never_run(does: &Does) -> bool {
-    matches!(does, Does::Says(503 | 504 | 410, true, _))
+fn has_never_run(does: &Behavior) -> bool {
+    matches!(does, Behavior::Responds(503 | 504 | 410, true, _))
 }
 
 /// How a client ends its connection; the first number is the delay in milliseconds.
@@ -80,7 +82,7 @@
     let mut stream = send(to, &text).await;
     match exit {
         ClientExit::WaitsForResponse => {
-            return Some(timeout(TEST_TIMEOUT, exchange_on(stream)).await.expect("no response in time"))
+            return Some(timeout(TEST_TIMEOUT, read_answer(stream)).await.expect("no response in time"))
         }
         ClientExit::Closes(after) => sleep(Duration::from_millis(after)).await,
         ClientExit::Resets(after) => {
@@ -104,15 +106,15 @@
 
 async fn run_seed(seed: u64) {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let prefill = [StandIn::start(READ).await, StandIn::start(READ).await];
-    let decode = [StandIn::start(WHOLE).await, StandIn::start(WHOLE).await];
+    let prefill = [StandIn::start(PREFILL_RESPONSE).await, StandIn::start(PREFILL_RESPONSE).await];
+    let decode = [StandIn::start(COMPLETE_STREAM).await, StandIn::start(COMPLETE_STREAM).await];
     let servers = [
         ("p0", 0, prefill[0].address),
         ("p1", 0, prefill[1].address),
         ("d0", 1, decode[0].address),
         ("d1", 1, decode[1].address),
     ];
-    let site = Open::before(&servers, CLIENT_TIMEOUTS);
+    let site = TestConductor::start(&servers, CLIENT_TIMEOUTS);
     let mut clients = JoinSet::new();
     let mut answers = BTreeMap::new();
     for n in 0..REQUEST_COUNT {
@@ -129,7 +131,7 @@
                     kind: ListUpdateKind::Changes,
                     entries: vec![entry(name, kind, health)],
                 };
-                site.news.send(news).unwrap();
+                site.membership.send(news).unwrap();
                 tokio::task::yield_now().await;
             }
         }
@@ -144,30 +146,33 @@
         .await
         .expect("KV caches were not released in time");
     sleep(Duration::from_millis(50)).await;
-    let all = |of: &[StandIn]| of.iter().flat_map(|s| s.did.lock().unwrap().clone()).collect::<Vec<Did>>();
+    let all = |of: &[StandIn]| {
+        of.iter().flat_map(|s| s.handled.lock().unwrap().clone()).collect::<Vec<HandledRequest>>()
+    };
     let (read, all_decode) = (all(&prefill), all(&decode));
     for (id, answer) in &answers {
-        let of = |did: &[Did]| {
-            let mut of: Vec<Did> = did.iter().filter(|d| d.id == *id).cloned().collect();
-            of.sort_by_key(|d| d.nth);
+        let of = |did: &[HandledRequest]| {
+            let mut of: Vec<HandledRequest> = did.iter().filter(|d| d.id == *id).cloned().collect();
+            of.sort_by_key(|d| d.sequence);
             of
         };
         let (prefill_records, decode_records) = (of(&read), of(&all_decode));
-        let attempts: Vec<&Did> = decode_records.iter().filter(|d| d.does.is_some()).collect();
-        let ran = attempts.iter().position(|d| !has_never_run(d.does.as_ref().unwrap()));
+        let attempts: Vec<&HandledRequest> = decode_records.iter().filter(|d| d.behavior.is_some()).collect();
+        let ran = attempts.iter().position(|d| !has_never_run(d.behavior.as_ref().unwrap()));
         let context =
             format!("seed {seed}, {id}: {answer:?}, read {prefill_records:?}, written {decode_records:?}");
         assert!(
             !id.starts_with("book") || ran.is_none_or(|nth| nth + 1 == attempts.len()),
             "retried after it may have run: {context}"
         );
-        let last_prefill = prefill_records.iter().rev().find(|d| matches!(d.does, Some(Does::Says(202, ..))));
+        let last_prefill =
+            prefill_records.iter().rev().find(|d| matches!(d.behavior, Some(Behavior::Responds(202, ..))));
         if let Some(last_prefill) = last_prefill {
-            let taken = attempts.iter().any(|d| d.nth > last_prefill.nth);
+            let taken = attempts.iter().any(|d| d.sequence > last_prefill.sequence);
             let released = prefill_records
                 .iter()
                 .chain(&decode_records)
-                .any(|d| d.does.is_none() && d.nth > last_prefill.nth);
+                .any(|d| d.behavior.is_none() && d.sequence > last_prefill.sequence);
             assert!(taken || released, "KV cache not released: {context}");
         }
         let Some(answer) = answer else { continue };
@@ -179,7 +184,7 @@
             other => panic!("{other}: {context}"),
         }
         // A stream is incomplete exactly if its server broke it.
-        let broke = attempts.last().is_some_and(|d| matches!(d.does, Some(Does::BreaksAfter(_))));
+        let broke = attempts.last().is_some_and(|d| matches!(d.behavior, Some(Behavior::BreaksAfter(_))));
         assert!(answer.status != 200 || answer.whole != broke, "{context}");
     }
     let served = answers.values().flatten().filter(|a| a.status == 200 && a.whole).count();
--- a/daemon/tests/servers.rs
+++ b/daemon/tests/servers.rs
@@ -22,21 +22,21 @@
 #[tokio::test]
 async fn a_failure_before_the_first_event_is_retried_only_if_the_class_allows_it() {
     let may_have_run = [
-        Does::Resets,
-        Does::Streams(&[]),
-        Does::BreaksAfter(&[PARTIAL_EVENT]),
-        Does::StallsAfter(&[PARTIAL_EVENT]),
-        Does::Raw("HTTP/1.1 200 OK\r\ncontent-"),
-        Does::RawOn("\u{7}"),
-        Does::Says(500, false, ""),
+        Behavior::Disconnects,
+        Behavior::Streams(&[]),
+        Behavior::BreaksAfter(&[PARTIAL_EVENT]),
+        Behavior::StallsAfter(&[PARTIAL_EVENT]),
+        Behavior::SendsRaw("HTTP/1.1 200 OK\r\ncontent-"),
+        Behavior::RepeatsLastByte("\u{7}"),
+        Behavior::Responds(500, false, ""),
     ];
     for behavior in may_have_run {
         for (class, status, attempts) in [("ask", 200, 2), ("book", 502, 1)] {
             let site = Site::start().await;
-            site.writer.next(behavior.clone());
+            site.decode.next(behavior.clone());
             let answer = exchange(site.platform, &request("t", class)).await;
             assert_eq!(
-                (answer.status, site.writer.posts().len()),
+                (answer.status, site.decode.posts().len()),
                 (status, attempts),
                 "{class}, {behavior:?}"
             );
@@ -45,10 +45,10 @@
     }
     for class in ["ask", "book"] {
         let site = Site::start().await;
-        site.writer.next(Does::Says(503, true, ""));
+        site.decode.next(Behavior::Responds(503, true, ""));
         let answer = exchange(site.platform, &request("t", class)).await;
         assert_eq!(
-            (answer.status, site.writer.posts().len()),
+            (answer.status, site.decode.posts().len()),
             (200, 2),
             "{class}: the rejected request never ran"
         );
@@ -60,13 +60,13 @@
 #[tokio::test]
 async fn a_stream_that_breaks_after_the_first_event_is_cut_and_not_retried() {
     for (behavior, max_duration) in [
-        (Does::BreaksAfter(&[EVENT]), Duration::from_secs(2)),
-        (Does::BreaksAfter(&[EVENT, PARTIAL_EVENT]), Duration::from_secs(2)),
-        (Does::StallsAfter(&[EVENT, PARTIAL_EVENT]), Duration::from_secs(5)),
+        (Behavior::BreaksAfter(&[EVENT]), Duration::from_secs(2)),
+        (Behavior::BreaksAfter(&[EVENT, PARTIAL_EVENT]), Duration::from_secs(2)),
+        (Behavior::StallsAfter(&[EVENT, PARTIAL_EVENT]), Duration::from_secs(5)),
     ] {
         for class in ["ask", "book"] {
             let site = Site::start().await;
-            site.writer.next(behavior.clone());
+            site.decode.next(behavior.clone());
             let started_at = Instant::now();
             let answer = timeout(LATEST, exchange(site.platform, &request("t", class)))
                 .await
@@ -82,7 +82,7 @@
                 started_at.elapsed()
             );
             assert_eq!(
-                (site.reader.posts().len(), site.writer.posts().len()),
+                (site.prefill.posts().len(), site.decode.posts().len()),
                 (1, 1),
                 "{class}, {behavior:?}"
             );
@@ -95,13 +95,13 @@
 async fn bytes_after_a_response_do_not_reach_the_next_request() {
     let site = Site::start().await;
     for n in 0..4 {
-        site.reader.next(Does::RawWhole(TWO_RESPONSES));
+        site.prefill.next(Behavior::SendsRawResponse(TWO_RESPONSES));
         for m in 0..2 {
             let answer = exchange(site.platform, &request(&format!("{n}-{m}"), "book")).await;
             assert_eq!((answer.status, answer.whole), (200, true), "{n}-{m}: {answer:?}");
         }
     }
-    assert_eq!((site.reader.posts().len(), site.writer.posts().len()), (8, 8), "each request was sent once");
+    assert_eq!((site.prefill.posts().len(), site.decode.posts().len()), (8, 8), "each request was sent once");
 }
 
 /// One server of each role accepts no connection. Requests go to the other, one attempt at a time, and
@@ -109,15 +109,16 @@
 #[tokio::test]
 async fn a_connection_that_opens_late_or_never_carries_no_request() {
     for class in ["ask", "book"] {
-        let (prefill, decode) = (StandIn::start(READ).await, StandIn::start(WHOLE).await);
-        let (no_prefill, no_decode) = (Shut::start().await, Shut::start().await);
+        let (prefill, decode) =
+            (StandIn::start(PREFILL_RESPONSE).await, StandIn::start(COMPLETE_STREAM).await);
+        let (no_prefill, no_decode) = (FullBacklogServer::start().await, FullBacklogServer::start().await);
         let servers = [
             ("p1", 0, no_prefill.address),
             ("p2", 0, prefill.address),
             ("d1", 1, no_decode.address),
             ("d2", 1, decode.address),
         ];
-        let site = Open::before(&servers, CLIENT_TIMEOUTS);
+        let site = TestConductor::start(&servers, CLIENT_TIMEOUTS);
         for n in 0..6 {
             let answer = exchange(site.platform, &request(&format!("{class}-{n}"), class)).await;
             assert_eq!((answer.status, answer.answers), (200, 1), "{class}-{n}");
@@ -125,7 +126,7 @@
         assert_eq!(decode.posts().len(), 6, "{class}: each request ran once");
         // Cancelled connections are closed, and no server keeps a KV cache.
         site.conductor.wait_for_releases().await;
-        let sent = tokio::join!(no_prefill.opened_and_sent(), no_decode.opened_and_sent());
+        let sent = tokio::join!(no_prefill.count_used_connections(), no_decode.count_used_connections());
         assert_eq!(sent, (0, 0), "{class}: nothing is sent on a late connection");
         sleep(Duration::from_millis(20)).await;
         assert_eq!((prefill.posts().len(), decode.posts().len()), (6, 6), "{class}");
@@ -135,7 +136,7 @@
 /// No server is known. A request of each class is rejected in time with a response that says when to retry.
 #[tokio::test]
 async fn a_request_without_any_server_is_rejected_in_time() {
-    let site = Open::before(&[], CLIENT_TIMEOUTS);
+    let site = TestConductor::start(&[], CLIENT_TIMEOUTS);
     for class in ["ask", "book"] {
         let request_text = chat(&format!("never-{class}"), class, 900);
         let started_at = Instant::now();
--- a/daemon/tests/slow_start.rs
+++ b/daemon/tests/slow_start.rs
@@ -39,10 +39,10 @@
 async fn processes_that_list_a_new_server_together_do_not_overload_it() {
     let (mut prefill, mut decode) = (Vec::new(), Vec::new());
     for _ in 0..WARM_SERVERS {
-        prefill.push(StandIn::start(READ).await);
-        decode.push(StandIn::start(WHOLE).await);
+        prefill.push(StandIn::start(PREFILL_RESPONSE).await);
+        decode.push(StandIn::start(COMPLETE_STREAM).await);
     }
-    let new_server = StandIn::start(WHOLE).await;
+    let new_server = StandIn::start(COMPLETE_STREAM).await;
     let target = |uid: String, model: &str, stand_in: &StandIn, boot_ms: u64| {
         json!({"uid": uid, "endpoint": stand_in.address, "az": "z", "model": model, "pod_group": 0,
             "state": "active", "capacity_hint": 1.0, "boot_ms": boot_ms})
@@ -54,21 +54,21 @@
     }
     // The first watches deliver nothing and time out after 3 s. Those that follow list the new server.
     let started_at = Instant::now();
-    let boot_ms = micros() / 1_000 + 3_000;
+    let boot_ms = unix_micros() / 1_000 + 3_000;
     let update =
         json!({"rev": 2, "all": false, "targets": [target("new".into(), "decode", &new_server, boot_ms)]});
     let update: &'static [&'static str] =
         Box::leak(Box::new([&*Box::leak(format!("{update}\n").into_boxed_str())]));
     let (mut agents, mut running) = (Vec::new(), Vec::new());
     for n in 0..PROCESSES {
-        let agent = StandIn::start(Does::StallsAfter(update)).await;
-        agent.next(Does::StallsAfter(&["\n"]));
+        let agent = StandIn::start(Behavior::StallsAfter(update)).await;
+        agent.next(Behavior::StallsAfter(&["\n"]));
         let mut settings = setup();
         settings["balancers"] = json!(PROCESSES);
         let config = json!({"name": format!("n{n}"), "listen": "127.0.0.1:0", "discovery": agent.address,
             "seed": format!("{n}c1f30d27a5be964"), "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 512},
             "known": {"rev": 1, "all": true, "targets": targets}, "settings": settings});
-        running.push(Running::start(program(&format!("slow-start-{n}"), &config.to_string())));
+        running.push(DaemonProcess::start(program(&format!("slow-start-{n}"), &config.to_string())));
         agents.push(agent);
     }
     // The first process gets as many requests as the others together.
@@ -104,6 +104,6 @@
     );
     for process in running {
         process.signal("-TERM");
-        process.ends_well().await;
+        process.expect_clean_exit().await;
     }
 }
--- a/daemon/tests/support/mod.rs
+++ b/daemon/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! What the socket tests share: stand-in servers, clients and a conductor between them, all on loopback.
+//! Shared fixtures of the socket tests: stand-in servers, clients and a conductor between them, all on
+//! loopback.
 #![allow(dead_code)]
 
 pub mod operations;
@@ -27,114 +28,132 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
+/// An event of a chat completion stream.
 pub const EVENT: &str =
     "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"Table \"},\"finish_reason\":null}]}\n\n";
+/// The event that ends the content, with its finish reason.
 pub const LAST: &str =
     "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"booked\"},\"finish_reason\":\"stop\"}]}\n\n";
+/// The event that reports the token usage.
 pub const USAGE: &str =
     "data: {\"choices\":[],\"usage\":{\"prompt_tokens\":12,\"completion_tokens\":2,\"total_tokens\":14}}\n\n";
+/// The event that ends the stream.
 pub const DONE: &str = "data: [DONE]\n\n";
 
 /// What a stand-in server does with the next request.
 #[derive(Clone, Debug)]
-pub enum Does {
-    /// Answers with this status, marked as turned away or not, and a body.
-    Says(u16, bool, &'static str),
-    /// Streams these events and the last chunk.
+pub enum Behavior {
+    /// Responds with this status, with the `x-turned-away` header or without it, and this body.
+    Responds(u16, bool, &'static str),
+    /// Streams these events and the final chunk.
     Streams(&'static [&'static str]),
-    /// Streams these events, then ends the connection without the last chunk.
+    /// Streams these events, then closes the connection without the final chunk.
     BreaksAfter(&'static [&'static str]),
-    /// Streams these events, then says nothing more until the other side has closed.
+    /// Streams these events, then sends nothing more until the peer closes.
     StallsAfter(&'static [&'static str]),
-    /// Sends these bytes, whatever they are, then says nothing more until the other side has closed.
-    Raw(&'static str),
-    /// Sends these bytes, and then the last of them again and again.
-    RawOn(&'static str),
-    /// Sends these bytes, and then an empty line every 100 ms.
-    Pulses(&'static str),
-    /// Sends these bytes, which hold a whole answer, and goes on to the next request.
-    RawWhole(&'static str),
-    /// Streams so many events, one every so many milliseconds, whose content is the time since the epoch in
-    /// microseconds.
-    Ticks(usize, u64),
-    /// Sends the bytes that the test tells it, as it tells them.
-    Told,
-    /// Streams without end.
-    StreamsOn,
-    /// Ends the connection once it has all of the request.
-    Resets,
-    /// Says nothing until the other side has closed.
-    Silent,
-}
-
-/// How long clients may take.
+    /// Sends these bytes unchecked, then nothing more until the peer closes.
+    SendsRaw(&'static str),
+    /// Sends these bytes, then repeats the last of them until a write fails.
+    RepeatsLastByte(&'static str),
+    /// Sends these bytes, then a newline every 100 ms.
+    SendsNewlines(&'static str),
+    /// Sends these bytes, which hold a complete response, and goes on to the next request.
+    SendsRawResponse(&'static str),
+    /// Streams this many events at this interval in milliseconds. Each holds the microseconds since the Unix
+    /// epoch.
+    StreamsTimestamps(usize, u64),
+    /// Sends the bytes that the test passes through `StandIn::output`, as they come.
+    SendsFromChannel,
+    /// Streams events until a write fails.
+    StreamsEndlessly,
+    /// Closes the connection after it has read the whole request.
+    Disconnects,
+    /// Sends nothing until the peer closes.
+    StaysSilent,
+}
+
+/// The timeouts that the fronts allow clients in these tests.
 pub const CLIENT_TIMEOUTS: ClientTimeouts = ClientTimeouts {
     request_arrival: Duration::from_millis(300),
     idle: Duration::from_secs(60),
     write: Duration::from_millis(200),
 };
 
-pub const READ: Does = Does::Says(202, false, "{\"cached_tokens\":0}");
-pub const WHOLE: Does = Does::Streams(&[EVENT, LAST, USAGE, DONE]);
+/// A prefill server's response to a prefill that succeeded.
+pub const PREFILL_RESPONSE: Behavior = Behavior::Responds(202, false, "{\"cached_tokens\":0}");
+/// A decode server's complete response.
+pub const COMPLETE_STREAM: Behavior = Behavior::Streams(&[EVENT, LAST, USAGE, DONE]);
 
-/// A request as a server got it.
+/// A request as a stand-in server received it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Got {
+pub struct ReceivedRequest {
     pub line: String,
     pub head: String,
     pub body: String,
 }
 
-/// What a server did with a request, or `None` for a release, in the order in which all servers of a test got
-/// them.
+/// How a stand-in server handled a request. `sequence` orders the requests of all servers of a test, and
+/// `behavior` is `None` for a release.
 #[derive(Clone, Debug)]
-pub struct Did {
-    pub nth: u64,
+pub struct HandledRequest {
+    pub sequence: u64,
     pub id: String,
-    pub does: Option<Does>,
+    pub behavior: Option<Behavior>,
 }
 
-static NTH: AtomicU64 = AtomicU64::new(0);
+static NEXT_SEQUENCE: AtomicU64 = AtomicU64::new(0);
 
-/// A server whose answers are told beforehand; past them it repeats its usual one.
+/// A server that follows a script: each request takes the next behavior in it, or the default one once the
+/// script is empty.
 pub struct StandIn {
     pub address: SocketAddr,
-    pub got: Arc<Mutex<Vec<Got>>>,
-    pub did: Arc<Mutex<Vec<Did>>>,
+    pub requests: Arc<Mutex<Vec<ReceivedRequest>>>,
+    pub handled: Arc<Mutex<Vec<HandledRequest>>>,
+    /// The number of connections accepted so far.
     pub accepted: Arc<Mutex<u32>>,
-    script: Arc<Mutex<VecDeque<Does>>>,
-    /// One message for each connection that the conductor closed in the midst of an answer.
-    pub given_up: mpsc::UnboundedReceiver<()>,
-    /// One message for each state that was let go of.
-    pub released: mpsc::UnboundedReceiver<()>,
-    /// What it sends where it does as it is told.
-    pub told: mpsc::UnboundedSender<String>,
+    script: Arc<Mutex<VecDeque<Behavior>>>,
+    /// One message for each connection that the conductor closed before the response was complete.
+    pub aborts: mpsc::UnboundedReceiver<()>,
+    /// One message for each release of a KV cache.
+    pub releases: mpsc::UnboundedReceiver<()>,
+    /// The bytes that `Behavior::SendsFromChannel` sends.
+    pub output: mpsc::UnboundedSender<String>,
     closing: Arc<Mutex<CancellationToken>>,
     connections: TaskTracker,
     accepting: Option<JoinHandle<()>>,
 }
 
 impl StandIn {
-    pub async fn start(usual: Does) -> Self {
+    /// Starts a server that has this default behavior and an empty script.
+    pub async fn start(default_behavior: Behavior) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
-        let (gave_up, given_up) = mpsc::unbounded_channel();
-        let (release, released) = mpsc::unbounded_channel();
-        let (told, as_told) = mpsc::unbounded_channel();
-        let (got, accepted, script) = <(Arc<Mutex<Vec<Got>>>, Arc<Mutex<u32>>, Arc<_>)>::default();
+        let (abort_sender, aborts) = mpsc::unbounded_channel();
+        let (release_sender, releases) = mpsc::unbounded_channel();
+        let (output, output_receiver) = mpsc::unbounded_channel();
+        let (requests, accepted, script) =
+            <(Arc<Mutex<Vec<ReceivedRequest>>>, Arc<Mutex<u32>>, Arc<_>)>::default();
         let (closing, connections) = (Arc::new(Mutex::new(CancellationToken::new())), TaskTracker::new());
-        let as_told = Arc::new(tokio::sync::Mutex::new(as_told));
-        let did = Arc::default();
-        let shared = Shared { usual, got, did, script, gave_up, release, told: as_told };
+        let output_receiver = Arc::new(tokio::sync::Mutex::new(output_receiver));
+        let handled = Arc::default();
+        let shared = Shared {
+            default_behavior,
+            requests,
+            handled,
+            script,
+            abort_sender,
+            release_sender,
+            output_receiver,
+        };
         let mut stand_in = StandIn {
             address,
-            got: shared.got.clone(),
-            did: shared.did.clone(),
+            requests: shared.requests.clone(),
+            handled: shared.handled.clone(),
             accepted: accepted.clone(),
             script: shared.script.clone(),
-            given_up,
-            released,
-            told,
+            aborts,
+            releases,
+            output,
             closing: closing.clone(),
             connections: connections.clone(),
             accepting: None,
@@ -155,18 +174,19 @@
         stand_in
     }
 
-    pub fn next(&self, does: Does) {
-        self.script.lock().unwrap().push_back(does);
+    /// Appends a behavior to the script.
+    pub fn next(&self, behavior: Behavior) {
+        self.script.lock().unwrap().push_back(behavior);
     }
 
-    /// Ends the listening: further connections are refused.
+    /// Stops listening, so that further connections are refused.
     pub async fn refuse_all(&mut self) {
         let accepting = self.accepting.take().unwrap();
         accepting.abort();
         let _ = accepting.await;
     }
 
-    /// Closes every connection there is.
+    /// Closes all open connections.
     pub async fn close_all(&self) {
         std::mem::take(&mut *self.closing.lock().unwrap()).cancel();
         self.connections.close();
@@ -174,224 +194,241 @@
         self.connections.reopen();
     }
 
-    /// Requests, releases not counted.
-    pub fn posts(&self) -> Vec<Got> {
-        self.got.lock().unwrap().iter().filter(|g| g.line.starts_with("POST")).cloned().collect()
+    /// All requests so far except releases.
+    pub fn posts(&self) -> Vec<ReceivedRequest> {
+        self.requests
+            .lock()
+            .unwrap()
+            .iter()
+            .filter(|request| request.line.starts_with("POST"))
+            .cloned()
+            .collect()
     }
 }
 
+/// What the connections of a stand-in server share.
 #[derive(Clone)]
 struct Shared {
-    usual: Does,
-    got: Arc<Mutex<Vec<Got>>>,
-    did: Arc<Mutex<Vec<Did>>>,
-    script: Arc<Mutex<VecDeque<Does>>>,
-    gave_up: mpsc::UnboundedSender<()>,
-    release: mpsc::UnboundedSender<()>,
-    told: Arc<tokio::sync::Mutex<mpsc::UnboundedReceiver<String>>>,
+    default_behavior: Behavior,
+    requests: Arc<Mutex<Vec<ReceivedRequest>>>,
+    handled: Arc<Mutex<Vec<HandledRequest>>>,
+    script: Arc<Mutex<VecDeque<Behavior>>>,
+    abort_sender: mpsc::UnboundedSender<()>,
+    release_sender: mpsc::UnboundedSender<()>,
+    output_receiver: Arc<tokio::sync::Mutex<mpsc::UnboundedReceiver<String>>>,
 }
 
 impl Shared {
-    fn note(&self, id: &str, does: Option<&Does>) {
-        let nth = NTH.fetch_add(1, Ordering::Relaxed);
-        self.did.lock().unwrap().push(Did { nth, id: id.into(), does: does.cloned() });
+    fn record(&self, id: &str, behavior: Option<&Behavior>) {
+        let sequence = NEXT_SEQUENCE.fetch_add(1, Ordering::Relaxed);
+        self.handled.lock().unwrap().push(HandledRequest {
+            sequence,
+            id: id.into(),
+            behavior: behavior.cloned(),
+        });
     }
 
     async fn serve(&self, mut stream: TcpStream) -> std::io::Result<()> {
-        let mut held = Vec::new();
-        while let Some(got) = request(&mut stream, &mut held).await? {
-            let deletes = got
+        let mut buffer = Vec::new();
+        while let Some(request) = read_request(&mut stream, &mut buffer).await? {
+            let released_id = request
                 .line
                 .strip_prefix("DELETE /state/")
                 .map(|rest| rest.split(' ').next().unwrap().to_string());
-            let id = got
+            let id = request
                 .head
                 .lines()
                 .find_map(|line| line.strip_prefix("x-txn: "))
                 .unwrap_or_default()
                 .to_string();
-            self.got.lock().unwrap().push(got);
-            if let Some(id) = deletes {
-                self.note(&id, None);
-                let _ = self.release.send(());
+            self.requests.lock().unwrap().push(request);
+            if let Some(id) = released_id {
+                self.record(&id, None);
+                let _ = self.release_sender.send(());
                 stream.write_all(b"HTTP/1.1 204 No Content\r\n\r\n").await?;
                 continue;
             }
-            let does = self.script.lock().unwrap().pop_front().unwrap_or_else(|| self.usual.clone());
-            self.note(&id, Some(&does));
-            match does {
-                Does::Says(status, turned_away, body) => {
-                    let mark = if turned_away { "x-turned-away: 1\r\n" } else { "" };
+            let behavior =
+                self.script.lock().unwrap().pop_front().unwrap_or_else(|| self.default_behavior.clone());
+            self.record(&id, Some(&behavior));
+            match behavior {
+                Behavior::Responds(status, turned_away, body) => {
+                    let header = if turned_away { "x-turned-away: 1\r\n" } else { "" };
                     let length = body.len();
-                    let text = format!("HTTP/1.1 {status} -\r\n{mark}content-length: {length}\r\n\r\n{body}");
-                    stream.write_all(text.as_bytes()).await?;
+                    let response =
+                        format!("HTTP/1.1 {status} -\r\n{header}content-length: {length}\r\n\r\n{body}");
+                    stream.write_all(response.as_bytes()).await?;
                 }
-                Does::Streams(events) => {
-                    chunks(&mut stream, events).await?;
+                Behavior::Streams(events) => {
+                    send_chunked(&mut stream, events).await?;
                     stream.write_all(b"0\r\n\r\n").await?;
                 }
-                Does::BreaksAfter(events) => return chunks(&mut stream, events).await,
-                Does::StallsAfter(events) => {
-                    chunks(&mut stream, events).await?;
-                    return self.until_closed(stream).await;
+                Behavior::BreaksAfter(events) => return send_chunked(&mut stream, events).await,
+                Behavior::StallsAfter(events) => {
+                    send_chunked(&mut stream, events).await?;
+                    return self.wait_for_close(stream).await;
                 }
-                Does::Raw(bytes) => {
+                Behavior::SendsRaw(bytes) => {
                     stream.write_all(bytes.as_bytes()).await?;
-                    return self.until_closed(stream).await;
+                    return self.wait_for_close(stream).await;
                 }
-                Does::RawOn(bytes) => {
+                Behavior::RepeatsLastByte(bytes) => {
                     stream.write_all(bytes.as_bytes()).await?;
-                    let again = bytes[bytes.len() - 1..].repeat(4096);
-                    while stream.write_all(again.as_bytes()).await.is_ok() {}
-                    let _ = self.gave_up.send(());
+                    let repeated = bytes[bytes.len() - 1..].repeat(4096);
+                    while stream.write_all(repeated.as_bytes()).await.is_ok() {}
+                    let _ = self.abort_sender.send(());
                     return Ok(());
                 }
-                Does::Pulses(bytes) => {
+                Behavior::SendsNewlines(bytes) => {
                     stream.write_all(bytes.as_bytes()).await?;
                     while stream.write_all(b"\n").await.is_ok() {
                         tokio::time::sleep(Duration::from_millis(100)).await;
                     }
-                    let _ = self.gave_up.send(());
+                    let _ = self.abort_sender.send(());
                     return Ok(());
                 }
-                Does::RawWhole(bytes) => stream.write_all(bytes.as_bytes()).await?,
-                Does::Ticks(events, every) => {
-                    chunks(&mut stream, &[]).await?;
+                Behavior::SendsRawResponse(bytes) => stream.write_all(bytes.as_bytes()).await?,
+                Behavior::StreamsTimestamps(events, interval_ms) => {
+                    send_chunked(&mut stream, &[]).await?;
                     for _ in 0..events {
-                        chunk(&mut stream, &format!("data: {{\"at\":{}}}\n\n", micros())).await?;
-                        tokio::time::sleep(Duration::from_millis(every)).await;
+                        send_chunk(&mut stream, &format!("data: {{\"at\":{}}}\n\n", unix_micros())).await?;
+                        tokio::time::sleep(Duration::from_millis(interval_ms)).await;
                     }
-                    chunk(&mut stream, DONE).await?;
+                    send_chunk(&mut stream, DONE).await?;
                     stream.write_all(b"0\r\n\r\n").await?;
                 }
-                Does::Told => {
-                    let mut told = self.told.lock().await;
-                    while let Some(bytes) = told.recv().await {
+                Behavior::SendsFromChannel => {
+                    let mut output = self.output_receiver.lock().await;
+                    while let Some(bytes) = output.recv().await {
                         stream.write_all(bytes.as_bytes()).await?;
                     }
                 }
-                Does::StreamsOn => {
-                    chunks(&mut stream, &[]).await?;
-                    while chunk(&mut stream, EVENT).await.is_ok() {}
-                    let _ = self.gave_up.send(());
+                Behavior::StreamsEndlessly => {
+                    send_chunked(&mut stream, &[]).await?;
+                    while send_chunk(&mut stream, EVENT).await.is_ok() {}
+                    let _ = self.abort_sender.send(());
                     return Ok(());
                 }
-                Does::Resets => return Ok(()),
-                Does::Silent => return self.until_closed(stream).await,
+                Behavior::Disconnects => return Ok(()),
+                Behavior::StaysSilent => return self.wait_for_close(stream).await,
             }
         }
         Ok(())
     }
 
-    async fn until_closed(&self, mut stream: TcpStream) -> std::io::Result<()> {
+    async fn wait_for_close(&self, mut stream: TcpStream) -> std::io::Result<()> {
         let mut byte = [0];
         let _ = stream.read(&mut byte).await;
-        let _ = self.gave_up.send(());
+        let _ = self.abort_sender.send(());
         Ok(())
     }
 }
 
-/// A server that takes no connection: those that fill the kernel's queue are in front.
-pub struct Shut {
+/// A server that accepts no connection, because its backlog in the kernel is full.
+pub struct FullBacklogServer {
     pub address: SocketAddr,
     listener: TcpListener,
-    in_front: Vec<TcpStream>,
+    queued: Vec<TcpStream>,
 }
 
-impl Shut {
+impl FullBacklogServer {
     pub async fn start() -> Self {
         let socket = tokio::net::TcpSocket::new_v4().unwrap();
-        socket.bind(any()).unwrap();
+        socket.bind(any_port()).unwrap();
         let listener = socket.listen(1).unwrap();
-        let (address, mut in_front) = (listener.local_addr().unwrap(), Vec::new());
+        let (address, mut queued) = (listener.local_addr().unwrap(), Vec::new());
         while let Ok(stream) =
             tokio::time::timeout(Duration::from_millis(100), TcpStream::connect(address)).await
         {
-            in_front.push(stream.unwrap());
+            queued.push(stream.unwrap());
         }
-        Shut { address, listener, in_front }
+        FullBacklogServer { address, listener, queued }
     }
 
-    /// The head of the first request that comes once there is room, and when it came.
+    /// Empties the backlog; returns the head of the first request that arrives then, and its time.
     pub async fn first_request(self) -> (String, Instant) {
-        let Shut { listener, in_front, .. } = self;
-        drop(in_front);
+        let FullBacklogServer { listener, queued, .. } = self;
+        drop(queued);
         loop {
-            let (mut stream, mut held) = (listener.accept().await.unwrap().0, Vec::new());
-            if let Ok(Some(got)) = request(&mut stream, &mut held).await {
-                return (got.head, Instant::now());
+            let (mut stream, mut buffer) = (listener.accept().await.unwrap().0, Vec::new());
+            if let Ok(Some(request)) = read_request(&mut stream, &mut buffer).await {
+                return (request.head, Instant::now());
             }
         }
     }
 
-    /// Takes every connection that comes up within the time in which one is tried anew, and counts those on
-    /// which something was sent.
-    pub async fn opened_and_sent(self) -> usize {
-        let Shut { listener, in_front, .. } = self;
-        let queued = in_front.len();
-        drop(in_front);
-        let (mut taken, mut sent) = (0, 0);
+    /// Empties the backlog and accepts every connection that follows within the time of a SYN retransmission;
+    /// counts those on which something was sent.
+    pub async fn count_used_connections(self) -> usize {
+        let FullBacklogServer { listener, queued, .. } = self;
+        let queued_count = queued.len();
+        drop(queued);
+        let (mut accepted_count, mut used_count) = (0, 0);
         while let Ok(accepted) = tokio::time::timeout(Duration::from_millis(1_500), listener.accept()).await {
             let (mut stream, mut byte) = (accepted.unwrap().0, [0]);
-            taken += 1;
+            accepted_count += 1;
             let read = tokio::time::timeout(Duration::from_millis(50), stream.read(&mut byte)).await;
-            sent += usize::from(matches!(read, Ok(Ok(1))));
+            used_count += usize::from(matches!(read, Ok(Ok(1))));
         }
-        assert!(taken >= queued, "those in front");
-        sent
+        assert!(accepted_count >= queued_count, "the connections that filled the backlog were not accepted");
+        used_count
     }
 }
 
-async fn chunks(stream: &mut TcpStream, events: &[&str]) -> std::io::Result<()> {
+/// Sends the head of a chunked response and these events.
+async fn send_chunked(stream: &mut TcpStream, events: &[&str]) -> std::io::Result<()> {
     let head = "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n";
     stream.write_all(head.as_bytes()).await?;
     for event in events {
-        chunk(stream, event).await?;
+        send_chunk(stream, event).await?;
     }
     Ok(())
 }
 
-async fn chunk(stream: &mut TcpStream, event: &str) -> std::io::Result<()> {
+async fn send_chunk(stream: &mut TcpStream, event: &str) -> std::io::Result<()> {
     stream.write_all(format!("{:x}\r\n{event}\r\n", event.len()).as_bytes()).await
 }
 
-/// Reads one request; `None` at the connection's end.
-async fn request(stream: &mut TcpStream, held: &mut Vec<u8>) -> std::io::Result<Option<Got>> {
+/// Reads one request; returns `None` at the end of the connection.
+async fn read_request(
+    stream: &mut TcpStream,
+    buffer: &mut Vec<u8>,
+) -> std::io::Result<Option<ReceivedRequest>> {
     loop {
-        if let Some(end) = held.windows(4).position(|w| w == b"\r\n\r\n") {
-            let head = String::from_utf8_lossy(&held[..end]).into_owned();
+        if let Some(end) = buffer.windows(4).position(|w| w == b"\r\n\r\n") {
+            let head = String::from_utf8_lossy(&buffer[..end]).into_owned();
             let length =
                 head.lines().find_map(|l| l.strip_prefix("content-length: ")?.parse().ok()).unwrap_or(0);
-            if held.len() >= end + 4 + length {
-                let rest = held.split_off(end + 4 + length);
-                let body = String::from_utf8_lossy(&held[end + 4..]).into_owned();
-                *held = rest;
+            if buffer.len() >= end + 4 + length {
+                let rest = buffer.split_off(end + 4 + length);
+                let body = String::from_utf8_lossy(&buffer[end + 4..]).into_owned();
+                *buffer = rest;
                 let (line, head) = head.split_once("\r\n").unwrap_or((&head, ""));
-                return Ok(Some(Got { line: line.into(), head: head.into(), body }));
+                return Ok(Some(ReceivedRequest { line: line.into(), head: head.into(), body }));
             }
         }
-        if stream.read_buf(held).await? == 0 {
+        if stream.read_buf(buffer).await? == 0 {
             return Ok(None);
         }
     }
 }
 
-/// The list as the test tells it.
-struct Told(mpsc::UnboundedReceiver<MembershipUpdate>);
+/// A server list whose updates come from the test.
+struct ChannelMembership(mpsc::UnboundedReceiver<MembershipUpdate>);
 
-impl MembershipSource for Told {
+impl MembershipSource for ChannelMembership {
     async fn next(&mut self) -> Option<MembershipUpdate> {
         self.0.recv().await
     }
 }
 
-/// The settings of a site with a repeatable class and one that must never run twice.
+/// Settings with a class that may be retried, `ask`, and one that must never run twice, `book`.
 pub fn setup() -> Value {
-    let grade = |name: &str, effect: &str| {
+    let class = |name: &str, effect: &str| {
         json!({"name": name, "slo": 3_000_000, "deadline": 8_000_000, "effect": effect, "late-share": 0.2,
             "points": 1.0, "dedup-scope": "all", "dedup-window": 0})
     };
-    json!({"balancers": 1, "grades": [grade("ask", "retryable"), grade("book", "fragile")],
+    json!({"balancers": 1, "grades": [class("ask", "retryable"), class("book", "fragile")],
         "kinds": ["prefill", "decode"], "zones": ["z"], "zone": "z", "tenants": [], "tick": 2_000,
         "limits": {"cancel": true, "max-attempts": 4, "parallel-tries": false, "may-probe": true,
             "retry-after": true, "max-retry-after": 2_000_000, "connect-timeout": 250_000},
@@ -403,96 +440,110 @@
             "resume": true, "self-prefill": false, "token-aim": [60_000.0, 80_000.0]}})
 }
 
-/// A conductor with both fronts open.
-pub struct Open {
+/// A conductor that listens on both fronts, platform and chat.
+pub struct TestConductor {
     pub platform: SocketAddr,
     pub chat: SocketAddr,
     pub conductor: Conductor<HttpUpstream>,
-    pub doors: ClientListeners,
-    pub news: mpsc::UnboundedSender<MembershipUpdate>,
-    /// Where the servers are.
-    pub book: Arc<AddressTable>,
+    pub listeners: ClientListeners,
+    pub membership: mpsc::UnboundedSender<MembershipUpdate>,
+    /// The addresses of the servers.
+    pub addresses: Arc<AddressTable>,
 }
 
-impl Open {
-    /// Before these servers: name, kind and address.
-    pub fn before(servers: &[(&str, usize, SocketAddr)], patience: ClientTimeouts) -> Self {
+impl TestConductor {
+    /// Starts a conductor for these servers, given by name, kind and address.
+    pub fn start(servers: &[(&str, usize, SocketAddr)], timeouts: ClientTimeouts) -> Self {
         let names = ConfiguredNames::new(&setup()).unwrap();
         let settings = settings(&setup(), &names).unwrap();
-        let (news, conductor, book) = conductor(&settings, servers);
-        let doors = ClientListeners::new(8, patience, slog::Logger::root(slog::Discard, slog::o!()));
-        let config =
-            ChatConfig { listen: any(), models: vec!["chat".into()], class: "book".into(), max_tokens: 400 };
+        let (membership, conductor, addresses) = conductor(&settings, servers);
+        let listeners = ClientListeners::new(8, timeouts, slog::Logger::root(slog::Discard, slog::o!()));
+        let config = ChatConfig {
+            listen: any_port(),
+            models: vec!["chat".into()],
+            class: "book".into(),
+            max_tokens: 400,
+        };
         let platform = PlatformFront::new(conductor.clone());
         let chat = ChatFront::new(conductor.clone(), config);
-        let (platform, chat) = (doors.open(any(), platform).unwrap(), doors.open(any(), chat).unwrap());
-        Open { platform, chat, conductor, doors, news, book }
+        let (platform, chat) =
+            (listeners.open(any_port(), platform).unwrap(), listeners.open(any_port(), chat).unwrap());
+        TestConductor { platform, chat, conductor, listeners, membership, addresses }
     }
 }
 
-/// A conductor between stand-ins.
+/// A conductor with one stand-in prefill server and one stand-in decode server.
 pub struct Site {
     pub platform: SocketAddr,
     pub chat: SocketAddr,
-    pub reader: StandIn,
-    pub writer: StandIn,
+    pub prefill: StandIn,
+    pub decode: StandIn,
     pub conductor: Conductor<HttpUpstream>,
-    pub doors: ClientListeners,
-    pub news: mpsc::UnboundedSender<MembershipUpdate>,
+    pub listeners: ClientListeners,
+    pub membership: mpsc::UnboundedSender<MembershipUpdate>,
 }
 
 impl Site {
     pub async fn start() -> Self {
-        Site::with(CLIENT_TIMEOUTS).await
+        Site::with_timeouts(CLIENT_TIMEOUTS).await
     }
 
-    pub async fn with(patience: ClientTimeouts) -> Self {
-        let (reader, writer) = (StandIn::start(READ).await, StandIn::start(WHOLE).await);
-        let servers = [("reader", 0, reader.address), ("writer", 1, writer.address)];
-        let Open { platform, chat, conductor, doors, news, .. } = Open::before(&servers, patience);
-        Site { platform, chat, reader, writer, conductor, doors, news }
+    pub async fn with_timeouts(timeouts: ClientTimeouts) -> Self {
+        let (prefill, decode) =
+            (StandIn::start(PREFILL_RESPONSE).await, StandIn::start(COMPLETE_STREAM).await);
+        let servers = [("reader", 0, prefill.address), ("writer", 1, decode.address)];
+        let TestConductor { platform, chat, conductor, listeners, membership, .. } =
+            TestConductor::start(&servers, timeouts);
+        Site { platform, chat, prefill, decode, conductor, listeners, membership }
     }
 }
 
-fn any() -> SocketAddr {
+/// A loopback address at any free port.
+fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// A counter that nobody reads.
-pub fn sends() -> prometheus::IntCounter {
+/// A counter for upstreams whose metrics are not checked.
+pub fn unread_counter() -> prometheus::IntCounter {
     prometheus::IntCounter::new("sends", "Attempts").unwrap()
 }
 
 pub fn upstream(servers: &[(&str, usize, SocketAddr)]) -> HttpUpstream {
-    upstream_that_settles(servers, Duration::ZERO)
+    upstream_with_settle_time(servers, Duration::ZERO)
 }
 
-/// One that leaves connections alone for so long after an answer.
-pub fn upstream_that_settles(servers: &[(&str, usize, SocketAddr)], settle_time: Duration) -> HttpUpstream {
-    HttpUpstream::new(book(servers), limits(settle_time), sends())
+/// An upstream that reuses a connection no sooner than this long after a response.
+pub fn upstream_with_settle_time(
+    servers: &[(&str, usize, SocketAddr)],
+    settle_time: Duration,
+) -> HttpUpstream {
+    HttpUpstream::new(address_table(servers), limits(settle_time), unread_counter())
 }
 
-/// One, and where its servers are.
-pub fn upstream_and_book(servers: &[(&str, usize, SocketAddr)]) -> (HttpUpstream, Arc<AddressTable>) {
-    let book = book(servers);
-    (HttpUpstream::new(book.clone(), limits(Duration::ZERO), sends()), book)
+/// An upstream and the address table of its servers.
+pub fn upstream_and_addresses(servers: &[(&str, usize, SocketAddr)]) -> (HttpUpstream, Arc<AddressTable>) {
+    let addresses = address_table(servers);
+    (HttpUpstream::new(addresses.clone(), limits(Duration::ZERO), unread_counter()), addresses)
 }
 
-/// One that waits so long for a connection to come up.
-pub fn upstream_that_connects_within(servers: &[(&str, usize, SocketAddr)], time: Duration) -> HttpUpstream {
+/// An upstream with this connect timeout.
+pub fn upstream_with_connect_timeout(
+    servers: &[(&str, usize, SocketAddr)],
+    timeout: Duration,
+) -> HttpUpstream {
     HttpUpstream::new(
-        book(servers),
-        ConnectionLimits { connect_timeout: time, ..limits(Duration::ZERO) },
-        sends(),
+        address_table(servers),
+        ConnectionLimits { connect_timeout: timeout, ..limits(Duration::ZERO) },
+        unread_counter(),
     )
 }
 
-fn book(servers: &[(&str, usize, SocketAddr)]) -> Arc<AddressTable> {
-    let book = Arc::new(AddressTable::default());
+fn address_table(servers: &[(&str, usize, SocketAddr)]) -> Arc<AddressTable> {
+    let addresses = Arc::new(AddressTable::default());
     for (name, _, address) in servers {
-        book.set(Id::from(*name), *address);
+        addresses.set(Id::from(*name), *address);
     }
-    book
+    addresses
 }
 
 fn limits(settle_time: Duration) -> ConnectionLimits {
@@ -505,19 +556,20 @@
     }
 }
 
-/// A line of the list.
+/// An entry of the server list.
 pub fn entry(name: &str, kind: usize, health: Health) -> ServerEntry {
     ServerEntry { server: Id::from(name), rack: 0, kind, zone: 0, started: 0, health }
 }
 
+/// Starts a conductor; returns the sender of its server list, the conductor and its address table.
 fn conductor(
     settings: &Settings,
     servers: &[(&str, usize, SocketAddr)],
 ) -> (mpsc::UnboundedSender<MembershipUpdate>, Conductor<HttpUpstream>, Arc<AddressTable>) {
-    let book = book(servers);
+    let addresses = address_table(servers);
     let entries = servers.iter().map(|(name, kind, _)| entry(name, *kind, Health::Up)).collect();
-    let (news, told) = mpsc::unbounded_channel();
-    let _ = news.send(MembershipUpdate { kind: ListUpdateKind::Full, entries });
+    let (membership, updates) = mpsc::unbounded_channel();
+    let _ = membership.send(MembershipUpdate { kind: ListUpdateKind::Full, entries });
     let conductor = start(ConductorParts {
         excluded: Vec::new(),
         inherited: None,
@@ -525,19 +577,20 @@
         settings: settings.clone(),
         seed: 7,
         clock: Clock::new(),
-        upstream: Arc::new(HttpUpstream::new(book.clone(), limits(Duration::ZERO), sends())),
-        members: Told(told),
+        upstream: Arc::new(HttpUpstream::new(addresses.clone(), limits(Duration::ZERO), unread_counter())),
+        members: ChannelMembership(updates),
         log: slog::Logger::root(slog::Discard, slog::o!()),
     });
-    (news, conductor, book)
+    (membership, conductor, addresses)
 }
 
-/// Microseconds since the epoch.
-pub fn micros() -> u64 {
+/// Microseconds since the Unix epoch.
+pub fn unix_micros() -> u64 {
     std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap().as_micros() as u64
 }
 
-/// What a client got: status, head, body, whether the answer was whole, and how many answers there were.
+/// What a client received. `whole` tells whether the body was complete, `answers` how many responses there
+/// were.
 #[derive(Debug)]
 pub struct Answer {
     pub answers: usize,
@@ -549,7 +602,7 @@
 
 impl Answer {
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.head.lines().find_map(|l| l.strip_prefix(name)?.strip_prefix(": "))
+        self.head.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(": "))
     }
 
     pub fn json(&self) -> Value {
@@ -569,49 +622,49 @@
     format!("{head}content-length: {length}\r\n\r\n{body}")
 }
 
-/// A request of the platform's, of some length, whose client waits for so many milliseconds.
-pub fn chat(id: &str, class: &str, remaining: u64) -> String {
+/// A request to the platform front whose client waits this many milliseconds.
+pub fn chat(id: &str, class: &str, remaining_ms: u64) -> String {
     let labels = "x-labels: prompt_len=600,max_out=100\r\n";
     let headers = format!(
-        "x-txn: {id}\r\nx-lane: {class}\r\nx-entity: s-{id}\r\nx-remaining: {remaining}m\r\n{labels}"
+        "x-txn: {id}\r\nx-lane: {class}\r\nx-entity: s-{id}\r\nx-remaining: {remaining_ms}m\r\n{labels}"
     );
     post("/v1/chat/completions", &headers, "{}")
 }
 
-/// The same on a connection that the client keeps.
-pub fn kept(text: &str) -> String {
+/// The same request on a connection that the client keeps open.
+pub fn keep_alive(text: &str) -> String {
     text.replace("connection: close\r\n", "")
 }
 
-/// Sends a request and reads all that comes back.
+/// Sends a request on a new connection and reads the answer until the connection ends.
 pub async fn exchange(to: SocketAddr, text: &str) -> Answer {
-    exchange_on(send(to, text).await).await
+    read_answer(send(to, text).await).await
 }
 
-/// Reads all that comes back of a request that has been sent.
-pub async fn exchange_on(stream: TcpStream) -> Answer {
-    answer_on(stream).await.expect("an answer")
+/// Reads the answer to a request that has been sent, until the connection ends.
+pub async fn read_answer(stream: TcpStream) -> Answer {
+    try_read_answer(stream).await.expect("an answer")
 }
 
-/// The same; `None` where the connection has ended with nothing.
-pub async fn answer_on(mut stream: TcpStream) -> Option<Answer> {
+/// Like `read_answer`, but returns `None` if the connection ended without a byte.
+pub async fn try_read_answer(mut stream: TcpStream) -> Option<Answer> {
     let mut bytes = Vec::new();
-    // A break is a reset or an end; what came before it counts.
+    // An error is a reset; the bytes received before it still count.
     let _ = stream.read_to_end(&mut bytes).await;
-    (!bytes.is_empty()).then(|| answer(&String::from_utf8(bytes).unwrap()))
+    (!bytes.is_empty()).then(|| parse_answer(&String::from_utf8(bytes).unwrap()))
 }
 
-fn answer(text: &str) -> Answer {
+fn parse_answer(text: &str) -> Answer {
     let (head, raw) = text.split_once("\r\n\r\n").unwrap_or_else(|| panic!("no head in {text:?}"));
     let head = head.to_ascii_lowercase();
     let status = head.split(' ').nth(1).unwrap().parse().unwrap();
     let chunked = head.contains("transfer-encoding: chunked");
-    let (body, whole) = if chunked { unchunk(raw) } else { (raw.to_string(), true) };
+    let (body, whole) = if chunked { decode_chunked(raw) } else { (raw.to_string(), true) };
     let answers = text.matches("HTTP/1.1 ").count();
     Answer { answers, status, head, body, whole }
 }
 
-fn unchunk(mut raw: &str) -> (String, bool) {
+fn decode_chunked(mut raw: &str) -> (String, bool) {
     let mut body = String::new();
     while let Some((size, rest)) = raw.split_once("\r\n") {
         let size = usize::from_str_radix(size, 16).unwrap();
@@ -625,16 +678,17 @@
     (body, false)
 }
 
-/// A process's configuration: its discovery, descriptors and settings, and its servers by id and kind.
-pub fn config_of(
+/// The configuration of a process: its discovery address, descriptor limit, servers by id and kind, and
+/// settings.
+pub fn config_json(
     name: &str,
     discovery: &str,
     sockets: usize,
     servers: &[(&str, &str, SocketAddr)],
     settings: &Value,
 ) -> String {
-    let target = |(uid, model, at): &(&str, &str, SocketAddr)| -> Value {
-        json!({"uid": uid, "endpoint": at, "az": "z", "model": model, "pod_group": 0, "state": "active",
+    let target = |(uid, model, address): &(&str, &str, SocketAddr)| -> Value {
+        json!({"uid": uid, "endpoint": address, "az": "z", "model": model, "pod_group": 0, "state": "active",
             "capacity_hint": 1.0, "boot_ms": 0})
     };
     let targets: Vec<Value> = servers.iter().map(target).collect();
@@ -644,12 +698,12 @@
     .to_string()
 }
 
-/// Where the configuration of a program of this name lies.
+/// The path of the configuration file of the process with this name.
 pub fn config_file(name: &str) -> std::path::PathBuf {
     std::env::temp_dir().join(format!("frosttrail-{name}-{}.json", std::process::id()))
 }
 
-/// The program with this configuration, which waits in a folder of its own.
+/// The program with this configuration, which is written to the file of this name.
 pub fn program(name: &str, config: &str) -> Command {
     let file = config_file(name);
     std::fs::File::create(&file).unwrap().write_all(config.as_bytes()).unwrap();
@@ -658,8 +712,8 @@
     command
 }
 
-/// The same, with so many descriptors at most.
-pub fn program_with(descriptors: usize, name: &str, config: &str) -> Command {
+/// The same with a limit on file descriptors.
+pub fn program_with_descriptor_limit(descriptors: usize, name: &str, config: &str) -> Command {
     let program = program(name, config);
     let mut limited = Command::new("sh");
     limited.arg("-c").arg(format!("ulimit -n {descriptors}; exec \"$0\"")).arg(program.get_program());
@@ -668,59 +722,62 @@
     limited
 }
 
-/// The program under way: where it listens is in its log.
-pub struct Running {
+/// A running daemon; the address it listens at is read from its log.
+pub struct DaemonProcess {
     child: Child,
     log: Lines<BufReader<ChildStderr>>,
     pub listen: SocketAddr,
 }
 
-impl Running {
+impl DaemonProcess {
+    /// Starts the daemon and waits until it listens.
     pub fn start(command: Command) -> Self {
-        let mut running = Running::spawn(command);
-        running.listens();
-        running
+        let mut process = DaemonProcess::spawn(command);
+        process.wait_until_listening();
+        process
     }
 
-    /// The same before it listens.
+    /// Starts the daemon and returns before it listens.
     pub fn spawn(mut command: Command) -> Self {
         let mut child = command.spawn().unwrap();
         let log = BufReader::new(child.stderr.take().unwrap()).lines();
-        Running { child, log, listen: ([127, 0, 0, 1], 0).into() }
+        DaemonProcess { child, log, listen: ([127, 0, 0, 1], 0).into() }
     }
 
-    /// Waits until it listens, and notes where.
-    pub fn listens(&mut self) {
-        let line = self.logs("listening, at: ");
-        let at = line.split_once("at: ").unwrap().1.split(',').next().unwrap().trim();
-        self.listen = at.parse().unwrap();
+    /// Waits until the daemon listens and stores its address in `listen`.
+    pub fn wait_until_listening(&mut self) {
+        let line = self.wait_for_log("listening, at: ");
+        let address = line.split_once("at: ").unwrap().1.split(',').next().unwrap().trim();
+        self.listen = address.parse().unwrap();
     }
 
-    /// Waits for a line that says this.
-    pub fn logs(&mut self, words: &str) -> String {
-        self.log.find_map(|line| line.ok().filter(|line| line.contains(words))).unwrap()
+    /// Waits for a log line that contains this text and returns it.
+    pub fn wait_for_log(&mut self, text: &str) -> String {
+        self.log.find_map(|line| line.ok().filter(|line| line.contains(text))).unwrap()
     }
 
+    /// Sends a signal, named as an option of `kill`, such as `-TERM`.
     pub fn signal(&self, name: &str) {
         let sent = Command::new("kill").args([name, &self.child.id().to_string()]).status().unwrap();
         assert!(sent.success());
     }
 
-    /// Memory that is resident, in KiB.
-    pub fn memory_kb(&self) -> u64 {
+    /// Resident memory in KiB.
+    pub fn resident_kib(&self) -> u64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
         let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).unwrap();
         line.trim().trim_end_matches(" kB").parse().unwrap()
     }
 
-    pub async fn ends_well(mut self) {
+    /// Waits for the end of the process and checks that its exit code is 0.
+    pub async fn expect_clean_exit(mut self) {
         let status = tokio::task::spawn_blocking(move || self.child.wait()).await.unwrap().unwrap();
         assert_eq!(status.code(), Some(0));
     }
 }
 
-/// A test that has failed leaves no process behind.
-impl Drop for Running {
+/// Kills the process, so that a failed test leaves none behind.
+impl Drop for DaemonProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
