--- a/daemon/tests/ending.rs
+++ b/daemon/tests/ending.rs
@@ -122,14 +122,14 @@
     process.expect_clean_exit().await;
 }
 
-/// A request whose first part arrives before the listeners close, and whose rest arrives after the exit_after
+/// A request whose first part arrives before the listeners close, and whose rest arrives after the last
 /// answers, is accepted all the same, so it must be answered before the process ends. Repeated signals and
 /// SIGHUP do not change that.
 #[tokio::test]
 async fn a_request_completed_after_the_last_answers_is_still_answered() {
     let (prefill, decode) =
         (StandIn::start(Behavior::StaysSilent).await, StandIn::start(COMPLETE_STREAM).await);
-    // The listeners close after 0.65 s, the exit_after answers are sent at 2.4 s, and the process ends at 2.9 s.
+    // The listeners close after 0.65 s, the last answers are sent at 2.4 s, and the process ends at 2.9 s.
     let process = DaemonProcess::start(program("halves", &config(&prefill, &decode, 2_500)));
     let mut open = send(process.listen, &request("open", "book", 8_000)).await;
     let mut partial_requests = Vec::new();
@@ -145,18 +145,18 @@
     }
     let sigterm_sent = Instant::now();
     process.signal("-TERM");
-    // Just before the listeners close, so that the rest may still arrive after the exit_after answers.
+    // Just before the listeners close, so that the rest may still arrive after the last answers.
     sleep(Duration::from_millis(550)).await;
     for (client, first, _) in &mut partial_requests {
         client.write_all(first.as_bytes()).await.unwrap();
     }
-    // The open request gets one of the exit_after answers of the planned shutdown.
+    // The open request gets one of the last answers of the planned shutdown.
     let (status, _) = read_outcome(&mut open).await.expect("an answer");
     assert_eq!(status, 503, "the request had not run");
     process.signal("-TERM");
     process.signal("-HUP");
-    for (n, (mut client, _, exit_after)) in partial_requests.into_iter().enumerate() {
-        client.write_all(exit_after.as_bytes()).await.unwrap();
+    for (n, (mut client, _, last)) in partial_requests.into_iter().enumerate() {
+        client.write_all(last.as_bytes()).await.unwrap();
         let answer = read_outcome(&mut client).await;
         assert_eq!(
             answer.map(|(status, _)| status),
@@ -168,7 +168,7 @@
     process.expect_clean_exit().await;
 }
 
-/// A request whose exit_after byte arrives more than 0.7 s after SIGTERM could still stream at SIGKILL. It must be
+/// A request whose last byte arrives more than 0.7 s after SIGTERM could still stream at SIGKILL. It must be
 /// refused and never sent on, as its client loses nothing by retrying elsewhere.
 #[tokio::test]
 async fn a_request_completed_after_the_listeners_closed_starts_no_stream() {
@@ -176,7 +176,7 @@
         (StandIn::start(PREFILL_RESPONSE).await, StandIn::start(Behavior::StreamsTimestamps(100, 60)).await);
     let process = DaemonProcess::start(program("whole-late", &config(&prefill, &decode, 3_000)));
     let text = request("late", "ask", 3_000);
-    let (first, exit_after) = text.split_at(text.len() - 1);
+    let (first, last) = text.split_at(text.len() - 1);
     let mut client = send(process.listen, &keep_alive(READY_REQUEST)).await;
     let mut seen = Vec::new();
     while !seen.ends_with(b"ready\n") {
@@ -186,7 +186,7 @@
     sleep(Duration::from_millis(400)).await;
     client.write_all(first.as_bytes()).await.unwrap();
     sleep(Duration::from_millis(500)).await;
-    client.write_all(exit_after.as_bytes()).await.unwrap();
+    client.write_all(last.as_bytes()).await.unwrap();
     assert_eq!(read_outcome(&mut client).await, Some((503, true)));
     assert!(prefill.posts().is_empty(), "the request was sent on");
     process.expect_clean_exit().await;
