--- a/daemon/src/config.rs
+++ b/daemon/src/config.rs
@@ -30,7 +30,7 @@
     /// The file is not JSON, or has missing, unknown or invalid fields.
     #[error("{0}: {1}; correct the file")]
     Malformed(PathBuf, serde_json::Error),
-    /// The seed is not a hexadecimal number.
+    /// The seed is not a hexadecimal number of 64 bits.
     #[error("{0}: seed: must be a hexadecimal number of at most 16 digits")]
     InvalidSeed(PathBuf),
     /// An entry of the last known member list is invalid.
@@ -111,7 +111,7 @@
         "{0}: missing, but set in the configuration in force; write the complete file and send SIGHUP again"
     )]
     Missing(String),
-    /// A setting differs by which servers are already identified.
+    /// A setting differs on which the identity or role of known servers depends.
     #[error("settings.{0}: can't change at run time; start a new process with it, as for an upgrade")]
     Fixed(&'static str),
 }
@@ -313,7 +313,8 @@
     }
 }
 
-/// The fields of a transfer node's configuration file. Absent fields keep the node's defaults.
+/// The fields of a transfer node's configuration file. Sizes are in KiB and MiB, times in milliseconds. Absent
+/// fields keep the node's defaults.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct TransferFile {
--- a/daemon/src/ending.rs
+++ b/daemon/src/ending.rs
@@ -39,8 +39,7 @@
         let kill_time = Duration::from_micros(settings.longest_deadline()).min(MAX_DEADLINE) + KILL_DELAY;
         let exit_after = kill_time - KILL_MARGIN;
         let answer_all_after = exit_after.saturating_sub(FINAL_ANSWERS_TIME);
-        // Listeners close after about half of the time, so that the last accepted requests can still be
-        // served.
+        // About half of the time until the final answers is left for the requests that are accepted last.
         let close_listeners_after =
             MAX_NOTICE_PERIOD.min((answer_all_after / 2).max(MIN_NOTICE_PERIOD)).min(answer_all_after);
         ShutdownSchedule { close_listeners_after, answer_all_after, exit_after }
