--- a/daemon/src/config.rs
+++ b/daemon/src/config.rs
@@ -313,8 +313,8 @@
     }
 }
 
-/// The fields of a transfer node's configuration file. Sizes are in KiB and MiB, times in milliseconds. Absent
-/// fields keep the node's defaults.
+/// The fields of a transfer node's configuration file. Sizes are in KiB and MiB, times in milliseconds.
+/// Absent fields keep the node's defaults.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct TransferFile {
