--- a/daemon/src/front/chat/mod.rs
+++ b/daemon/src/front/chat/mod.rs
@@ -27,7 +27,7 @@
 use crate::upstream::Call;
 
 pub(super) const JSON: &str = "application/json";
-/// Tells client libraries whether to retry; `false` for a request that may have run.
+/// Tells client libraries whether to retry: `true` for a refused request, `false` for one that may have run.
 const SHOULD_RETRY: HeaderName = HeaderName::from_static("x-should-retry");
 /// Like `Retry-After`, which holds whole seconds only, but in milliseconds; some client libraries prefer it.
 const RETRY_AFTER_MS: HeaderName = HeaderName::from_static("retry-after-ms");
--- a/daemon/src/front/clients.rs
+++ b/daemon/src/front/clients.rs
@@ -100,6 +100,7 @@
         }
     }
 
+    /// Creates a slot, which starts without an open request.
     fn occupy(&self, permit: OwnedSemaphorePermit, is_refusing: bool) -> ConnectionSlot {
         let slot = ConnectionSlot {
             limiter: self.clone(),
@@ -117,6 +118,7 @@
     }
 }
 
+/// The requests of one connection, and its place among the idle ones.
 #[derive(Default)]
 struct RequestState {
     /// Requests that have been received in full.
