--- a/daemon/src/upstream/pool.rs
+++ b/daemon/src/upstream/pool.rs
@@ -19,7 +19,7 @@
 const BODY_READ_TIMEOUT: Duration = Duration::from_millis(500);
 /// The wait after a connection that failed for lack of descriptors, ports or memory on this machine.
 const LOCAL_RETRY_INTERVAL: Duration = Duration::from_millis(20);
-/// The largest response body that is read whole.
+/// The largest response body that is read to its end. The protocol of the servers has none larger.
 pub(super) const MAX_BODY_BYTES: usize = 256 << 10;
 
 /// Why there is no new connection.
@@ -36,7 +36,7 @@
 pub struct ConnectionLimits {
     /// The number of connections in all.
     pub max_connections: usize,
-    /// How long a connection may take to open.
+    /// How long a connection may take to open. One that has not opened by then never will.
     pub connect_timeout: Duration,
     /// Servers close a connection that has been idle for this time.
     pub server_idle_timeout: Duration,
@@ -199,7 +199,7 @@
         lock(&self.idle_age_limits).record_stale(server, idle, max_age, Instant::now());
     }
 
-    /// Reads a response body that nobody waits for to its end, to keep the connection.
+    /// Reads the rest of a response that is no longer needed, to keep the connection.
     pub(super) fn put_after_body(self: &Arc<Self>, server: &Id, connection: Connection, body: Incoming) {
         let (pool, server) = (self.clone(), server.clone());
         tokio::spawn(async move {
--- a/daemon/tests/discovery.rs
+++ b/daemon/tests/discovery.rs
@@ -330,7 +330,8 @@
             "address": {"socketAddress": {"address": "127.0.0.1", "portValue": 21}}},
             "metadata": {"filterMetadata": {"frosttrail": {"uid": "w", "cell": 4, "boot_ms": 1}}}}]}]});
     let clusters = json!([
-        {"@type": "type.googleapis.com/envoy.config.cluster.v3.Cluster", "name": "readers", "type": "EDS",
+        {"@type": "type.googleapis.com/envoy.config.cluster.v3.Cluster", "name": "prefill-servers",
+            "type": "EDS",
             "eds_cluster_config": {"service_name": "pool"},
             "metadata": {"filter_metadata": {"frosttrail": {"kind": "prefill"}}}},
         {"name": "decode", "type": "STATIC", "loadAssignment": inline},
@@ -445,11 +446,11 @@
     assert_eq!(discovery.next().await.unwrap().kind, ListUpdateKind::StaleCopy);
     let head = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
     let chunk = format!("{:x}\r\n{FULL_LIST}\r\n", FULL_LIST.len());
-    let (told, config_sender) = (agent.told.clone(), Arc::new(config_sender));
+    let (response_sender, config_sender) = (agent.told.clone(), Arc::new(config_sender));
     tokio::spawn(async move {
         let text = format!("{head}{chunk}");
         for part in text.as_bytes().chunks(8) {
-            told.send(String::from_utf8_lossy(part).into_owned()).unwrap();
+            response_sender.send(String::from_utf8_lossy(part).into_owned()).unwrap();
             tokio::time::sleep(Duration::from_millis(20)).await;
             let same = *config_sender.borrow();
             config_sender.send_replace(same);
