--- a/core/src/answer_stream.rs
+++ b/core/src/answer_stream.rs
@@ -11,7 +11,7 @@
 use tokio::time::Instant;
 
 use crate::command::Instruction;
-use crate::entry::Registration;
+use crate::registration::Registration;
 use crate::traits::{EventStream, StreamStep};
 
 /// A stream without an event for this long has lost its server, as a machine that disappears closes no
--- a/core/src/conductor.rs
+++ b/core/src/conductor.rs
@@ -13,10 +13,10 @@
 use crate::clock::Clock;
 use crate::command::{CallId, Command};
 use crate::command_queue::CommandSender;
-use crate::entry::OpenIds;
 use crate::exclusion::{ExclusionError, Exclusions};
 use crate::metrics::Metrics;
 use crate::permit::AdmittingServers;
+use crate::registration::OpenIds;
 use crate::release::{lock, UpstreamReleaser};
 use crate::traits::Upstream;
 
--- a/core/src/request.rs
+++ b/core/src/request.rs
@@ -16,9 +16,9 @@
 use crate::cache_clock::CacheClock;
 use crate::command::{Command, Instruction, NewRequest};
 use crate::conductor::Conductor;
-use crate::entry::{IdClaim, Registration};
 use crate::metrics::Metrics;
 use crate::permit::SendPermit;
+use crate::registration::{IdClaim, Registration};
 use crate::release::{lock, Releaser};
 use crate::traits::{AttemptReply, EventStream, Upstream};
 
--- a/core/tests/unit/answer_stream.rs
+++ b/core/tests/unit/answer_stream.rs
@@ -11,8 +11,8 @@
 use crate::clock::Clock;
 use crate::command::Command;
 use crate::command_queue::{command_queue, CommandReceiver};
-use crate::entry::IdClaim;
 use crate::permit::SendPermit;
+use crate::registration::IdClaim;
 use crate::release::{ReleaseState, Releaser};
 
 /// For streams, which have no KV cache to release.
--- a/daemon/src/discovery/objects.rs
+++ b/daemon/src/discovery/listing_decoder.rs
@@ -111,5 +111,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/objects.rs"]
+#[path = "../../tests/unit/listing_decoder.rs"]
 mod tests;
--- a/daemon/src/discovery/mod.rs
+++ b/daemon/src/discovery/mod.rs
@@ -2,9 +2,9 @@
 
 pub mod backoff;
 mod http;
-mod objects;
+mod listing_decoder;
 mod platform;
-mod starts;
+mod start_times;
 mod xds;
 
 pub use backoff::Backoff;
--- a/daemon/src/discovery/platform.rs
+++ b/daemon/src/discovery/platform.rs
@@ -20,8 +20,8 @@
 
 use super::backoff::{Backoff, CALL_TIMEOUT, WATCH_SILENCE_TIMEOUT};
 use super::http::{read_body, send_request, DiscoveryError, OpenResponse};
-use super::objects::{ListingDecoder, MAX_LIST_BYTES};
-use super::starts::StartTimes;
+use super::listing_decoder::{ListingDecoder, MAX_LIST_BYTES};
+use super::start_times::StartTimes;
 use crate::upstream::AddressTable;
 
 /// A list of members, or a change to it, as discovery sends it.
--- a/daemon/src/discovery/starts.rs
+++ b/daemon/src/discovery/start_times.rs
@@ -60,5 +60,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/starts.rs"]
+#[path = "../../tests/unit/start_times.rs"]
 mod tests;
--- a/daemon/src/front/chat/mod.rs
+++ b/daemon/src/front/chat/mod.rs
@@ -1,8 +1,8 @@
 //! The OpenAI-style front: `POST /v1/chat/completions`, with or without streaming. It validates and
 //! translates requests; the same core as behind the platform's front decides how each request is served.
 
+mod completion_builder;
 mod error;
-mod gather;
 mod request;
 mod sse;
 
@@ -17,8 +17,8 @@
 
 pub use sse::ChatStream;
 
+use self::completion_builder::CompletionBuilder;
 use self::error::ApiError;
-use self::gather::CompletionBuilder;
 use self::request::{ParsedRequest, RequestParser};
 use super::body::{event_stream_response, full_response, set_retry_after, ResponseBody, ServiceResult};
 use super::input::{read_body, InputError};
--- a/daemon/src/lib.rs
+++ b/daemon/src/lib.rs
@@ -7,12 +7,12 @@
 
 pub mod config;
 pub mod discovery;
-pub mod ending;
 pub mod front;
 pub mod listener_handover;
 pub mod open_work_files;
 pub mod ops;
 pub mod reload;
+pub mod shutdown;
 pub mod snapshot_file;
 pub mod state_dir;
 mod tcp;
--- a/daemon/src/upstream/attempt.rs
+++ b/daemon/src/upstream/attempt.rs
@@ -19,7 +19,7 @@
 use serde::Deserialize;
 use tokio::time::{timeout_at, Instant};
 
-use super::link::{Connection, WriteProgress};
+use super::connection::{Connection, WriteProgress};
 use super::pool::{ConnectFailure, ConnectionPool, MAX_BODY_BYTES};
 use super::sse::{load_report_comment, EventSplitter, InvalidEvent};
 use super::Call;
--- a/daemon/src/upstream/calls.rs
+++ b/daemon/src/upstream/calls.rs
@@ -11,7 +11,7 @@
 use hyper::{Method, Request, Response, StatusCode};
 use tokio::time::timeout;
 
-use super::link::{Connection, WriteProgress};
+use super::connection::{Connection, WriteProgress};
 use super::pool::{ConnectionPool, MAX_BODY_BYTES};
 
 /// After this time without a response to a probe, the server counts as not answering.
--- a/daemon/src/upstream/link.rs
+++ b/daemon/src/upstream/connection.rs
@@ -353,5 +353,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/link.rs"]
+#[path = "../../tests/unit/connection.rs"]
 mod tests;
--- a/daemon/src/upstream/mod.rs
+++ b/daemon/src/upstream/mod.rs
@@ -2,8 +2,8 @@
 
 mod attempt;
 mod calls;
+mod connection;
 mod idle_age;
-mod link;
 mod pool;
 mod sse;
 
--- a/daemon/src/upstream/pool.rs
+++ b/daemon/src/upstream/pool.rs
@@ -11,8 +11,8 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use tokio::time::{sleep, timeout, timeout_at, Instant};
 
+use super::connection::Connection;
 use super::idle_age::IdleAgeLimits;
-use super::link::Connection;
 use super::{lock, AddressTable};
 
 /// Limits reading a response body to its end only to reuse the connection.
--- a/daemon/tests/ending.rs
+++ b/daemon/tests/ending.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use frosttrail::setup::{settings, ConfiguredNames};
-use frosttrail_daemon::ending::ShutdownSchedule;
+use frosttrail_daemon::shutdown::ShutdownSchedule;
 use serde_json::{json, Value};
 use support::*;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/daemon/tests/unit/link.rs
+++ b/daemon/tests/unit/connection.rs
@@ -1,4 +1,4 @@
-//! Tests of private items of `daemon/src/upstream/link.rs`.
+//! Tests of private items of `daemon/src/upstream/connection.rs`.
 
 use std::io::Read as _;
 
--- a/membership/src/instance.rs
+++ b/membership/src/instance.rs
@@ -6,9 +6,9 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-use crate::ballot::{Acceptor, AcceptorReply, Proposer, ProposerRequest};
-use crate::holder::LeaseHolder;
-use crate::keeper::{Leader, OutgoingMessages};
+use crate::election::{Acceptor, AcceptorReply, Proposer, ProposerRequest};
+use crate::leader::{Leader, OutgoingMessages};
+use crate::lease_holder::LeaseHolder;
 use crate::message::{Ballot, Message};
 use crate::{Incarnation, LeaseConfig, Micros};
 
--- a/membership/src/lib.rs
+++ b/membership/src/lib.rs
@@ -1,19 +1,19 @@
 //! Membership of the conductor's instances (daemons and plug-ins), and the share of their common quota that
 //! each may use. `docs/membership.md` describes the protocol, `docs/design/rpc.md` why it was chosen.
 //!
-//! The invariant is that the shares of all instances add up to at most 1 at every moment. [`ballot`] elects a
-//! leader by lease, [`keeper`] is the leader's side of the leases on quota shares, [`holder`] the side of an
-//! instance that holds one, and [`instance`] combines the three; none of them uses sockets or reads clocks.
-//! [`gossip`] discovers the instances, and [`service`] runs the protocol on a UDP socket.
+//! The invariant is that the shares of all instances add up to at most 1 at every moment. [`election`] elects
+//! a leader by lease, [`leader`] is the leader's side of the leases on quota shares, [`lease_holder`] the
+//! side of an instance that holds one, and [`instance`] combines the three; none of them uses sockets or
+//! reads clocks. [`gossip`] discovers the instances, and [`service`] runs the protocol on a UDP socket.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod ballot;
+pub mod election;
 pub mod gossip;
-pub mod holder;
 pub mod instance;
-pub mod keeper;
+pub mod leader;
+pub mod lease_holder;
 pub mod message;
 pub mod service;
 
--- a/soak/src/strike.rs
+++ b/soak/src/fault_injection.rs
@@ -15,7 +15,7 @@
 use crate::plan::{FaultKind, ScheduledFault, TURNOVER_BATCHES};
 use crate::server::ServerMode;
 use crate::shim::SystemFaults;
-use crate::world::{lock, Testbed};
+use crate::testbed::{lock, Testbed};
 
 /// The longest that a conductor may take after SIGHUP to learn what its new agent lists.
 const MAX_NEWS_DELAY_AFTER_RELOAD: Duration = Duration::from_secs(4);
--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -8,10 +8,10 @@
 pub mod agent;
 pub mod client;
 pub mod conductor;
+mod fault_injection;
 pub mod oracle;
 pub mod plan;
 pub mod run;
 pub mod server;
 pub mod shim;
-mod strike;
-pub mod world;
+pub mod testbed;
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -15,7 +15,7 @@
 use crate::oracle::Report;
 use crate::plan::Plan;
 use crate::shim::COUNTERS;
-use crate::world::{lock, Testbed};
+use crate::testbed::{lock, Testbed};
 
 /// Clients of each conductor that keep their connections.
 const PERSISTENT_CLIENTS: usize = 3;
--- a/soak/tests/support/mod.rs
+++ b/soak/tests/support/mod.rs
@@ -12,7 +12,7 @@
 use frosttrail_soak::oracle::{Oracle, Report};
 use frosttrail_soak::server::Server;
 use frosttrail_soak::shim::SystemFaults;
-use frosttrail_soak::world::{conductor_settings, draw_limits};
+use frosttrail_soak::testbed::{conductor_settings, draw_limits};
 use serde_json::{json, Value};
 
 /// The seed from which the limits of the settings are drawn.
--- a/transfer/src/lib.rs
+++ b/transfer/src/lib.rs
@@ -4,16 +4,17 @@
 //! connection, and exactly one side owns the cache at any moment. `docs/transfer.md` describes the protocol
 //! and the service, `docs/design/transfer.md` explains the design.
 //!
-//! [`sender`], [`receiver`], [`lease`], [`link`] and [`memory`] are state machines without I/O and without a
-//! clock; [`wire`] encodes and decodes frames; [`service`] runs the state machines on sockets.
+//! [`sender`], [`receiver`], [`lease`], [`link_scheduler`] and [`memory_budget`] are state machines without
+//! I/O and without a clock; [`wire`] encodes and decodes frames; [`service`] runs the state machines on
+//! sockets.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 pub mod cause;
 pub mod lease;
-pub mod link;
-pub mod memory;
+pub mod link_scheduler;
+pub mod memory_budget;
 pub mod proof;
 pub mod receiver;
 pub mod sender;
--- a/transfer/src/receiver.rs
+++ b/transfer/src/receiver.rs
@@ -10,7 +10,7 @@
 use roaring::RoaringBitmap;
 
 use crate::cause::Cause;
-use crate::memory::{MemoryBudget, Reservation};
+use crate::memory_budget::{MemoryBudget, Reservation};
 use crate::proof::Proof;
 use crate::sender::ProtocolError;
 use crate::wire::{Frame, Offer, RequestId, Want};
--- a/transfer/src/sender.rs
+++ b/transfer/src/sender.rs
@@ -9,7 +9,7 @@
 
 use crate::cause::Cause;
 use crate::lease::{ClaimOutcome, Claimant, Lease};
-use crate::link::{FlowId, LinkScheduler};
+use crate::link_scheduler::{FlowId, LinkScheduler};
 use crate::proof::Proof;
 use crate::wire::{Frame, Hello, Offer, RequestId, Want};
 use crate::{ConnectionId, Incarnation, Micros, Timeouts, TransferToken};
--- a/transfer/src/service/connection.rs
+++ b/transfer/src/service/connection.rs
@@ -16,7 +16,7 @@
 use tokio_util::task::AbortOnDropHandle;
 
 use super::activity::{ActivityReader, LastActivity};
-use super::hub::{queued_size, OpenConnection, SessionManager, WriteItem};
+use super::session_manager::{queued_size, OpenConnection, SessionManager, WriteItem};
 use crate::receiver::RouteId;
 use crate::sender::ProtocolError;
 use crate::wire::{chunk_header, Codec, Frame, Hello, WireError, VERSION};
--- a/transfer/src/service/dial.rs
+++ b/transfer/src/service/dial.rs
@@ -9,7 +9,7 @@
 use tokio::time::{sleep, timeout};
 
 use super::connection::serve;
-use super::hub::SessionManager;
+use super::session_manager::SessionManager;
 use crate::receiver::RouteId;
 
 /// Initial and maximum delay between connection attempts. Short, as a KV cache is held for less than a
--- a/transfer/src/service/mod.rs
+++ b/transfer/src/service/mod.rs
@@ -4,8 +4,8 @@
 mod activity;
 mod connection;
 mod dial;
-mod hub;
 mod node;
+mod session_manager;
 mod status;
 
 use std::time::Duration;
--- a/transfer/src/service/node.rs
+++ b/transfer/src/service/node.rs
@@ -16,7 +16,7 @@
 use tokio_util::task::AbortOnDropHandle;
 
 use super::connection::serve;
-use super::hub::SessionManager;
+use super::session_manager::SessionManager;
 use super::status::Status;
 use super::Config;
 use crate::cause::Cause;
--- a/transfer/tests/hard_cases.rs
+++ b/transfer/tests/hard_cases.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use frosttrail_transfer::cause::Cause;
-use frosttrail_transfer::memory::{MemoryBudget, Reservation};
+use frosttrail_transfer::memory_budget::{MemoryBudget, Reservation};
 use frosttrail_transfer::proof::Proof;
 use frosttrail_transfer::wire::{Offer, Want};
 use frosttrail_transfer::{receiver, sender};
--- a/transfer/tests/link.rs
+++ b/transfer/tests/link.rs
@@ -3,7 +3,7 @@
 
 use std::collections::HashMap;
 
-use frosttrail_transfer::link::LinkScheduler;
+use frosttrail_transfer::link_scheduler::LinkScheduler;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
 const PEERS: u64 = 4;
