--- a/drill/src/wire.rs
+++ b/drill/src/wire.rs
@@ -103,7 +103,7 @@
 }
 
 fn parse_members(rest: &[Value], names: &ConfiguredNames) -> Result<Event, String> {
-    let form = match required_text(rest, 0, "form")? {
+    let kind = match required_text(rest, 0, "form")? {
         "incr" => ListUpdateKind::Changes,
         "total" => ListUpdateKind::Full,
         "warm_copy" => ListUpdateKind::StaleCopy,
@@ -117,7 +117,7 @@
             list.iter().map(|e| parse_server_entry(e, names)).collect::<Result<Vec<_>, _>>()?
         }
     };
-    Ok(Event::Members { form, entries })
+    Ok(Event::Members { kind, entries })
 }
 
 fn find_class(settings: &Settings, name: &str) -> Result<Arc<RequestClass>, String> {
--- a/src/facade.rs
+++ b/src/facade.rs
@@ -128,11 +128,11 @@
     pub fn update_servers(
         &mut self,
         now: Micros,
-        form: ListUpdateKind,
+        kind: ListUpdateKind,
         entries: Vec<ServerEntry>,
     ) -> Decisions {
-        self.guard.update_servers(form, &entries);
-        self.handle(now, Event::Members { form, entries })
+        self.guard.update_servers(kind, &entries);
+        self.handle(now, Event::Members { kind, entries })
     }
 
     /// Answers every request that has not begun to stream, as the caller is about to stop.
--- a/src/guard.rs
+++ b/src/guard.rs
@@ -100,8 +100,8 @@
     }
 
     /// Applies an update of the list of servers.
-    pub fn update_servers(&mut self, form: ListUpdateKind, entries: &[ServerEntry]) {
-        if matches!(form, ListUpdateKind::Full | ListUpdateKind::StaleCopy) {
+    pub fn update_servers(&mut self, kind: ListUpdateKind, entries: &[ServerEntry]) {
+        if matches!(kind, ListUpdateKind::Full | ListUpdateKind::StaleCopy) {
             self.accepting.clear();
             self.placements.clear();
         }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -261,7 +261,7 @@
     /// The list of servers was updated.
     Members {
         /// Kind of the update.
-        form: ListUpdateKind,
+        kind: ListUpdateKind,
         /// Entries of the list.
         entries: Vec<ServerEntry>,
     },
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -23,7 +23,7 @@
 //!     health: Health::Up,
 //! };
 //! let entries = vec![server("10.0.0.1:9000", 0), server("10.0.0.2:9000", 1)];
-//! router.handle(1_000, Event::Members { form: ListUpdateKind::Full, entries }, &mut actions);
+//! router.handle(1_000, Event::Members { kind: ListUpdateKind::Full, entries }, &mut actions);
 //! let query = Query {
 //!     id: "request-1".into(),
 //!     session: "session-1".into(),
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -236,7 +236,7 @@
             self.set_sweep_timer(actions);
         }
         match event {
-            Event::Members { form, entries } => self.update_servers(form, entries, actions),
+            Event::Members { kind, entries } => self.update_servers(kind, entries, actions),
             Event::Query(query) => self.enqueue(query, actions),
             Event::AnswerStarted { id, attempt, elapsed } => self.answer_started(&id, attempt, elapsed),
             Event::AttemptEnded { id, attempt, outcome, elapsed, cached_tokens, finished, .. } => {
@@ -306,8 +306,8 @@
         });
     }
 
-    fn update_servers(&mut self, form: ListUpdateKind, entries: Vec<ServerEntry>, actions: &mut Vec<Action>) {
-        match form {
+    fn update_servers(&mut self, kind: ListUpdateKind, entries: Vec<ServerEntry>, actions: &mut Vec<Action>) {
+        match kind {
             ListUpdateKind::SourceUnavailable if self.settings.list_poll_interval.is_some() => {
                 self.next_list_poll_at = Some(self.now + INITIAL_BREAKER_TIMEOUT);
             }
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -333,7 +333,7 @@
         let mut router = Router::new(settings_of_three_routers(), seed);
         let mut out = Vec::new();
         let entries = fleet.iter().map(|(n, k)| entry(n, *k)).collect();
-        router.handle(SEC, Event::Members { form: ListUpdateKind::Full, entries }, &mut out);
+        router.handle(SEC, Event::Members { kind: ListUpdateKind::Full, entries }, &mut out);
         router.handle(SEC, Event::Query(Query { session: session.into(), ..query("a", 900) }), &mut out);
         sends(&out)[0].1.clone()
     };
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -263,7 +263,7 @@
             requests: BTreeMap::new(),
             log: Vec::new(),
         };
-        simulation.handle(Event::Members { form: ListUpdateKind::StaleCopy, entries: fleet });
+        simulation.handle(Event::Members { kind: ListUpdateKind::StaleCopy, entries: fleet });
         simulation
     }
 
@@ -431,22 +431,22 @@
         let server_index = self.random_below(self.fleet.len() as u64) as usize;
         let health =
             *[Health::Draining, Health::Gone].get(self.random_below(8) as usize).unwrap_or(&Health::Up);
-        let form = [ListUpdateKind::Changes, ListUpdateKind::Full, ListUpdateKind::SourceUnavailable]
+        let kind = [ListUpdateKind::Changes, ListUpdateKind::Full, ListUpdateKind::SourceUnavailable]
             [self.random_below(3) as usize];
-        if form == ListUpdateKind::SourceUnavailable {
+        if kind == ListUpdateKind::SourceUnavailable {
             // The current list stays in force until the change that follows.
-            self.handle(Event::Members { form, entries: Vec::new() });
+            self.handle(Event::Members { kind, entries: Vec::new() });
         }
         if self.fleet[server_index].health != Health::Up && health == Health::Up {
             self.fleet[server_index].started = self.now;
         }
         self.fleet[server_index].health = health;
-        let entries = match form {
+        let entries = match kind {
             ListUpdateKind::Full => self.fleet.iter().filter(|e| e.health != Health::Gone).cloned().collect(),
             _ => vec![self.fleet[server_index].clone()],
         };
-        let form = if form == ListUpdateKind::SourceUnavailable { ListUpdateKind::Changes } else { form };
-        self.handle(Event::Members { form, entries });
+        let kind = if kind == ListUpdateKind::SourceUnavailable { ListUpdateKind::Changes } else { kind };
+        self.handle(Event::Members { kind, entries });
     }
 
     /// Sends an event that is unusual but valid, or that concerns an unknown request.
--- a/tests/support/fleet.rs
+++ b/tests/support/fleet.rs
@@ -86,12 +86,12 @@
         fleet
     }
 
-    pub fn update_servers(&mut self, form: ListUpdateKind, entries: Vec<ServerEntry>) {
+    pub fn update_servers(&mut self, kind: ListUpdateKind, entries: Vec<ServerEntry>) {
         for entry in &entries {
             let server = self.servers.entry(entry.server.clone()).or_default();
             server.slots_free_at.resize(DECODE_SLOTS, 0);
         }
-        self.handle(Event::Members { form, entries });
+        self.handle(Event::Members { kind, entries });
     }
 
     /// Schedules a request that arrives this long after the start.
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -76,8 +76,8 @@
         out
     }
 
-    pub fn update_servers(&mut self, form: ListUpdateKind, entries: Vec<ServerEntry>) -> Vec<Action> {
-        self.handle(Event::Members { form, entries })
+    pub fn update_servers(&mut self, kind: ListUpdateKind, entries: Vec<ServerEntry>) -> Vec<Action> {
+        self.handle(Event::Members { kind, entries })
     }
 
     pub fn submit(&mut self, query: Query) -> Vec<Action> {
--- a/tests/support/side.rs
+++ b/tests/support/side.rs
@@ -52,7 +52,7 @@
     pub fn update_servers_at(&mut self, router: usize, entries: &[ServerEntry]) {
         self.handle_event(
             router,
-            Event::Members { form: ListUpdateKind::Changes, entries: entries.to_vec() },
+            Event::Members { kind: ListUpdateKind::Changes, entries: entries.to_vec() },
         );
     }
 
