--- a/daemon/src/command/operations.rs
+++ b/daemon/src/command/operations.rs
@@ -14,7 +14,7 @@
 use frosttrail_daemon::front::ClientListeners;
 use frosttrail_daemon::listener_handover::{InheritedListeners, ListenerHandover};
 use frosttrail_daemon::open_work_files::OpenWorkFiles;
-use frosttrail_daemon::ops::{CallMarks, ConductorOperations, ExclusionStore, OpsServer};
+use frosttrail_daemon::ops::{CallTracker, ConductorOperations, ExclusionStore, OpsServer};
 use frosttrail_daemon::snapshot_file::SnapshotFile;
 use frosttrail_daemon::state_dir;
 use frosttrail_daemon::transient::{is_resource_shortage, retry_at_start};
@@ -47,7 +47,7 @@
     snapshot: SnapshotFile,
     previous_state: PreviousState,
     inherited: Option<InheritedListeners>,
-    calls: CallMarks,
+    calls: CallTracker,
 }
 
 impl OpsSetup {
@@ -63,7 +63,7 @@
             warn!(log, "the snapshot of the previous process is passed over"; "why" => %e);
             None
         });
-        let (server, calls) = (Some(server), CallMarks::default());
+        let (server, calls) = (Some(server), CallTracker::default());
         Ok(OpsSetup { server, folder, store, snapshot, previous_state, inherited, calls })
     }
 
@@ -98,7 +98,7 @@
     pub async fn restore_exclusions(&self, conductor: &Conductor<HttpUpstream>, log: &Logger) {
         let mut is_logged = false;
         loop {
-            let Some(mark) = self.calls.mark() else {
+            let Some(checkpoint) = self.calls.checkpoint() else {
                 sleep(FOLDER_RETRY_INTERVAL).await;
                 continue;
             };
@@ -107,7 +107,7 @@
             let why = match loaded {
                 Ok(Ok(excluded)) => {
                     let excluded = excluded.into_iter().collect();
-                    if self.calls.apply_since(mark, || conductor.replace_excluded(excluded)) {
+                    if self.calls.apply_since(checkpoint, || conductor.replace_excluded(excluded)) {
                         return;
                     }
                     continue;
@@ -274,13 +274,13 @@
 async fn poll_exclusions(
     conductor: Conductor<HttpUpstream>,
     store: ExclusionStore,
-    calls: CallMarks,
+    calls: CallTracker,
     log: Logger,
 ) {
     let (mut watch, mut has_failed) = (ChangeWatch::default(), false);
     loop {
         sleep(EXCLUSIONS_POLL_INTERVAL).await;
-        let Some(mark) = calls.mark() else { continue };
+        let Some(checkpoint) = calls.checkpoint() else { continue };
         let (reading, load_log, due) = (store.clone(), log.clone(), watch);
         let read = tokio::task::spawn_blocking(move || {
             let mut watch = due;
@@ -293,7 +293,7 @@
             None => {}
             Some(Ok(excluded)) => {
                 let excluded = excluded.into_iter().collect();
-                let is_applied = calls.apply_since(mark, || conductor.replace_excluded(excluded));
+                let is_applied = calls.apply_since(checkpoint, || conductor.replace_excluded(excluded));
                 watch.reads += u32::from(is_applied);
                 has_failed = false;
             }
--- a/daemon/src/ops/call_marks.rs
+++ b/daemon/src/ops/call_tracker.rs
@@ -11,38 +11,38 @@
 
 /// Counts the calls that change exclusions; clones share the counts.
 #[derive(Clone, Debug, Default)]
-pub struct CallMarks(Arc<Mutex<Counts>>);
+pub struct CallTracker(Arc<Mutex<Counts>>);
 
 /// A point in time at which no call was in progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Mark(u64);
+pub struct Checkpoint(u64);
 
 /// A call in progress, until dropped.
 #[derive(Debug)]
-pub struct CallUnderWay(CallMarks);
+pub struct CallInProgress(CallTracker);
 
-impl CallMarks {
+impl CallTracker {
     fn lock(&self) -> MutexGuard<'_, Counts> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Records the beginning of a call.
-    pub fn begin(&self) -> CallUnderWay {
+    pub fn begin(&self) -> CallInProgress {
         self.lock().begun += 1;
-        CallUnderWay(self.clone())
+        CallInProgress(self.clone())
     }
 
-    /// Marks the current time; `None` while a call is in progress.
-    pub fn mark(&self) -> Option<Mark> {
+    /// Returns a checkpoint for the current time; `None` while a call is in progress.
+    pub fn checkpoint(&self) -> Option<Checkpoint> {
         let counts = self.lock();
-        (counts.begun == counts.ended).then_some(Mark(counts.begun))
+        (counts.begun == counts.ended).then_some(Checkpoint(counts.begun))
     }
 
-    /// Runs `apply`, for exclusions read after the mark, unless a call has begun since the mark; returns
+    /// Runs `apply`, for exclusions read after the checkpoint, unless a call has begun since then; returns
     /// whether it ran. `apply` must be short, because no call can begin meanwhile.
-    pub fn apply_since(&self, mark: Mark, apply: impl FnOnce()) -> bool {
+    pub fn apply_since(&self, checkpoint: Checkpoint, apply: impl FnOnce()) -> bool {
         let counts = self.lock();
-        let unchanged = counts.begun == mark.0;
+        let unchanged = counts.begun == checkpoint.0;
         if unchanged {
             apply();
         }
@@ -50,7 +50,7 @@
     }
 }
 
-impl Drop for CallUnderWay {
+impl Drop for CallInProgress {
     fn drop(&mut self) {
         self.0.lock().ended += 1;
     }
--- a/daemon/src/ops/conductor.rs
+++ b/daemon/src/ops/conductor.rs
@@ -7,7 +7,7 @@
 use frosttrail_core::{Conductor, Metrics, Upstream};
 
 use super::call::{CallError, Operations};
-use super::call_marks::CallMarks;
+use super::call_tracker::CallTracker;
 use super::exclusion_store::ExclusionStore;
 
 /// The operations of a conductor and of the store of its exclusions.
@@ -15,7 +15,7 @@
     conductor: Conductor<U>,
     store: ExclusionStore,
     metrics: Metrics,
-    calls: CallMarks,
+    calls: CallTracker,
     is_serving: Arc<AtomicBool>,
 }
 
@@ -25,7 +25,7 @@
         conductor: Conductor<U>,
         store: ExclusionStore,
         metrics: Metrics,
-        calls: CallMarks,
+        calls: CallTracker,
         is_serving: Arc<AtomicBool>,
     ) -> Self {
         ConductorOperations { conductor, store, metrics, calls, is_serving }
