--- a/daemon/src/command/serve.rs
+++ b/daemon/src/command/serve.rs
@@ -44,7 +44,7 @@
 
 /// How often requests are counted to determine this instance's share of the traffic.
 const REQUEST_COUNT_INTERVAL: Duration = Duration::from_millis(500);
-/// The time limit for telling the other instances of the membership that this one leaves.
+/// Timeout for notifying the other instances of the membership that this one leaves.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// The files that switch parts on.
--- a/daemon/src/command/transfer.rs
+++ b/daemon/src/command/transfer.rs
@@ -239,8 +239,8 @@
     let Fetch { id, from, out, within } = args;
     let (log, _guard) = logger("fetch");
     let node = Node::new(Config::default(), random_incarnation()?, log);
-    let limit = Duration::from_secs(within);
-    let result = timeout(limit, node.fetch(&id, &from, Some(limit))).await;
+    let fetch_timeout = Duration::from_secs(within);
+    let result = timeout(fetch_timeout, node.fetch(&id, &from, Some(fetch_timeout))).await;
     let result = result.map_err(|_| TransferError::TimedOut(id.clone(), within))?;
     let cache = result.map_err(|e| TransferError::Fetch(id.clone(), e))?;
     write_atomically(&out, &cache).await.map_err(|e| TransferError::File(out.clone(), e))?;
--- a/daemon/src/discovery/backoff.rs
+++ b/daemon/src/discovery/backoff.rs
@@ -11,7 +11,7 @@
 //! | a call was refused just before | [`MAX_WAIT`] + [`CALL_TIMEOUT`] = 5.2 s |
 //! | a watch fell silent | [`WATCH_SILENCE_TIMEOUT`] + [`MAX_WATCH_REOPEN_WAIT`] + [`CALL_TIMEOUT`] = 5.5 s |
 //!
-//! An agent that was unresponsive answers the pending calls when it recovers, and what it knows then may
+//! An agent that was silent answers the pending calls when it recovers, and what it knows then may
 //! count as delivered at once. So a pending call is the best place to wait, and the next one follows soon.
 
 use std::time::Duration;
--- a/daemon/src/discovery/http.rs
+++ b/daemon/src/discovery/http.rs
@@ -1,4 +1,4 @@
-//! HTTP calls to a discovery server: one request on its own connection, with a time limit on each step.
+//! HTTP calls to a discovery server: one request on its own connection, with a timeout for each step.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -44,15 +44,15 @@
     pub(super) driver: AbortOnDropHandle<()>,
 }
 
-/// Connects, sends a request and waits for the head of its response, all within `time_limit`.
+/// Connects, sends a request and waits for the head of its response, all within `call_timeout`.
 pub(super) async fn send_request(
     server: SocketAddr,
     method: Method,
     target: Uri,
     body: Bytes,
-    time_limit: Duration,
+    call_timeout: Duration,
 ) -> Result<OpenResponse, DiscoveryError> {
-    let deadline = Instant::now() + time_limit;
+    let deadline = Instant::now() + call_timeout;
     let stream =
         timeout(CONNECT_TIMEOUT, TcpStream::connect(server)).await.map_err(|_| DiscoveryError::Timeout)?;
     let io = TokioIo::new(TcpConnection::new(stream.map_err(DiscoveryError::Connect)?));
@@ -74,9 +74,9 @@
 pub(super) async fn read_body(
     body: Incoming,
     max_bytes: usize,
-    time_limit: Duration,
+    body_timeout: Duration,
 ) -> Result<Bytes, DiscoveryError> {
-    let body = timeout(time_limit, Limited::new(body, max_bytes).collect())
+    let body = timeout(body_timeout, Limited::new(body, max_bytes).collect())
         .await
         .map_err(|_| DiscoveryError::Timeout)?;
     Ok(body.map_err(|_| DiscoveryError::TooLarge)?.to_bytes())
--- a/daemon/src/discovery/platform.rs
+++ b/daemon/src/discovery/platform.rs
@@ -281,7 +281,7 @@
             status => Err(DiscoveryError::Status(status)),
         }
     };
-    // One time limit covers all steps.
+    // One timeout covers all steps.
     timeout(CALL_TIMEOUT, fetch).await.unwrap_or(Err(DiscoveryError::Timeout))
 }
 
