--- a/src/admission.rs
+++ b/src/admission.rs
@@ -1,7 +1,7 @@
 //! Decisions that a request makes without the router: whether it is admitted while decisions are slow, and
 //! how it is answered if no decision has come in time. All are pure functions of the request's own state.
 
-use crate::hash::{hash, share_of};
+use crate::hash::{hash, share_of, DEFAULT_SALT};
 use crate::interface::{DedupScope, Effect, Micros, Query};
 
 /// Largest expected wait for the first decision, as a share of the time for which the client waits. Beyond
@@ -24,7 +24,7 @@
 /// Retry-after, up to `max`, for a client that is refused without a decision. A hash of the request id
 /// spreads the retries of clients that are refused together.
 pub fn retry_after(max: Micros, query: &Query) -> Micros {
-    (max as f64 * (0.5 + 0.5 * share_of(hash(&query.id, 0)))) as Micros
+    (max as f64 * (0.5 + 0.5 * share_of(hash(&query.id, DEFAULT_SALT)))) as Micros
 }
 
 /// Time after which a request whose client waits for `budget` is answered without a decision.
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -17,7 +17,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::hash::{hash, share_of};
+use crate::hash::{hash, share_of, DEFAULT_SALT};
 use crate::interface::*;
 
 /// Prefills that all conductors together have at one prefill server, and requests that wait at a mixed
@@ -325,7 +325,7 @@
             let server_index = known.unwrap_or_else(|| self.free_indices.pop().unwrap_or(self.servers.len()));
             if known.is_none() {
                 self.server_indices.insert(entry.server.clone(), server_index);
-                let (hash, id, kind) = (hash(&entry.server, 0), entry.server, entry.kind);
+                let (hash, id, kind) = (hash(&entry.server, DEFAULT_SALT), entry.server, entry.kind);
                 self.servers.resize_with(self.servers.len().max(server_index + 1), Server::default);
                 self.servers[server_index] =
                     Server { hash, id, kind, role: stage_of(role), ..Server::default() };
@@ -398,7 +398,7 @@
             .saturating_sub(waited);
         let is_over_quota = query.tenant.is_some_and(|tenant| self.charge_quota(tenant));
         let request = Request {
-            prefix_hash: hash(query.prefix.as_ref().unwrap_or(&query.session), 0),
+            prefix_hash: hash(query.prefix.as_ref().unwrap_or(&query.session), DEFAULT_SALT),
             arrived_at: self.now,
             deadline: self.now + query.budget,
             ready_since: self.now,
--- a/src/scheduler/candidates.rs
+++ b/src/scheduler/candidates.rs
@@ -4,9 +4,10 @@
 use std::sync::Arc;
 
 use super::*;
-use crate::hash::mix;
+use crate::hash::{mix, SESSION_AFFINITY_SALT};
 
-/// Servers that share a prefix where shares are fractional; the session's hash selects one of them.
+/// The number of servers among which the sessions of one prefix are divided, by the session's hash, if each
+/// conductor's share of a server is less than one request (see [`Router::has_fractional_shares`]).
 const AFFINITY_SERVERS: usize = 3;
 /// Servers whose order by the prefix hash is cached for each request.
 const MAX_RANKED_SERVERS: usize = 16;
@@ -115,7 +116,7 @@
         let affinity_count = if self.router.has_fractional_shares() { AFFINITY_SERVERS } else { 1 };
         let mut nearest: Vec<usize> = eligible.by_ref().take(affinity_count).collect();
         let has_all = nearest.len() == affinity_count;
-        let session_hash = hash(&self.request.query.session, 2);
+        let session_hash = hash(&self.request.query.session, SESSION_AFFINITY_SALT);
         nearest.sort_by_cached_key(|&server_index| self.router.affinity_score(server_index, session_hash));
         let is_new = |server_index: &usize| Some(*server_index) != last && filter(*server_index);
         found.extend(nearest.into_iter().filter(is_new).take(count - found.len()));
@@ -220,7 +221,7 @@
                     .min_by_key(|&server_index| proximity(&self.servers[server_index]))
             }
             None => {
-                let session_hash = hash(&request.query.session, 2);
+                let session_hash = hash(&request.query.session, SESSION_AFFINITY_SALT);
                 let ranked = self.cached_ranking(request, role);
                 let affinity_servers = ranked.iter().copied().take(if self.has_fractional_shares() {
                     AFFINITY_SERVERS
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -3,7 +3,7 @@
 
 use super::candidates::Candidates;
 use super::*;
-use crate::hash::mix;
+use crate::hash::{mix, MIXED_CHOICE_SALT};
 
 /// Decode servers are compared by their number of own streams in steps of this share of the conductor's
 /// slots. Streams within one step hardly slow each other, and the KV cache stays in its rack, whose link
@@ -54,7 +54,7 @@
                 let count = |role| self.listed(role).len() as f64;
                 let share =
                     count(Stage::Mixed) / (count(Stage::Mixed) + count(Stage::Decode) * MIXED_SERVER_WEIGHT);
-                let prefers_mixed = share_of(hash(&request.query.session, 1)) < share;
+                let prefers_mixed = share_of(hash(&request.query.session, MIXED_CHOICE_SALT)) < share;
                 Some(if prefers_mixed { mixed } else { prefill })
             }
             (Some(prefill), None) => Some(prefill),
