--- a/core/src/conductor.rs
+++ b/core/src/conductor.rs
@@ -38,7 +38,7 @@
     pub settings: Settings,
     /// The seed for random numbers, new with each start.
     pub seed: u64,
-    /// The clock, which whoever converts the start times of members uses too.
+    /// The clock, which is also used to convert the start times of members.
     pub clock: Clock,
     /// Reaches the servers.
     pub upstream: Arc<U>,
@@ -127,7 +127,7 @@
     /// Puts new settings in force. Open requests keep the classes that they came with.
     pub fn reconfigure(&self, settings: Settings) {
         let settings = Arc::new(settings);
-        // The decisions get them first: whoever reads the new settings may make a request at once.
+        // The decisions get them first: a task that reads the new settings may make a request at once.
         self.commands.send(Command::Reconfigure(settings.clone()));
         self.settings.send_replace(settings);
     }
--- a/core/src/request.rs
+++ b/core/src/request.rs
@@ -116,8 +116,8 @@
         tokio::pin!(attempt);
         loop {
             let release_due = self.registration.wait_until_release_due(self.release_timeout);
-            // A decision stands even if a reply is ready as well: the decisions have dropped the request,
-            // and a stream that began now might be cut when the conductor ends.
+            // A decision takes precedence over a reply that is ready as well: the decisions have dropped the
+            // request, and a stream that began now might be cut when the conductor ends.
             tokio::select! {
                 biased;
                 received = self.registration.instructions.recv() => return WaitResult::Instruction(received),
--- a/core/tests/model.rs
+++ b/core/tests/model.rs
@@ -541,7 +541,7 @@
 }
 
 /// Has both the conductor's close and the attempt's reply ready when the request is polled. The decision
-/// stands: the client gets its answer, the attempt is cancelled and its KV cache is released.
+/// takes precedence: the client gets its answer, the attempt is cancelled and its KV cache is released.
 async fn close_during_reply(is_unsafe: bool, replies: &[Step]) -> (CallResult, u32, u32) {
     let servers = FakeServers::default();
     servers.with(|cluster| cluster.cancellation_delay = Duration::from_millis(20));
--- a/core/tests/slow_decisions.rs
+++ b/core/tests/slow_decisions.rs
@@ -32,7 +32,7 @@
 const PREFILL_DELAY: Duration = Duration::from_millis(30);
 const REQUEST_COUNT: usize = 25;
 
-/// A logger that stalls whoever logs an event of the decisions.
+/// A logger that stalls the thread that logs an event of the decisions.
 struct SlowLog;
 
 impl Drain for SlowLog {
--- a/core/tests/unit/command_queue.rs
+++ b/core/tests/unit/command_queue.rs
@@ -1,4 +1,4 @@
-//! The order of commands, and the wait that senders are told.
+//! The order of commands, and the wait that is reported to senders.
 
 use std::sync::atomic::AtomicBool;
 use std::sync::Mutex;
--- a/core/tests/unit/release.rs
+++ b/core/tests/unit/release.rs
@@ -91,7 +91,7 @@
 }
 
 /// The attempt of a client that leaves ends with its connection, and the release uses another connection.
-/// If it arrived first, a prefill that ends in between would leave KV cache that nobody releases any more.
+/// If it arrived first, a prefill that ends in between would leave KV cache that is never released.
 #[tokio::test(start_paused = true)]
 async fn a_release_does_not_overtake_the_end_of_a_cancelled_attempt() {
     let releaser = releaser();
--- a/daemon/src/discovery/xds.rs
+++ b/daemon/src/discovery/xds.rs
@@ -1,5 +1,5 @@
 //! Polls members from a server that speaks Envoy's xDS, version 3, over REST with JSON: first the clusters,
-//! then the endpoints of each. A cluster stands for one kind of server; the README describes the mapping.
+//! then the endpoints of each. A cluster represents one kind of server; the README describes the mapping.
 
 use std::hash::{Hash, Hasher};
 use std::net::{IpAddr, SocketAddr};
--- a/daemon/src/upstream/attempt.rs
+++ b/daemon/src/upstream/attempt.rs
@@ -198,8 +198,8 @@
     body: Incoming,
     event_splitter: EventSplitter,
     first_event: Option<Bytes>,
-    /// Whether the response states its own end. One that ends with its connection can't be told from one that
-    /// broke off.
+    /// Whether the response's framing marks its end. A response that ends with its connection can't be
+    /// distinguished from one that broke off.
     is_framed: bool,
     has_ended: bool,
 }
--- a/daemon/src/upstream/pool.rs
+++ b/daemon/src/upstream/pool.rs
@@ -199,7 +199,7 @@
         lock(&self.idle_age_limits).record_stale(server, idle, max_age, Instant::now());
     }
 
-    /// Reads a response body that nobody waits for to its end, to keep the connection.
+    /// Reads a response body that no caller waits for to its end, so that the connection can be reused.
     pub(super) fn put_after_body(self: &Arc<Self>, server: &Id, connection: Connection, body: Incoming) {
         let (pool, server) = (self.clone(), server.clone());
         tokio::spawn(async move {
--- a/daemon/tests/discovery.rs
+++ b/daemon/tests/discovery.rs
@@ -257,7 +257,7 @@
 }
 
 /// Failures at the old agent must not delay the calls to the new one: after a reload by SIGHUP, the time
-/// for an update counts anew.
+/// allowed for an update starts again.
 #[tokio::test]
 async fn failures_at_one_agent_do_not_delay_the_call_to_the_next() {
     let (old, new) =
@@ -450,11 +450,11 @@
     assert_eq!(discovery.next().await.unwrap().kind, ListUpdateKind::StaleCopy);
     let head = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
     let chunk = format!("{:x}\r\n{FULL_LIST}\r\n", FULL_LIST.len());
-    let (told, config_sender) = (agent.output.clone(), Arc::new(config_sender));
+    let (output, config_sender) = (agent.output.clone(), Arc::new(config_sender));
     tokio::spawn(async move {
         let text = format!("{head}{chunk}");
         for part in text.as_bytes().chunks(8) {
-            told.send(String::from_utf8_lossy(part).into_owned()).unwrap();
+            output.send(String::from_utf8_lossy(part).into_owned()).unwrap();
             tokio::time::sleep(Duration::from_millis(20)).await;
             let same = *config_sender.borrow();
             config_sender.send_replace(same);
--- a/daemon/tests/interleavings.rs
+++ b/daemon/tests/interleavings.rs
@@ -127,11 +127,11 @@
         if rng.random_range(0..15) == 0 {
             let (name, kind, _) = servers[rng.random_range(0..4)];
             for health in [Health::Draining, Health::Up] {
-                let news = MembershipUpdate {
+                let update = MembershipUpdate {
                     kind: ListUpdateKind::Changes,
                     entries: vec![entry(name, kind, health)],
                 };
-                site.membership.send(news).unwrap();
+                site.membership.send(update).unwrap();
                 tokio::task::yield_now().await;
             }
         }
--- a/daemon/tests/on_time.rs
+++ b/daemon/tests/on_time.rs
@@ -42,10 +42,10 @@
     })
 }
 
-/// Hundreds of streams run beside a backlog of requests that can't be sent, each of which the decisions
+/// Hundreds of streams run during a backlog of requests that can't be sent, each of which the decisions
 /// examine again and again.
 #[tokio::test]
-async fn events_are_on_time_beside_a_backlog_of_decisions() {
+async fn events_are_on_time_during_a_backlog_of_decisions() {
     let (mut servers, mut stand_ins) = (Vec::new(), Vec::new());
     for n in 0..8 {
         for (kind, usual) in [("prefill", PREFILL_RESPONSE), ("decode", Behavior::StreamsTimestamps(80, 100))]
@@ -134,7 +134,7 @@
 #[tokio::test]
 async fn each_event_is_forwarded_whole_and_alone_however_it_arrives() {
     let site = Site::start().await;
-    let told = site.decode.output.clone();
+    let output = site.decode.output.clone();
     site.decode.next(Behavior::SendsFromChannel);
     let mut client = send(site.platform, &chat("pieces", "ask", 7_000)).await;
     let chunk = |text: &str| format!("{:x}\r\n{text}\r\n", text.len());
@@ -143,21 +143,21 @@
     let mut seen = Vec::new();
     let none: [&str; 0] = [];
     // Half an event in a chunk of its own: the response does not start.
-    told.send(format!("{head}{}", chunk(first))).unwrap();
+    output.send(format!("{head}{}", chunk(first))).unwrap();
     assert_eq!(read_chunks(&mut client, &mut seen, usize::MAX).await, none);
     assert!(seen.is_empty(), "the answer has begun without an event");
     // The rest, and half of a chunk that contains half of the next event.
     let half = chunk(&LAST[..30]);
     let (start, end) = half.split_at(9);
-    told.send(format!("{}{start}", chunk(second))).unwrap();
+    output.send(format!("{}{start}", chunk(second))).unwrap();
     assert_eq!(read_chunks(&mut client, &mut seen, 1).await, [EVENT]);
     assert_eq!(read_chunks(&mut client, &mut seen, usize::MAX).await, [EVENT]);
     // The rest of that chunk, and then a chunk with the end of its event and three more.
-    told.send(end.into()).unwrap();
+    output.send(end.into()).unwrap();
     assert_eq!(read_chunks(&mut client, &mut seen, usize::MAX).await, [EVENT]);
-    told.send(chunk(&format!("{}{USAGE}{EVENT}{DONE}", &LAST[30..]))).unwrap();
+    output.send(chunk(&format!("{}{USAGE}{EVENT}{DONE}", &LAST[30..]))).unwrap();
     assert_eq!(read_chunks(&mut client, &mut seen, 5).await, [EVENT, LAST, USAGE, EVENT, DONE]);
     // The last chunk is forwarded when it arrives.
-    told.send("0\r\n\r\n".into()).unwrap();
+    output.send("0\r\n\r\n".into()).unwrap();
     assert_eq!(read_chunks(&mut client, &mut seen, 6).await, [EVENT, LAST, USAGE, EVENT, DONE, ""]);
 }
--- a/rpc/src/upstream/messages.rs
+++ b/rpc/src/upstream/messages.rs
@@ -103,7 +103,7 @@
     }
 }
 
-/// Returns the end of the attempt that an error of the HTTP/2 library stands for.
+/// Converts an error of the HTTP/2 library to the end of the attempt.
 pub(super) fn attempt_end(error: &h2::Error) -> AttemptEnd {
     match error.reason() {
         // A GOAWAY ends the streams above its last stream with this error; the others continue.
--- a/soak/src/fault_injection.rs
+++ b/soak/src/fault_injection.rs
@@ -18,9 +18,9 @@
 use crate::testbed::{lock, Testbed};
 
 /// The longest that a conductor may take after SIGHUP to learn what its new agent lists.
-const MAX_NEWS_DELAY_AFTER_RELOAD: Duration = Duration::from_secs(4);
+const MAX_UPDATE_DELAY_AFTER_RELOAD: Duration = Duration::from_secs(4);
 /// The longest that a conductor may take to learn of changes after a silence of its agent.
-const MAX_NEWS_DELAY_AFTER_SILENCE: Duration = Duration::from_secs(6);
+const MAX_UPDATE_DELAY_AFTER_SILENCE: Duration = Duration::from_secs(6);
 /// The series of signals that ends a process.
 const SHUTDOWN_SIGNALS: [&str; 3] = ["-TERM", "-HUP", "-TERM"];
 const SIGNAL_INTERVAL: Duration = Duration::from_millis(20);
@@ -177,7 +177,7 @@
 
     async fn reload_configuration(&self, conductor_index: usize) {
         let conductor = &self.conductors[conductor_index];
-        lock(&self.news_late_until)[conductor_index] = Instant::now() + MAX_NEWS_DELAY_AFTER_RELOAD;
+        lock(&self.updates_late_until)[conductor_index] = Instant::now() + MAX_UPDATE_DELAY_AFTER_RELOAD;
         for _ in 0..2 {
             let write_result = {
                 let mut current_agent = lock(&conductor.current_agent);
@@ -224,7 +224,8 @@
     }
 
     async fn silence_agents(&self, conductor: usize, duration: Duration) {
-        lock(&self.news_late_until)[conductor] = Instant::now() + duration + MAX_NEWS_DELAY_AFTER_SILENCE;
+        lock(&self.updates_late_until)[conductor] =
+            Instant::now() + duration + MAX_UPDATE_DELAY_AFTER_SILENCE;
         let agents = &self.conductors[conductor].agents;
         agents.iter().for_each(|agent| agent.set_silent(true));
         sleep(duration).await;
@@ -298,7 +299,7 @@
     async fn drain_server(&self, server: usize, duration: Duration) {
         let now = Instant::now();
         self.announce_server(server, "leaving", None);
-        for (conductor, late_until) in lock(&self.news_late_until).iter().enumerate() {
+        for (conductor, late_until) in lock(&self.updates_late_until).iter().enumerate() {
             let from = now.max(*late_until);
             let (conductor, until) = (Some(conductor), None);
             self.oracle.record_closed_server(ClosedPeriod { server, conductor, from, until });
--- a/soak/src/oracle.rs
+++ b/soak/src/oracle.rs
@@ -10,7 +10,7 @@
 const TIMING_ALLOWANCE: Duration = Duration::from_millis(150);
 /// A KV cache may be held for this much longer than the settings say.
 const HOLD_ALLOWANCE: Duration = Duration::from_millis(300);
-/// The remaining time that a server is told may exceed the time left by this much.
+/// The remaining time that is sent to a server may exceed the time left by this much.
 const REMAINING_TIME_ALLOWANCE: Duration = Duration::from_millis(150);
 /// An attempt may begin for this long after its client has left.
 const CLIENT_LEFT_ALLOWANCE: Duration = Duration::from_millis(100);
@@ -68,7 +68,7 @@
     ended: Option<Instant>,
     /// The server rejected the attempt before it ran.
     never_ran: bool,
-    /// The remaining time that the server was told.
+    /// The remaining time that was sent to the server.
     told: Duration,
 }
 
@@ -137,7 +137,7 @@
 pub struct ClosedPeriod {
     /// Index of the server.
     pub server: usize,
-    /// Index of the conductor; `None` stands for all.
+    /// Index of the conductor; `None` means all.
     pub conductor: Option<usize>,
     /// When the conductor counts as informed.
     pub from: Instant,
@@ -202,11 +202,18 @@
     }
 
     /// Records that the last byte of an attempt has arrived, and returns its number within the request.
-    pub fn record_attempt(&self, id: &str, server: usize, decode: bool, told: Duration) -> usize {
+    pub fn record_attempt(&self, id: &str, server: usize, decode: bool, remaining: Duration) -> usize {
         let mut observations = self.observations();
         let record = observations.requests.entry(id.into()).or_default();
         let arrived = Instant::now();
-        record.attempts.push(Attempt { server, decode, arrived, ended: None, never_ran: false, told });
+        record.attempts.push(Attempt {
+            server,
+            decode,
+            arrived,
+            ended: None,
+            never_ran: false,
+            told: remaining,
+        });
         record.attempts.len() - 1
     }
 
--- a/soak/src/plan.rs
+++ b/soak/src/plan.rs
@@ -18,13 +18,13 @@
     Reload,
     /// Pauses a conductor's process for 0.14 s, again and again.
     HoldUps,
-    /// Shifts a conductor's wall clock by so many milliseconds: an hour forward or back.
+    /// Shifts a conductor's wall clock by this many milliseconds: an hour forward or back.
     Clock(i64),
     /// Calls on a conductor's state folder fail.
     Disk,
     /// A conductor's calls to accept, connect and socket fail, and its reads and writes are short.
     Network,
-    /// Most attempts to open a conductor's configuration fail, beside two reloads.
+    /// Most attempts to open a conductor's configuration fail, during two reloads.
     Configuration,
     /// A conductor's agents are silent.
     SilentAgent,
--- a/soak/src/testbed.rs
+++ b/soak/src/testbed.rs
@@ -38,7 +38,7 @@
 }
 
 impl RunOptions {
-    /// Returns the limits of this run. Each socket stands for as many servers as it has ids.
+    /// Returns the limits of this run. Each socket represents as many servers as it has ids.
     pub(crate) fn limits(&self) -> Limits {
         let mut limits = draw_limits(self.seed);
         if self.ids_per_server > 1 {
@@ -81,7 +81,7 @@
     pub(crate) shim_counts: Mutex<[u64; COUNTERS.len()]>,
     pub(crate) short_per_mille: u32,
     /// Until when each conductor may lack the latest changes of the list.
-    pub(crate) news_late_until: Mutex<Vec<Instant>>,
+    pub(crate) updates_late_until: Mutex<Vec<Instant>>,
 }
 
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
@@ -96,7 +96,7 @@
         "fall-multiple": overload_factor, "grace-to-answer": 8_000, "warm-within": micros(warm_up_time)})
 }
 
-/// Returns the settings of a deployment with so many conductors.
+/// Returns the settings of a deployment with this many conductors.
 pub fn conductor_settings(conductors: usize, limits: &Limits) -> Value {
     let class = |name: &str, effect: &str| {
         let deadline = limits.max_deadline.as_micros() as u64;
@@ -127,7 +127,7 @@
         for conductor_index in 0..options.conductors {
             conductors.push(Conductor::new(options, conductor_index, &servers).await?);
         }
-        let news_late_until = Mutex::new(vec![Instant::now(); options.conductors]);
+        let updates_late_until = Mutex::new(vec![Instant::now(); options.conductors]);
         let (shim_counts, short_per_mille) = (Mutex::default(), options.short_per_mille);
         let kill_timeout = options.limits().max_deadline + KILL_DELAY_AFTER_DEADLINE;
         Ok(Testbed {
@@ -137,7 +137,7 @@
             kill_timeout,
             shim_counts,
             short_per_mille,
-            news_late_until,
+            updates_late_until,
         })
     }
 
--- a/soak/tests/support/mod.rs
+++ b/soak/tests/support/mod.rs
@@ -97,7 +97,7 @@
         self.spec.spawn(self.start_count, self.ops, faults).unwrap()
     }
 
-    /// Sends so many requests, one after another.
+    /// Sends `count` requests, one after another.
     pub async fn send_requests(&mut self, count: usize) {
         for _ in 0..count {
             self.request_count += 1;
--- a/soak/tests/system_calls.rs
+++ b/soak/tests/system_calls.rs
@@ -52,7 +52,7 @@
     timeout(TEST_TIMEOUT, fixture.send_requests(1)).await.expect("the answer arrives in time");
     let elapsed = start.elapsed();
     assert!(fired_count(&process, "accept") > 20);
-    // Enough for the request's attempts, beside connections that fail now and then.
+    // Enough for the request's attempts while connections fail now and then.
     assert!(elapsed < Duration::from_millis(1_500), "{elapsed:?}");
     assert_eq!(fixture.oracle.report().violations, Vec::<String>::new());
 }
--- a/src/facade.rs
+++ b/src/facade.rs
@@ -67,7 +67,7 @@
         /// Load report of the server, if it sent one.
         load: Option<LoadReport>,
     },
-    /// Nobody waits for the request any more. The caller reports this once for each request, as the last
+    /// No client waits for the request any more. The caller reports this once for each request, as the last
     /// report. It cancels an attempt that is still in flight.
     Closed,
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -255,7 +255,7 @@
     pub resumes_stream: bool,
 }
 
-/// An event that the router is told.
+/// An event that the router handles.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The list of servers was updated.
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -27,7 +27,7 @@
 const INITIAL_SERVER_BACKOFF: Micros = 200_000;
 /// Longest backoff of a server, and longest delay of sends to a role after a wait.
 const MAX_SERVER_BACKOFF: Micros = 12_000_000;
-/// Queue length at one server that all conductors together aim for where shares are fractional (see
+/// Target queue length at one server for all conductors together where shares are fractional (see
 /// `Router::has_fractional_shares`).
 const TARGET_QUEUE_LENGTH: f64 = 4.0;
 /// How long a session's last prefill server is remembered: about as long as the server keeps the KV cache.
--- a/src/scheduler/figures.rs
+++ b/src/scheduler/figures.rs
@@ -1,4 +1,4 @@
-//! Figures about a router for metrics and tests. Nothing here decides.
+//! Statistics of a router for metrics and tests. They do not affect decisions.
 
 use super::Router;
 
--- a/src/setup.rs
+++ b/src/setup.rs
@@ -165,7 +165,7 @@
     }
 }
 
-/// The index of a name in a list of [`ConfiguredNames`]; `key` is where the name stands.
+/// The index of a name in a list of [`ConfiguredNames`]; `key` is the setting that contains the name.
 pub fn index_of(names: &[String], name: &str, key: &str) -> Result<usize, SetupError> {
     names
         .iter()
--- a/transfer/benches/transfer.rs
+++ b/transfer/benches/transfer.rs
@@ -61,16 +61,16 @@
 where
     F: std::future::Future<Output = (SocketAddr, Box<dyn std::any::Any>)>,
 {
-    let (tell, told) = std::sync::mpsc::channel();
+    let (address_sender, address_receiver) = std::sync::mpsc::channel();
     let (end, ended) = tokio::sync::oneshot::channel::<()>();
     std::thread::spawn(move || {
         runtime().block_on(async {
             let (at, _held) = run().await;
-            tell.send(at).unwrap();
+            address_sender.send(at).unwrap();
             let _ = ended.await;
         });
     });
-    (told.recv().unwrap(), end)
+    (address_receiver.recv().unwrap(), end)
 }
 
 async fn start_sender(
--- a/transfer/src/lease.rs
+++ b/transfer/src/lease.rs
@@ -18,7 +18,7 @@
 enum Ownership {
     /// Held here; no receiver has claimed it.
     Unclaimed { since: Micros },
-    /// Held here and claimed by a receiver; `disconnected_at` is when it was last heard from, if its
+    /// Held here and claimed by a receiver; `disconnected_at` is when it was last active, if its
     /// connection is lost.
     Claimed { by: Claimant, disconnected_at: Option<Micros> },
     /// Owned by the receiver; kept so that a receiver that missed the grant learns of it.
@@ -56,7 +56,7 @@
 
     /// Claims the KV cache, for the first time or (`is_resumed`) again after a lost connection. The latest
     /// receiver that claims for the first time wins: a request has one attempt at a time, so the earlier
-    /// attempt has ended even if this server has not been told.
+    /// attempt has ended even if this server has not been notified.
     pub fn claim(
         &mut self,
         now: Micros,
@@ -78,7 +78,7 @@
         Ok(claim)
     }
 
-    /// Records that the claimant's connection is lost; the claimant was last heard from at `last_activity`.
+    /// Records that the claimant's connection is lost; the claimant was last active at `last_activity`.
     pub fn disconnect(&mut self, claimant: Claimant, last_activity: Micros) {
         if let Ownership::Claimed { by, disconnected_at } = &mut self.ownership {
             if *by == claimant {
--- a/transfer/src/lib.rs
+++ b/transfer/src/lib.rs
@@ -24,7 +24,7 @@
 /// Microseconds on a monotonic clock that starts with the process.
 pub type Micros = u64;
 
-/// Identifies a process; drawn anew at each start, so a restarted process has another one.
+/// Identifies a process; a new value is chosen at each start, so a restarted process has another one.
 pub type Incarnation = u64;
 
 /// Identifies a connection within this process; never reused.
@@ -36,9 +36,8 @@
 /// Time limits of transfers, in microseconds. Both ends of a connection should use the same values.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timeouts {
-    /// How long a KV cache is held while no receiver has claimed it, or since its receiver was last heard
-    /// from. Below one second by a margin for timers and frames in flight, so that memory is free within a
-    /// second.
+    /// How long a KV cache is held while no receiver has claimed it, or since its receiver was last active.
+    /// Below one second by a margin for timers and frames in flight, so that memory is free within a second.
     pub hold_ttl: Micros,
     /// Limit for a whole transfer, from the receiver's first claim on.
     pub transfer_timeout: Micros,
--- a/transfer/src/receiver.rs
+++ b/transfer/src/receiver.rs
@@ -119,7 +119,7 @@
     route: RouteId,
     conn: Option<ConnectionId>,
     deadline: Option<Micros>,
-    /// When the sender was last heard from, or the fetch began.
+    /// When the sender was last active, or the fetch began.
     last_contact: Micros,
     /// The earlier of the sender's time limit and this receiver's own.
     expires_at: Micros,
--- a/transfer/src/sender.rs
+++ b/transfer/src/sender.rs
@@ -472,7 +472,7 @@
         (self.transfers.len(), self.scheduler.in_flight_bytes())
     }
 
-    /// Whether it has been told to drain.
+    /// Whether a drain has been requested.
     pub fn is_draining(&self) -> bool {
         self.drain_deadline.is_some()
     }
--- a/transfer/src/service/node.rs
+++ b/transfer/src/service/node.rs
@@ -160,7 +160,7 @@
 }
 
 impl Node {
-    /// Creates a node that does not listen yet. `incarnation` is drawn anew at each start and is not 0.
+    /// Creates a node that does not listen yet. `incarnation` is a new value at each start and is not 0.
     pub fn new(config: Config, incarnation: u64, log: Logger) -> Self {
         let manager = Arc::new(SessionManager::new(config, incarnation.max(1), log));
         let expiry_task = AbortOnDropHandle::new(tokio::spawn(manager.clone().run_expiry()));
--- a/transfer/src/service/session_manager.rs
+++ b/transfer/src/service/session_manager.rs
@@ -1,6 +1,6 @@
 //! The session manager of a node: the sender and receiver state machines, the connections and the waiting
-//! callers, behind one lock that is never held across an await. Whoever reports an event to the state
-//! machines carries out the resulting actions at once.
+//! callers, behind one lock that is never held across an await. The caller that reports an event to the
+//! state machines carries out the resulting actions at once.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
--- a/transfer/tests/service.rs
+++ b/transfer/tests/service.rs
@@ -133,8 +133,8 @@
     let cache = content(2, 100_000);
     pair.store("r1", &cache).await;
     let empty = Node::new(config(), 3, log());
-    let (empty_at, nobody) = (empty.listen(any_address()).await.unwrap(), any_address());
-    let from = [empty_at, pair.link.address, nobody];
+    let (empty_at, unreachable) = (empty.listen(any_address()).await.unwrap(), any_address());
+    let from = [empty_at, pair.link.address, unreachable];
     assert!(is_same(&pair.receiver.fetch(&id("r1"), &from, None).await.unwrap(), &cache));
 }
 
