--- a/core/src/request.rs
+++ b/core/src/request.rs
@@ -16,9 +16,9 @@
 use crate::cache_clock::CacheClock;
 use crate::command::{Command, Instruction, NewRequest};
 use crate::conductor::Conductor;
-use crate::entry::{IdClaim, Registration};
 use crate::metrics::Metrics;
 use crate::permit::SendPermit;
+use crate::registration::{IdClaim, Registration};
 use crate::release::{lock, Releaser};
 use crate::traits::{AttemptReply, EventStream, Upstream};
 
@@ -116,8 +116,8 @@
         tokio::pin!(attempt);
         loop {
             let release_due = self.registration.wait_until_release_due(self.release_timeout);
-            // A decision stands even if a reply is ready as well: the decisions have dropped the request,
-            // and a stream that began now might be cut when the conductor ends.
+            // A decision takes precedence over a reply that is ready as well: the decisions have dropped the
+            // request, and a stream that began now might be cut when the conductor ends.
             tokio::select! {
                 biased;
                 received = self.registration.instructions.recv() => return WaitResult::Instruction(received),
--- a/daemon/src/command/serve.rs
+++ b/daemon/src/command/serve.rs
@@ -9,12 +9,12 @@
 use frosttrail_core::{start, Clock, Conductor, ConductorParts, Metrics};
 use frosttrail_daemon::config::{self, ChatConfig, Config, ConfigError, XdsConfig};
 use frosttrail_daemon::discovery::{Backoff, DiscoveryConfig, PlatformDiscovery, XdsDiscovery};
-use frosttrail_daemon::ending::ShutdownSchedule;
 use frosttrail_daemon::front::chat::ChatFront;
 use frosttrail_daemon::front::platform::PlatformFront;
 use frosttrail_daemon::front::{ClientListeners, ClientTimeouts};
 use frosttrail_daemon::listener_handover::ListenerHandover;
 use frosttrail_daemon::reload::ConfigReloader;
+use frosttrail_daemon::shutdown::ShutdownSchedule;
 use frosttrail_daemon::transient::{await_socket_pairs, await_threads, is_resource_shortage, retry_at_start};
 use frosttrail_daemon::upstream::{AddressTable, ConnectionLimits, HttpUpstream};
 use frosttrail_membership::service::{self, Membership};
@@ -44,7 +44,7 @@
 
 /// How often requests are counted to determine this instance's share of the traffic.
 const REQUEST_COUNT_INTERVAL: Duration = Duration::from_millis(500);
-/// The time limit for telling the other instances of the membership that this one leaves.
+/// Timeout for notifying the other instances of the membership that this one leaves.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// The files that switch parts on.
--- a/daemon/src/upstream/attempt.rs
+++ b/daemon/src/upstream/attempt.rs
@@ -19,7 +19,7 @@
 use serde::Deserialize;
 use tokio::time::{timeout_at, Instant};
 
-use super::link::{Connection, WriteProgress};
+use super::connection::{Connection, WriteProgress};
 use super::pool::{ConnectFailure, ConnectionPool, MAX_BODY_BYTES};
 use super::sse::{load_report_comment, EventSplitter, InvalidEvent};
 use super::Call;
@@ -198,8 +198,8 @@
     body: Incoming,
     event_splitter: EventSplitter,
     first_event: Option<Bytes>,
-    /// Whether the response states its own end. One that ends with its connection can't be told from one that
-    /// broke off.
+    /// Whether the response's framing marks its end. A response that ends with its connection can't be
+    /// distinguished from one that broke off.
     is_framed: bool,
     has_ended: bool,
 }
--- a/daemon/tests/discovery.rs
+++ b/daemon/tests/discovery.rs
@@ -257,7 +257,7 @@
 }
 
 /// Failures at the old agent must not delay the calls to the new one: after a reload by SIGHUP, the time
-/// for an update counts anew.
+/// allowed for an update starts again.
 #[tokio::test]
 async fn failures_at_one_agent_do_not_delay_the_call_to_the_next() {
     let (old, new) =
--- a/soak/tests/support/mod.rs
+++ b/soak/tests/support/mod.rs
@@ -12,7 +12,7 @@
 use frosttrail_soak::oracle::{Oracle, Report};
 use frosttrail_soak::server::Server;
 use frosttrail_soak::shim::SystemFaults;
-use frosttrail_soak::world::{conductor_settings, draw_limits};
+use frosttrail_soak::testbed::{conductor_settings, draw_limits};
 use serde_json::{json, Value};
 
 /// The seed from which the limits of the settings are drawn.
@@ -97,7 +97,7 @@
         self.spec.spawn(self.start_count, self.ops, faults).unwrap()
     }
 
-    /// Sends so many requests, one after another.
+    /// Sends `count` requests, one after another.
     pub async fn send_requests(&mut self, count: usize) {
         for _ in 0..count {
             self.request_count += 1;
--- a/src/facade.rs
+++ b/src/facade.rs
@@ -67,7 +67,7 @@
         /// Load report of the server, if it sent one.
         load: Option<LoadReport>,
     },
-    /// Nobody waits for the request any more. The caller reports this once for each request, as the last
+    /// No client waits for the request any more. The caller reports this once for each request, as the last
     /// report. It cancels an attempt that is still in flight.
     Closed,
 }
@@ -128,11 +128,11 @@
     pub fn update_servers(
         &mut self,
         now: Micros,
-        form: ListUpdateKind,
+        kind: ListUpdateKind,
         entries: Vec<ServerEntry>,
     ) -> Decisions {
-        self.guard.update_servers(form, &entries);
-        self.handle(now, Event::Members { form, entries })
+        self.guard.update_servers(kind, &entries);
+        self.handle(now, Event::Members { kind, entries })
     }
 
     /// Answers every request that has not begun to stream, as the caller is about to stop.
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -255,13 +255,13 @@
     pub resumes_stream: bool,
 }
 
-/// An event that the router is told.
+/// An event that the router handles.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The list of servers was updated.
     Members {
         /// Kind of the update.
-        form: ListUpdateKind,
+        kind: ListUpdateKind,
         /// Entries of the list.
         entries: Vec<ServerEntry>,
     },
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -17,7 +17,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::hash::{hash, share_of};
+use crate::hash::{hash, share_of, DEFAULT_SALT};
 use crate::interface::*;
 
 /// Prefills that all conductors together have at one prefill server, and requests that wait at a mixed
@@ -27,7 +27,7 @@
 const INITIAL_SERVER_BACKOFF: Micros = 200_000;
 /// Longest backoff of a server, and longest delay of sends to a role after a wait.
 const MAX_SERVER_BACKOFF: Micros = 12_000_000;
-/// Queue length at one server that all conductors together aim for where shares are fractional (see
+/// Target queue length at one server for all conductors together where shares are fractional (see
 /// `Router::has_fractional_shares`).
 const TARGET_QUEUE_LENGTH: f64 = 4.0;
 /// How long a session's last prefill server is remembered: about as long as the server keeps the KV cache.
@@ -236,7 +236,7 @@
             self.set_sweep_timer(actions);
         }
         match event {
-            Event::Members { form, entries } => self.update_servers(form, entries, actions),
+            Event::Members { kind, entries } => self.update_servers(kind, entries, actions),
             Event::Query(query) => self.enqueue(query, actions),
             Event::AnswerStarted { id, attempt, elapsed } => self.answer_started(&id, attempt, elapsed),
             Event::AttemptEnded { id, attempt, outcome, elapsed, cached_tokens, finished, .. } => {
@@ -306,8 +306,8 @@
         });
     }
 
-    fn update_servers(&mut self, form: ListUpdateKind, entries: Vec<ServerEntry>, actions: &mut Vec<Action>) {
-        match form {
+    fn update_servers(&mut self, kind: ListUpdateKind, entries: Vec<ServerEntry>, actions: &mut Vec<Action>) {
+        match kind {
             ListUpdateKind::SourceUnavailable if self.settings.list_poll_interval.is_some() => {
                 self.next_list_poll_at = Some(self.now + INITIAL_BREAKER_TIMEOUT);
             }
@@ -325,7 +325,7 @@
             let server_index = known.unwrap_or_else(|| self.free_indices.pop().unwrap_or(self.servers.len()));
             if known.is_none() {
                 self.server_indices.insert(entry.server.clone(), server_index);
-                let (hash, id, kind) = (hash(&entry.server, 0), entry.server, entry.kind);
+                let (hash, id, kind) = (hash(&entry.server, DEFAULT_SALT), entry.server, entry.kind);
                 self.servers.resize_with(self.servers.len().max(server_index + 1), Server::default);
                 self.servers[server_index] =
                     Server { hash, id, kind, role: stage_of(role), ..Server::default() };
@@ -398,7 +398,7 @@
             .saturating_sub(waited);
         let is_over_quota = query.tenant.is_some_and(|tenant| self.charge_quota(tenant));
         let request = Request {
-            prefix_hash: hash(query.prefix.as_ref().unwrap_or(&query.session), 0),
+            prefix_hash: hash(query.prefix.as_ref().unwrap_or(&query.session), DEFAULT_SALT),
             arrived_at: self.now,
             deadline: self.now + query.budget,
             ready_since: self.now,
--- a/transfer/src/lib.rs
+++ b/transfer/src/lib.rs
@@ -4,16 +4,17 @@
 //! connection, and exactly one side owns the cache at any moment. `docs/transfer.md` describes the protocol
 //! and the service, `docs/design/transfer.md` explains the design.
 //!
-//! [`sender`], [`receiver`], [`lease`], [`link`] and [`memory`] are state machines without I/O and without a
-//! clock; [`wire`] encodes and decodes frames; [`service`] runs the state machines on sockets.
+//! [`sender`], [`receiver`], [`lease`], [`link_scheduler`] and [`memory_budget`] are state machines without
+//! I/O and without a clock; [`wire`] encodes and decodes frames; [`service`] runs the state machines on
+//! sockets.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 pub mod cause;
 pub mod lease;
-pub mod link;
-pub mod memory;
+pub mod link_scheduler;
+pub mod memory_budget;
 pub mod proof;
 pub mod receiver;
 pub mod sender;
@@ -23,7 +24,7 @@
 /// Microseconds on a monotonic clock that starts with the process.
 pub type Micros = u64;
 
-/// Identifies a process; drawn anew at each start, so a restarted process has another one.
+/// Identifies a process; a new value is chosen at each start, so a restarted process has another one.
 pub type Incarnation = u64;
 
 /// Identifies a connection within this process; never reused.
@@ -35,9 +36,8 @@
 /// Time limits of transfers, in microseconds. Both ends of a connection should use the same values.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timeouts {
-    /// How long a KV cache is held while no receiver has claimed it, or since its receiver was last heard
-    /// from. Below one second by a margin for timers and frames in flight, so that memory is free within a
-    /// second.
+    /// How long a KV cache is held while no receiver has claimed it, or since its receiver was last active.
+    /// Below one second by a margin for timers and frames in flight, so that memory is free within a second.
     pub hold_ttl: Micros,
     /// Limit for a whole transfer, from the receiver's first claim on.
     pub transfer_timeout: Micros,
--- a/transfer/src/receiver.rs
+++ b/transfer/src/receiver.rs
@@ -10,7 +10,7 @@
 use roaring::RoaringBitmap;
 
 use crate::cause::Cause;
-use crate::memory::{MemoryBudget, Reservation};
+use crate::memory_budget::{MemoryBudget, Reservation};
 use crate::proof::Proof;
 use crate::sender::ProtocolError;
 use crate::wire::{Frame, Offer, RequestId, Want};
@@ -119,7 +119,7 @@
     route: RouteId,
     conn: Option<ConnectionId>,
     deadline: Option<Micros>,
-    /// When the sender was last heard from, or the fetch began.
+    /// When the sender was last active, or the fetch began.
     last_contact: Micros,
     /// The earlier of the sender's time limit and this receiver's own.
     expires_at: Micros,
--- a/transfer/src/sender.rs
+++ b/transfer/src/sender.rs
@@ -9,7 +9,7 @@
 
 use crate::cause::Cause;
 use crate::lease::{ClaimOutcome, Claimant, Lease};
-use crate::link::{FlowId, LinkScheduler};
+use crate::link_scheduler::{FlowId, LinkScheduler};
 use crate::proof::Proof;
 use crate::wire::{Frame, Hello, Offer, RequestId, Want};
 use crate::{ConnectionId, Incarnation, Micros, Timeouts, TransferToken};
@@ -472,7 +472,7 @@
         (self.transfers.len(), self.scheduler.in_flight_bytes())
     }
 
-    /// Whether it has been told to drain.
+    /// Whether a drain has been requested.
     pub fn is_draining(&self) -> bool {
         self.drain_deadline.is_some()
     }
--- a/transfer/src/service/node.rs
+++ b/transfer/src/service/node.rs
@@ -16,7 +16,7 @@
 use tokio_util::task::AbortOnDropHandle;
 
 use super::connection::serve;
-use super::hub::SessionManager;
+use super::session_manager::SessionManager;
 use super::status::Status;
 use super::Config;
 use crate::cause::Cause;
@@ -160,7 +160,7 @@
 }
 
 impl Node {
-    /// Creates a node that does not listen yet. `incarnation` is drawn anew at each start and is not 0.
+    /// Creates a node that does not listen yet. `incarnation` is a new value at each start and is not 0.
     pub fn new(config: Config, incarnation: u64, log: Logger) -> Self {
         let manager = Arc::new(SessionManager::new(config, incarnation.max(1), log));
         let expiry_task = AbortOnDropHandle::new(tokio::spawn(manager.clone().run_expiry()));
