--- a/core/src/reachability.rs
+++ b/core/src/reachability.rs
@@ -10,14 +10,14 @@
 const MAX_CANDIDATES_PER_ZONE: usize = 16;
 
 /// Servers ordered by when they last answered, latest first.
-type ServersByLastHeard = BTreeSet<(Reverse<Micros>, Id)>;
+type ServersByLastAnswer = BTreeSet<(Reverse<Micros>, Id)>;
 
 /// The listed servers and when each of them last answered.
 #[derive(Debug, Default)]
 pub(crate) struct Reachability {
     servers: BTreeMap<Id, Contact>,
     /// The same servers by whether they are silent and by zone, those that answered last first.
-    by_zone: BTreeMap<(bool, usize), ServersByLastHeard>,
+    by_zone: BTreeMap<(bool, usize), ServersByLastAnswer>,
 }
 
 /// A listed server's zone and its latest contacts.
@@ -25,13 +25,13 @@
 struct Contact {
     zone: usize,
     /// When it last answered, and when it last failed to; 0 for never.
-    last_heard: Micros,
-    last_silent: Micros,
+    last_answered_at: Micros,
+    last_unanswered_at: Micros,
 }
 
 impl Contact {
     fn is_silent(&self) -> bool {
-        self.last_silent > self.last_heard
+        self.last_unanswered_at > self.last_answered_at
     }
 }
 
@@ -53,14 +53,14 @@
     fn remove(&mut self, server: &Id) -> Option<Contact> {
         let contact = self.servers.remove(server)?;
         if let Some(zone_servers) = self.by_zone.get_mut(&(contact.is_silent(), contact.zone)) {
-            zone_servers.remove(&(Reverse(contact.last_heard), server.clone()));
+            zone_servers.remove(&(Reverse(contact.last_answered_at), server.clone()));
         }
         Some(contact)
     }
 
     fn insert(&mut self, server: &Id, contact: Contact) {
         let zone_servers = self.by_zone.entry((contact.is_silent(), contact.zone)).or_default();
-        zone_servers.insert((Reverse(contact.last_heard), server.clone()));
+        zone_servers.insert((Reverse(contact.last_answered_at), server.clone()));
         self.servers.insert(server.clone(), contact);
     }
 
@@ -76,8 +76,10 @@
         }
         let Some(mut contact) = self.remove(server) else { return };
         match outcome {
-            Outcome::NoConnection | Outcome::NoAnswer | Outcome::ConnectionLost => contact.last_silent = now,
-            _ => contact.last_heard = now,
+            Outcome::NoConnection | Outcome::NoAnswer | Outcome::ConnectionLost => {
+                contact.last_unanswered_at = now
+            }
+            _ => contact.last_answered_at = now,
         }
         self.insert(server, contact);
     }
@@ -93,7 +95,7 @@
         let mut all: Vec<(&Id, &Contact)> =
             candidates.into_iter().filter_map(|id| Some((id, self.servers.get(id)?))).collect();
         let sent_to_rank = |id: &Id| sent_to.iter().position(|s| s == id).unwrap_or(usize::MAX);
-        all.sort_by_cached_key(|(id, k)| (k.is_silent(), Reverse(k.last_heard), sent_to_rank(id)));
+        all.sort_by_cached_key(|(id, k)| (k.is_silent(), Reverse(k.last_answered_at), sent_to_rank(id)));
         // Each server's rank within its zone; the zones are in the order of their best server.
         let mut ranks: BTreeMap<(bool, usize), usize> = BTreeMap::new();
         let rank = |k: Contact| {
--- a/core/tests/unit/reachability.rs
+++ b/core/tests/unit/reachability.rs
@@ -63,13 +63,16 @@
     fn holds(reports: Vec<(u8, bool)>) -> bool {
         let mut reachability = fleet();
         let names = ["a1", "a2", "a3", "b1", "b2"];
-        for (at, (which, was_heard)) in reports.iter().enumerate() {
-            let outcome = if *was_heard { Outcome::Served } else { Outcome::NoConnection };
+        for (at, (which, has_answered)) in reports.iter().enumerate() {
+            let outcome = if *has_answered { Outcome::Served } else { Outcome::NoConnection };
             reachability.record_outcome(&names[usize::from(*which) % 5].into(), outcome, 1 + at as Micros);
         }
         let order = reachability.call_order(&[]);
-        let silent: Vec<bool> =
-            order.iter().map(|id| reachability.servers[id]).map(|k| k.last_silent > k.last_heard).collect();
+        let silent: Vec<bool> = order
+            .iter()
+            .map(|id| reachability.servers[id])
+            .map(|k| k.last_unanswered_at > k.last_answered_at)
+            .collect();
         let good = silent.iter().filter(|s| !**s).count();
         let zones = |n: usize| order[..n].iter().map(|id| reachability.servers[id].zone).collect::<Vec<_>>();
         let both = [0, 1].iter().all(|z| zones(good).contains(z));
