--- a/core/src/release.rs
+++ b/core/src/release.rs
@@ -234,7 +234,7 @@
     }
 }
 
-/// Calls servers until one has accepted the release or `release_timeout` has passed, and returns that server.
+/// Calls servers until one has accepted the release or `time_limit` has passed, and returns that server.
 /// Any server can free all that is held for a request, wherever it is. A server that has not answered
 /// within `next_server_delay` keeps its time, and the next one is called in parallel: a silent zone must
 /// not use up the time in which KV cache has to be released.
@@ -243,9 +243,9 @@
     id: Id,
     order: Vec<Id>,
     next_server_delay: Duration,
-    release_timeout: Duration,
+    time_limit: Duration,
 ) -> Option<Id> {
-    let end = Instant::now() + release_timeout;
+    let end = Instant::now() + time_limit;
     let rounds = async {
         let (mut servers, mut next_call_at) = (order.into_iter().cycle(), Instant::now());
         let mut calls = JoinSet::new();
--- a/daemon/tests/chat.rs
+++ b/daemon/tests/chat.rs
@@ -120,34 +120,38 @@
 
 #[tokio::test]
 async fn a_stream_without_a_final_event_is_never_completed() {
-    for does in [Behavior::Streams(&[EVENT, LAST]), Behavior::BreaksAfter(&[EVENT])] {
+    for behavior in [Behavior::Streams(&[EVENT, LAST]), Behavior::BreaksAfter(&[EVENT])] {
         let site = Site::start().await;
-        site.decode.next(does.clone());
+        site.decode.next(behavior.clone());
         let answer = exchange(site.chat, &chat_request("x-lane: book\r\n", true)).await;
-        assert_eq!((answer.status, answer.whole), (200, false), "{does:?}");
+        assert_eq!((answer.status, answer.whole), (200, false), "{behavior:?}");
         assert!(answer.body.starts_with(EVENT) && !answer.body.contains("[DONE]"));
-        assert_eq!(site.decode.posts().len(), 1, "{does:?}");
+        assert_eq!(site.decode.posts().len(), 1, "{behavior:?}");
 
-        site.decode.next(does.clone());
+        site.decode.next(behavior.clone());
         let answer = exchange(site.chat, &chat_request("x-lane: book\r\n", false)).await;
         assert_eq!((answer.status, &answer.json()["error"]["type"]), (502, &json!("server_error")));
         assert_eq!(answer.header("x-should-retry"), Some("false"));
-        assert_eq!(site.decode.posts().len(), 2, "{does:?}");
+        assert_eq!(site.decode.posts().len(), 2, "{behavior:?}");
     }
 }
 
 #[tokio::test]
 async fn a_book_that_may_have_run_fails_and_an_ask_is_retried() {
-    for does in [Behavior::Disconnects, Behavior::Responds(500, false, "{}"), Behavior::Streams(&[])] {
+    for behavior in [Behavior::Disconnects, Behavior::Responds(500, false, "{}"), Behavior::Streams(&[])] {
         let site = Site::start().await;
-        site.decode.next(does.clone());
+        site.decode.next(behavior.clone());
         let answer = exchange(site.chat, &chat_request("x-lane: book\r\n", true)).await;
-        assert_eq!((answer.status, answer.header("retry-after")), (502, None), "{does:?}");
-        assert_eq!(site.decode.posts().len(), 1, "{does:?}");
-
-        site.decode.next(does.clone());
-        assert_eq!(exchange(site.chat, &chat_request("x-lane: ask\r\n", true)).await.status, 200, "{does:?}");
-        assert_eq!(site.decode.posts().len(), 3, "{does:?}");
+        assert_eq!((answer.status, answer.header("retry-after")), (502, None), "{behavior:?}");
+        assert_eq!(site.decode.posts().len(), 1, "{behavior:?}");
+
+        site.decode.next(behavior.clone());
+        assert_eq!(
+            exchange(site.chat, &chat_request("x-lane: ask\r\n", true)).await.status,
+            200,
+            "{behavior:?}"
+        );
+        assert_eq!(site.decode.posts().len(), 3, "{behavior:?}");
     }
 }
 
--- a/daemon/tests/interleavings.rs
+++ b/daemon/tests/interleavings.rs
@@ -49,8 +49,8 @@
 }
 
 /// Whether a response proves that the attempt never ran.
-fn has_never_run(does: &Behavior) -> bool {
-    matches!(does, Behavior::Responds(503 | 504 | 410, true, _))
+fn has_never_run(behavior: &Behavior) -> bool {
+    matches!(behavior, Behavior::Responds(503 | 504 | 410, true, _))
 }
 
 /// How a client ends its connection; the first number is the delay in milliseconds.
